--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -1,14 +1,14 @@
 //! The fleet as this controller sees it; read-only, and made only when asked for.
 
 use super::{Context, json};
-use fleet_core::wire::{Engine, Standing};
+use fleet_core::wire::{Engine, EngineState};
 use http::StatusCode;
 
 fn row(e: &Engine) -> serde_json::Value {
-    let standing = match e.standing() {
-        Standing::Ready => "ready",
-        Standing::Draining => "draining",
-        Standing::Gone => "gone",
+    let state = match e.state() {
+        EngineState::Ready => "ready",
+        EngineState::Draining => "draining",
+        EngineState::Deregistered => "gone",
     };
     let models: Vec<_> = e
         .weights
@@ -16,7 +16,7 @@
         .map(|w| serde_json::json!({"name": w.model, "revision": w.version}))
         .collect();
     serde_json::json!({"id": e.id, "service": e.service, "address": e.address, "zone": e.zone,
-        "slots": e.slots, "standing": standing, "silent": e.silent, "models": models})
+        "slots": e.slots, "standing": state, "silent": e.silent, "models": models})
 }
 
 #[dropshot::endpoint { method = GET, path = "/anisedyke/Fleet.Look" }]
--- a/crates/control-plane/src/control/acceptor.rs
+++ b/crates/control-plane/src/control/acceptor.rs
@@ -2,7 +2,7 @@
 
 use crate::disk::format::Record;
 use fleet_core::constants;
-use fleet_core::wire::{Accept, Ballot, Member, Membership, Peeked, Prepare, Register, Vote};
+use fleet_core::wire::{Accept, Ballot, BallotReport, Member, Membership, Prepare, Register, Vote};
 use prost::Message;
 
 /// Holds the membership in force; never a key of the control state itself.
@@ -237,7 +237,7 @@
     }
 
     /// What is held, with or without the values.
-    pub fn peek(&self, values: bool) -> Step<Peeked> {
+    pub fn peek(&self, values: bool) -> Step<BallotReport> {
         let registers = self
             .registers
             .values()
@@ -245,7 +245,7 @@
                 if values { r.clone() } else { Register { value: Default::default(), ..r.clone() } }
             })
             .collect();
-        let answer = Peeked {
+        let answer = BallotReport {
             votes: self.votes(),
             registers,
             membership: Some(self.membership.clone()),
@@ -256,7 +256,7 @@
 
     /// All ballots that are held here, for a member that reads its state back; from now on in its
     /// recovery epoch. The values follow by key.
-    pub fn hand_over(&mut self, recovery_epoch: u64) -> Step<Peeked> {
+    pub fn hand_over(&mut self, recovery_epoch: u64) -> Step<BallotReport> {
         let record = self.advance(recovery_epoch).unwrap_or_else(|| self.barrier());
         Step { record, answer: self.peek(false).answer }
     }
@@ -299,11 +299,11 @@
     /// Takes up what a majority of the membership in force gave, all in the new recovery epoch and with the
     /// values that were fetched for its ballots: then it votes.
     /// Nothing that was held before counts: an accepted value that was never chosen may have the higher ballot.
-    pub fn recover(&mut self, recovery_epoch: u64, from: &[Peeked]) -> Option<Record> {
+    pub fn recover(&mut self, recovery_epoch: u64, from: &[BallotReport]) -> Option<Record> {
         let quorum = self.membership.members.len() / 2 + 1;
         let epoch = self.membership.epoch;
-        let in_force = |p: &Peeked| p.membership.as_ref().is_some_and(|m| m.epoch == epoch);
-        let full = |p: &&Peeked| p.votes && p.recovery_epoch >= recovery_epoch && in_force(p);
+        let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == epoch);
+        let full = |p: &&BallotReport| p.votes && p.recovery_epoch >= recovery_epoch && in_force(p);
         if self.voting || !self.is_member() || from.iter().filter(full).count() < quorum {
             return None;
         }
--- a/crates/control-plane/src/control/leaving.rs
+++ b/crates/control-plane/src/control/leaving.rs
@@ -3,7 +3,7 @@
 
 use crate::Controller;
 use fleet_core::constants;
-use fleet_core::wire::{Ballot, Body, Done};
+use fleet_core::wire::{Ballot, Body, Empty};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
@@ -33,7 +33,7 @@
     let members = controller.acceptor.lock().membership().members.clone();
     let calls = controller.peers(&members).into_iter().map(|(_, link)| async move {
         // one that can't be told waits until this owner has been silent
-        let _ = link.call(Body::Leaving(Done {}), constants::PHASE_LIMIT).await;
+        let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_LIMIT).await;
     });
     futures_util::future::join_all(calls).await;
 }
--- a/crates/control-plane/src/control/look.rs
+++ b/crates/control-plane/src/control/look.rs
@@ -1,6 +1,6 @@
 //! What the voters of one membership hold, as they answered one round of questions.
 
-use fleet_core::wire::{Ballot, Membership, Peeked};
+use fleet_core::wire::{Ballot, BallotReport, Membership};
 use std::collections::BTreeMap;
 
 /// Whether a key's newest value is known to be chosen.
@@ -12,7 +12,7 @@
     Open(Ballot),
 }
 
-/// Answers of voters to [`fleet_core::wire::Peek`]. They count only within the membership that was asked.
+/// Answers of voters to [`fleet_core::wire::ReadBallots`]. They count only within the membership that was asked.
 #[derive(Debug)]
 pub struct Look {
     membership: u64,
@@ -35,7 +35,7 @@
     }
 
     /// Counts an answer; false if it doesn't count: its sender has no vote, or has another membership.
-    pub fn add(&mut self, voter: u64, answer: &Peeked) -> bool {
+    pub fn add(&mut self, voter: u64, answer: &BallotReport) -> bool {
         let epoch = answer.membership.as_ref().map_or(0, |m| m.epoch);
         if !answer.votes || epoch != self.membership {
             return false;
--- a/crates/control-plane/src/control/look_tests.rs
+++ b/crates/control-plane/src/control/look_tests.rs
@@ -13,9 +13,9 @@
     Membership { epoch, members: vec![Member::default(); size] }
 }
 
-fn holds(n: u64, epoch: u64) -> Peeked {
+fn holds(n: u64, epoch: u64) -> BallotReport {
     let register = Register { key: KEY.into(), accepted: ballot(n), ..Default::default() };
-    Peeked {
+    BallotReport {
         votes: true,
         registers: vec![register],
         membership: Some(membership(epoch, 3)),
@@ -44,7 +44,7 @@
     let mut look = Look::new(&membership(1, 3));
     look.add(1, &holds(3, 1));
     assert!(!look.add(2, &holds(3, 2)), "has moved on");
-    assert!(!look.add(3, &Peeked { votes: false, ..holds(3, 1) }), "reads its state back");
+    assert!(!look.add(3, &BallotReport { votes: false, ..holds(3, 1) }), "reads its state back");
     assert_eq!(look.standing(KEY), Some(Standing::Open(ballot(3))));
     let mut four = Look::new(&membership(2, 4));
     four.add(1, &holds(3, 2));
--- a/crates/control-plane/src/control/moves_tests.rs
+++ b/crates/control-plane/src/control/moves_tests.rs
@@ -6,7 +6,7 @@
 use super::schedules::with_values;
 use super::values::{CONFIG, MEMBERSHIP};
 use crate::disk::format::State;
-use fleet_core::wire::{Member, Membership, Peeked, Vote};
+use fleet_core::wire::{BallotReport, Member, Membership, Vote};
 use hashbrown::HashSet;
 use prost::Message;
 use std::net::Ipv4Addr;
@@ -263,7 +263,7 @@
         }
         let latest = from.iter().map(|o| self.machines[*o].acceptor.recovery_epoch()).max();
         let recovery_epoch = latest.unwrap_or(0) + 1;
-        let mut got: Vec<Peeked> = Vec::new();
+        let mut got: Vec<BallotReport> = Vec::new();
         for o in from {
             let step = self.machines[o].acceptor.hand_over(recovery_epoch);
             self.machines[o].state.apply(&step.record);
--- a/crates/control-plane/src/control/owner.rs
+++ b/crates/control-plane/src/control/owner.rs
@@ -7,7 +7,7 @@
 use crate::Controller;
 use fleet_core::constants;
 use fleet_core::link::Link;
-use fleet_core::wire::{Ballot, Body, Changed, PreVote, PreVoted, Vote};
+use fleet_core::wire::{Ballot, Body, ChangeResponse, PreVoteRequest, PreVoteResponse, Vote};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -79,7 +79,7 @@
 }
 
 /// Answers whether this voter would take part in electing another owner for the key.
-pub fn pre_vote(controller: &Controller, ask: &PreVote) -> PreVoted {
+pub fn pre_vote(controller: &Controller, ask: &PreVoteRequest) -> PreVoteResponse {
     let (eligible, promised, bytes) = {
         let acceptor = controller.acceptor.lock();
         let votes = acceptor.votes() && !controller.disk_broken();
@@ -89,7 +89,7 @@
     };
     let owners = &controller.owners;
     let free = owners.has_left(&ask.key, promised) || owners.is_quiet(&ask.key, bytes);
-    PreVoted { ok: eligible && free, promised }
+    PreVoteResponse { ok: eligible && free, promised }
 }
 
 async fn own_vote(controller: &Arc<Controller>, request: &Request) -> Option<Vote> {
@@ -194,14 +194,14 @@
 /// Whether a quorum has seen nothing of the key's owner for a while.
 async fn owner_is_silent(controller: &Arc<Controller>, key: &str) -> bool {
     let membership = controller.acceptor.lock().membership().clone();
-    let ask = PreVote { key: key.to_owned(), membership: membership.epoch };
+    let ask = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
     let quorum = membership.members.len() / 2 + 1;
     let (answers, mut inbox) = mpsc::channel(membership.members.len().max(1));
     for (_, link) in controller.peers(&membership.members) {
         let (answers, ask) = (answers.clone(), ask.clone());
         tokio::spawn(async move {
-            if let Ok(Body::PreVoted(answer)) =
-                link.call(Body::PreVote(ask), constants::PHASE_LIMIT).await
+            if let Ok(Body::PreVoteResponse(answer)) =
+                link.call(Body::PreVoteRequest(ask), constants::PHASE_LIMIT).await
             {
                 let _ = answers.send(answer).await;
             }
@@ -280,7 +280,7 @@
     controller: &Arc<Controller>,
     key: &str,
     decide: impl Fn(&[u8]) -> Decision,
-) -> Result<Changed, ProposalError> {
+) -> Result<ChangeResponse, ProposalError> {
     let slot = controller.owners.slot(key);
     let mut slot = slot.lock().await;
     if !controller.may_own() {
--- a/crates/control-plane/src/control/schedules_tests.rs
+++ b/crates/control-plane/src/control/schedules_tests.rs
@@ -5,7 +5,7 @@
 use super::acceptor::Acceptor;
 use super::proposer::{Action, Proposer, Request, Scope};
 use crate::disk::format::{Record, State};
-use fleet_core::wire::{Accept, Ballot, Member, Membership, Peeked, Prepare, Register, Vote};
+use fleet_core::wire::{Accept, Ballot, BallotReport, Member, Membership, Prepare, Register, Vote};
 use std::net::Ipv4Addr;
 
 const KEY: &str = "k";
@@ -83,7 +83,7 @@
 }
 
 /// What a member that reads back fetches by key after the ballots.
-pub fn with_values(mut answer: Peeked, holder: &Acceptor) -> Peeked {
+pub fn with_values(mut answer: BallotReport, holder: &Acceptor) -> BallotReport {
     for register in &mut answer.registers {
         register.value = holder.register(&register.key).unwrap().value.clone();
     }
@@ -218,7 +218,7 @@
             self.nodes[i].disk.keep(&r);
         }
         let others: Vec<usize> = (0..self.n).filter(|o| *o != i && self.nodes[*o].up).collect();
-        let before: Vec<Peeked> =
+        let before: Vec<BallotReport> =
             others.iter().map(|o| self.nodes[*o].acceptor.peek(false).answer).collect();
         if before.iter().filter(|p| p.votes).count() <= self.n / 2 {
             return;
@@ -226,7 +226,7 @@
         let latest = before.iter().map(|p| p.recovery_epoch).max().unwrap_or(0);
         let recovery_epoch = if self.careful { latest + 1 } else { 0 };
         let (skipped, most) = (self.skip(others.len()), self.n / 2 + 1);
-        let mut got: Vec<Peeked> = Vec::new();
+        let mut got: Vec<BallotReport> = Vec::new();
         for o in others {
             let n = &mut self.nodes[o];
             if n.acceptor.votes() && got.len() < most && Some(o) != skipped {
@@ -380,7 +380,7 @@
         known: Ballot::default(),
     };
     assert!(!a.prepare(&p).answer.ok);
-    let held = |n| Peeked {
+    let held = |n| BallotReport {
         votes: true,
         registers: vec![Register {
             key: KEY.into(),
@@ -392,10 +392,10 @@
     };
     let elsewhere = Membership { epoch: 2, ..membership(3) };
     assert!(a.recover(4, &[held(1)]).is_none());
-    let moved = Peeked { membership: Some(elsewhere), ..held(7) };
+    let moved = BallotReport { membership: Some(elsewhere), ..held(7) };
     assert!(a.recover(4, &[held(1), moved]).is_none(), "of another membership");
-    assert!(a.recover(4, &[held(1), Peeked { votes: false, ..held(7) }]).is_none());
-    assert!(a.recover(4, &[held(1), Peeked { recovery_epoch: 3, ..held(7) }]).is_none());
+    assert!(a.recover(4, &[held(1), BallotReport { votes: false, ..held(7) }]).is_none());
+    assert!(a.recover(4, &[held(1), BallotReport { recovery_epoch: 3, ..held(7) }]).is_none());
     assert!(a.recover(4, &[held(1), held(5)]).is_some());
     assert!(
         !a.prepare(&Prepare { ballot: Ballot { n: 9, ..ballot }, recovery_epoch: 3, ..p.clone() })
--- a/crates/control-plane/src/control/submit.rs
+++ b/crates/control-plane/src/control/submit.rs
@@ -5,7 +5,7 @@
 use super::values;
 use crate::Controller;
 use fleet_core::constants;
-use fleet_core::wire::{Body, Change, ChangeKind, Changed, Outcome};
+use fleet_core::wire::{Body, ChangeKind, ChangeRequest, ChangeResponse, Outcome};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -28,14 +28,14 @@
 /// Has a change decided by the owner of its key, which is elected anew if it is silent.
 ///
 /// An outcome of `Unknown` says that the change may yet be chosen.
-pub async fn submit(controller: &Arc<Controller>, change: ChangeKind) -> Changed {
+pub async fn submit(controller: &Arc<Controller>, change: ChangeKind) -> ChangeResponse {
     let limit = constants::change_limit(value_bytes(&change));
     let run = bring(controller, &change, 0);
     tokio::time::timeout(limit, run).await.unwrap_or_else(|_| values::unknown())
 }
 
 /// A change that another controller passed here.
-pub async fn submit_passed(controller: &Arc<Controller>, change: &Change) -> Changed {
+pub async fn submit_passed(controller: &Arc<Controller>, change: &ChangeRequest) -> ChangeResponse {
     let Some(kind) = &change.kind else { return values::unknown() };
     let limit = constants::change_limit(value_bytes(kind));
     let run = bring(controller, kind, change.hops);
@@ -43,7 +43,7 @@
 }
 
 /// Passes the change to the owner or decides it here, and goes on to a new owner when one was elected.
-async fn bring(controller: &Arc<Controller>, change: &ChangeKind, hops: u32) -> Changed {
+async fn bring(controller: &Arc<Controller>, change: &ChangeKind, hops: u32) -> ChangeResponse {
     let key = values::key_of(change);
     let own = controller.node.id();
     let until = Instant::now() + constants::change_limit(value_bytes(change));
@@ -86,7 +86,7 @@
     change: &ChangeKind,
     asked: Option<u64>,
     hops: u32,
-) -> Changed {
+) -> ChangeResponse {
     if hops >= constants::CHANGE_HOPS {
         return values::unknown();
     }
@@ -109,12 +109,12 @@
     change: &ChangeKind,
     to: u64,
     hops: u32,
-) -> Option<Changed> {
+) -> Option<ChangeResponse> {
     let members = controller.acceptor.lock().membership().members.clone();
     let (_, link) = controller.peers(&members).into_iter().find(|(id, _)| *id == to)?;
-    let body = Body::Change(Change { kind: Some(change.clone()), hops: hops + 1 });
+    let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
     match link.call(body, constants::owner_limit(value_bytes(change))).await {
-        Ok(Body::Changed(changed)) if changed.outcome() != Outcome::Unknown => Some(changed),
+        Ok(Body::ChangeResponse(changed)) if changed.outcome() != Outcome::Unknown => Some(changed),
         _ => None,
     }
 }
--- a/crates/control-plane/src/control/values.rs
+++ b/crates/control-plane/src/control/values.rs
@@ -6,7 +6,8 @@
 use fleet_core::digest::BodyDigest;
 use fleet_core::packing::unpack;
 use fleet_core::wire::{
-    ChangeKind, Changed, ConfigValue, DutyValue, Outcome, RaiseFence, ReplaceConfig, WeightsValue,
+    ChangeKind, ChangeResponse, ConfigValue, LeaseValue, Outcome, RaiseFencingToken, ReplaceConfig,
+    WeightsValue,
 };
 use prost::Message;
 
@@ -44,17 +45,17 @@
 #[derive(Debug, PartialEq)]
 pub enum Decision {
     /// answers it without a new value
-    Answer(Changed),
+    Answer(ChangeResponse),
     /// has this value chosen, and answers it then
-    Write(bytes::Bytes, Changed),
+    Write(bytes::Bytes, ChangeResponse),
 }
 
-fn answer(outcome: Outcome, number: u64) -> Changed {
-    Changed { outcome: outcome as i32, number, holder: String::new() }
+fn answer(outcome: Outcome, number: u64) -> ChangeResponse {
+    ChangeResponse { outcome: outcome as i32, number, holder: String::new() }
 }
 
 /// The answer to a change of which nothing is known: it may yet be chosen.
-pub fn unknown() -> Changed {
+pub fn unknown() -> ChangeResponse {
     answer(Outcome::Unknown, 0)
 }
 
@@ -77,9 +78,9 @@
 
 /// A new fence for a new raise, the same one for the same raise. The answer names the node that may have
 /// acted last, which is not who raised last: a raise alone gives nobody the right to act.
-fn raise(r: &RaiseFence, now: &[u8]) -> Decision {
-    let now = DutyValue::decode(now).unwrap_or_default();
-    let done = |number, acting: &str| Changed {
+fn raise(r: &RaiseFencingToken, now: &[u8]) -> Decision {
+    let now = LeaseValue::decode(now).unwrap_or_default();
+    let done = |number, acting: &str| ChangeResponse {
         holder: acting.to_owned(),
         ..answer(Outcome::Done, number)
     };
@@ -94,7 +95,7 @@
     let acting = if r.acts || first { r.holder.clone() } else { now.acting };
     let changed = done(now.fence + u64::from(!decided), &acting);
     let v =
-        DutyValue { fence: changed.number, holder: r.holder.clone(), acting, raise: Some(r.id) };
+        LeaseValue { fence: changed.number, holder: r.holder.clone(), acting, raise: Some(r.id) };
     Decision::Write(v.encode_to_vec().into(), changed)
 }
 
@@ -155,7 +156,7 @@
 }
 
 /// Why a change was refused, for the answer.
-pub fn error_of(r: &ReplaceConfig, changed: &Changed) -> ConfigError {
+pub fn error_of(r: &ReplaceConfig, changed: &ChangeResponse) -> ConfigError {
     ConfigError::VersionNotAbove { version: r.version, current: changed.number }
 }
 
--- a/crates/control-plane/src/control/values_tests.rs
+++ b/crates/control-plane/src/control/values_tests.rs
@@ -72,7 +72,7 @@
 
 fn raise(holder: &str, attempt: u64, acts: bool) -> ChangeKind {
     let id = fleet_core::wire::RaiseId { incarnation: u64::from(holder.as_bytes()[0]), attempt };
-    ChangeKind::Raise(RaiseFence { duty: "d".into(), holder: holder.into(), id, acts })
+    ChangeKind::Raise(RaiseFencingToken { duty: "d".into(), holder: holder.into(), id, acts })
 }
 
 #[test]
@@ -110,7 +110,7 @@
 fn named_weights_never_fall() {
     let mut now = bytes::Bytes::new();
     let name =
-        |s| ChangeKind::Name(fleet_core::wire::NameVersion { model: "m".into(), version: s });
+        |s| ChangeKind::Name(fleet_core::wire::SetTargetVersion { model: "m".into(), version: s });
     assert_eq!(step(&mut now, &name(3)), (Outcome::Done, 3));
     assert_eq!(step(&mut now, &name(2)), (Outcome::Done, 3));
     assert_eq!(WeightsValue::decode(now).unwrap().version, 3);
--- a/crates/control-plane/src/distribution/distribution_tests.rs
+++ b/crates/control-plane/src/distribution/distribution_tests.rs
@@ -19,8 +19,8 @@
     }
 }
 
-fn ask(digest: &bytes::Bytes) -> ConfigAsk {
-    ConfigAsk { digest: digest.clone() }
+fn ask(digest: &bytes::Bytes) -> ConfigRequest {
+    ConfigRequest { digest: digest.clone() }
 }
 
 #[test]
--- a/crates/control-plane/src/distribution/mod.rs
+++ b/crates/control-plane/src/distribution/mod.rs
@@ -8,7 +8,7 @@
 use bodies::Bodies;
 use fleet_core::constants;
 use fleet_core::digest::BodyDigest;
-use fleet_core::wire::{ConfigAsk, ConfigForm, ConfigGive, ConfigValue};
+use fleet_core::wire::{ConfigForm, ConfigRequest, ConfigResponse, ConfigValue};
 use prost::Message;
 use shared_read::SharedRead;
 use std::sync::Arc;
@@ -37,10 +37,10 @@
     }
 
     /// The answer to a router that tells which body it has.
-    pub fn give(&self, ask: &ConfigAsk, value: &ConfigValue) -> ConfigGive {
+    pub fn give(&self, ask: &ConfigRequest, value: &ConfigValue) -> ConfigResponse {
         self.remember(value);
         let form = if ask.digest == value.digest { None } else { Some(self.form(ask, value)) };
-        ConfigGive {
+        ConfigResponse {
             version: value.version,
             isolation: value.isolation,
             digest: value.digest.clone(),
@@ -49,7 +49,7 @@
     }
 
     /// A delta where the former body is still kept and the delta is smaller than the whole.
-    fn form(&self, ask: &ConfigAsk, value: &ConfigValue) -> ConfigForm {
+    fn form(&self, ask: &ConfigRequest, value: &ConfigValue) -> ConfigForm {
         let whole = ConfigForm::Whole(value.packed.clone());
         let (Some(former), Some(new)) =
             (BodyDigest::from_bytes(&ask.digest), BodyDigest::from_bytes(&value.digest))
@@ -91,9 +91,9 @@
 
 /// Answers a router that asks for the configuration in force; version 0 where no majority confirms
 /// one, so that the router goes on to another controller.
-pub async fn answer(s: &Arc<Controller>, ask: &ConfigAsk) -> ConfigGive {
+pub async fn answer(s: &Arc<Controller>, ask: &ConfigRequest) -> ConfigResponse {
     let value = confirmed(s).await;
-    value.map_or_else(ConfigGive::default, |value| s.distribution.give(ask, &value))
+    value.map_or_else(ConfigResponse::default, |value| s.distribution.give(ask, &value))
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/duties/holding.rs
+++ b/crates/control-plane/src/duties/holding.rs
@@ -6,17 +6,20 @@
 use crate::control::submit;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{Body, ChangeKind, Changed, Lease, Leased, Outcome, RaiseFence, RaiseId};
+use fleet_core::wire::{
+    Body, ChangeKind, ChangeResponse, LeaseRequest, LeaseResponse, Outcome, RaiseFencingToken,
+    RaiseId,
+};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// Answers a node that asks for a lease, or gives it back. Only a voter grants, and only where asker and
 /// voter know the same membership: a majority of an older one doesn't exclude a majority of this one.
-pub fn grant(s: &Controller, l: &Lease) -> Leased {
+pub fn grant(s: &Controller, l: &LeaseRequest) -> LeaseResponse {
     let terms = terms(s.settings().bounds.lease, &l.duty);
     let may_grant = s.acceptor.lock().may_grant(l.membership);
-    Leased { ok: may_grant && s.duties.grantor.lock().answer(l, Instant::now(), terms) }
+    LeaseResponse { ok: may_grant && s.duties.grantor.lock().answer(l, Instant::now(), terms) }
 }
 
 /// Takes an attempt back that never held the duty: no order can be on its way, so others may ask at once.
@@ -42,7 +45,7 @@
         let acceptor = s.acceptor.lock();
         (acceptor.membership().members.clone(), acceptor.membership().epoch)
     };
-    let l = Lease {
+    let l = LeaseRequest {
         duty: duty.to_owned(),
         incarnation: s.node.incarnation,
         ms: lease.as_millis() as u64,
@@ -57,7 +60,9 @@
     for (_, link) in s.peers(&members) {
         let (tx, l) = (tx.clone(), l.clone());
         tokio::spawn(async move {
-            if let Ok(Body::Leased(Leased { ok: true })) = link.call(Body::Lease(l), limit).await {
+            if let Ok(Body::LeaseResponse(LeaseResponse { ok: true })) =
+                link.call(Body::LeaseRequest(l), limit).await
+            {
                 let _ = tx.send(()).await;
             }
         });
@@ -158,7 +163,7 @@
     }
 }
 
-async fn raise(s: &Arc<Controller>, duty: &str, id: RaiseId, acts: bool) -> Changed {
-    let raise = RaiseFence { duty: duty.to_owned(), holder: s.node.name.clone(), id, acts };
+async fn raise(s: &Arc<Controller>, duty: &str, id: RaiseId, acts: bool) -> ChangeResponse {
+    let raise = RaiseFencingToken { duty: duty.to_owned(), holder: s.node.name.clone(), id, acts };
     submit::submit(s, ChangeKind::Raise(raise)).await
 }
--- a/crates/control-plane/src/duties/keeper/index.rs
+++ b/crates/control-plane/src/duties/keeper/index.rs
@@ -1,7 +1,7 @@
 //! What the index-keeper believes holders to keep.
 
 use fleet_core::constants;
-use fleet_core::wire::{HeldParts, PartAt, Purge, RingEntry};
+use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry};
 use invalidation::cache::Cache;
 use invalidation::draft::Local;
 use std::collections::BTreeMap;
@@ -150,7 +150,7 @@
     }
 
     /// What a router's own sends leave: it also names these parts as shared.
-    pub fn hear(&mut self, found: &[HeldParts]) {
+    pub fn hear(&mut self, found: &[CachedParts]) {
         self.forget_unkept();
         for part in found.iter().flat_map(|h| &h.parts) {
             if !self.shared.insert(*part) {
@@ -179,14 +179,14 @@
     }
 
     /// What was found behind a position; what is no longer remembered is only slower to come by.
-    pub fn since(&self, seen: u64) -> Vec<HeldParts> {
+    pub fn since(&self, seen: u64) -> Vec<CachedParts> {
         let behind = self.found.saturating_sub(seen) as usize;
         let skip = self.fresh.len().saturating_sub(behind);
         let mut at = hashbrown::HashMap::<(&str, &str), usize>::new();
-        let mut out: Vec<HeldParts> = Vec::new();
+        let mut out: Vec<CachedParts> = Vec::new();
         for (holder, salt, part, kept) in self.fresh.iter().skip(skip) {
             let n = *at.entry((&**holder, &**salt)).or_insert_with(|| {
-                out.push(HeldParts {
+                out.push(CachedParts {
                     holder: holder.to_string(),
                     salt: salt.to_string(),
                     ..Default::default()
@@ -210,21 +210,21 @@
     }
 
     /// All that holders are believed to keep of shared parts.
-    pub fn digest(&self) -> Vec<HeldParts> {
+    pub fn digest(&self) -> Vec<CachedParts> {
         let mut out = Vec::new();
         for (holder, salts) in &self.holders {
-            out.push(HeldParts { holder: holder.to_string(), ..Default::default() });
+            out.push(CachedParts { holder: holder.to_string(), ..Default::default() });
             for (salt, parts) in salts.iter().filter(|(_, p)| !p.is_empty()) {
                 let (parts, kept) = parts.iter().unzip();
                 let (holder, salt) = (holder.to_string(), salt.to_string());
-                out.push(HeldParts { holder, salt, parts, kept });
+                out.push(CachedParts { holder, salt, parts, kept });
             }
         }
         out
     }
 
     /// A batch of events of one holder; gives the purges that follow from it.
-    pub fn take_events(&mut self, holder: &str, e: &Events) -> Vec<Purge> {
+    pub fn take_events(&mut self, holder: &str, e: &Events) -> Vec<Invalidation> {
         let mut out = Vec::new();
         self.meet(holder);
         for (_, sign, salt, id, kept, _) in &e.events {
@@ -232,7 +232,7 @@
             if sign == "+" {
                 self.found(holder, salt, part, Some(*kept));
             } else if self.shared.contains(&part) {
-                out.push(Purge::Part(PartAt {
+                out.push(Invalidation::Part(PartLocation {
                     holder: holder.to_owned(),
                     salt: salt.clone(),
                     part,
--- a/crates/control-plane/src/duties/keeper/index_tests.rs
+++ b/crates/control-plane/src/duties/keeper/index_tests.rs
@@ -10,8 +10,8 @@
         .unwrap()
 }
 
-fn held(holder: &str, parts: Vec<u64>) -> HeldParts {
-    HeldParts { holder: holder.into(), salt: "m|1|#1".into(), parts, kept: Vec::new() }
+fn held(holder: &str, parts: Vec<u64>) -> CachedParts {
+    CachedParts { holder: holder.into(), salt: "m|1|#1".into(), parts, kept: Vec::new() }
 }
 
 #[test]
@@ -22,8 +22,8 @@
     let mut index = Index::default();
     index.hear(&[held("other", vec![0xff, 0xfe])]);
     let purges = index.take_events("h", &e);
-    let part = PartAt { holder: "h".into(), salt: "m|1|#1".into(), part: 0xff, kept: 0 };
-    assert_eq!(purges, vec![Purge::Part(part)]);
+    let part = PartLocation { holder: "h".into(), salt: "m|1|#1".into(), part: 0xff, kept: 0 };
+    assert_eq!(purges, vec![Invalidation::Part(part)]);
     let ring = Ring::new(8, 4, 4);
     let mut d = Draft::open(&mut index);
     for what in purges {
@@ -31,7 +31,7 @@
     }
     d.commit(&ring);
     assert_eq!(ring.head(), 1);
-    let digest: Vec<HeldParts> = index.digest();
+    let digest: Vec<CachedParts> = index.digest();
     let kept: Vec<_> = digest.iter().filter(|h| h.holder == "h" && !h.salt.is_empty()).collect();
     assert_eq!((kept.len(), &kept[0].parts, &kept[0].kept), (1, &vec![0xfe], &vec![8]));
     let all = index.found;
@@ -39,7 +39,7 @@
     assert!(index.since(all).is_empty());
     index.apply(&RingEntry {
         scope: 0,
-        what: Some(Purge::Weights(Weights { model: "m".into(), version: 2 })),
+        what: Some(Invalidation::Weights(Weights { model: "m".into(), version: 2 })),
     });
     assert!(index.digest().iter().all(|h| h.parts.is_empty()));
 }
@@ -78,7 +78,7 @@
         held.kept = vec![4096; 500];
         index.hear(&[held]);
     }
-    let give = fleet_core::wire::RingGive { digest: index.digest(), ..Default::default() };
+    let give = fleet_core::wire::RingResponse { digest: index.digest(), ..Default::default() };
     let bytes = prost::Message::encoded_len(&give);
     let reckoned = index.digest_bytes();
     assert!(bytes <= reckoned && reckoned < bytes * 2, "{bytes} bytes, {reckoned} reckoned");
--- a/crates/control-plane/src/duties/keeper/mod.rs
+++ b/crates/control-plane/src/duties/keeper/mod.rs
@@ -13,7 +13,9 @@
 use crate::facts::Fact;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{Body, Purge, RingEntry, RingHead, Standing, View, Weights};
+use fleet_core::wire::{
+    Body, EngineState, FleetUpdate, Invalidation, RingEntry, RingHead, Weights,
+};
 use index::Index;
 use invalidation::draft::Draft;
 use invalidation::ring::Ring;
@@ -61,7 +63,7 @@
     }
 
     /// One change: applied here as it comes, published when whole.
-    pub fn commit(&self, s: &Controller, entries: impl IntoIterator<Item = Purge>) {
+    pub fn commit(&self, s: &Controller, entries: impl IntoIterator<Item = Invalidation>) {
         let nudged = {
             let mut index = self.index.lock();
             let mut d = Draft::open(&mut *index);
@@ -72,7 +74,8 @@
         };
         for reader in nudged {
             if let Some(o) = s.members.router_links.lock().get(&reader) {
-                let _ = o.push(Body::View(View { nudge: true, ..Default::default() }));
+                let _ =
+                    o.push(Body::FleetUpdate(FleetUpdate { nudge: true, ..Default::default() }));
             }
         }
     }
@@ -135,7 +138,7 @@
 
 impl Tails {
     /// Follows those that are there now; gives the purges of those that are no longer.
-    fn follow(&mut self, s: &Arc<Controller>, keeper: &Arc<Keeper>) -> Vec<Purge> {
+    fn follow(&mut self, s: &Arc<Controller>, keeper: &Arc<Keeper>) -> Vec<Invalidation> {
         let mut want = s.look(|n| tail::engines(n.engines.values()));
         want.extend(stores(s));
         while self.tasks.try_join_next().is_some() {}
@@ -144,7 +147,7 @@
             let stays = want.contains_key(holder);
             if !stays {
                 task.abort();
-                purges.push(Purge::Holder(holder.clone()));
+                purges.push(Invalidation::Holder(holder.clone()));
             }
             stays
         });
@@ -166,24 +169,26 @@
 
 impl Voided {
     /// Purges for weights that no engine has any more, and for a shared isolation that is over.
-    fn look(&mut self, s: &Controller) -> Vec<Purge> {
+    fn look(&mut self, s: &Controller) -> Vec<Invalidation> {
         let mut purges = Vec::new();
         s.look(|n| {
             for (model, (version, _)) in &n.weights {
                 let all_there = !n.engines.values().any(|e| {
-                    e.standing() == Standing::Ready
+                    e.state() == EngineState::Ready
                         && fleet_core::fleet::version_of(e, model).is_some_and(|x| x < *version)
                 });
                 if all_there && self.weights.insert(model.clone(), *version) != Some(*version) {
-                    purges
-                        .push(Purge::Weights(Weights { model: model.clone(), version: *version }));
+                    purges.push(Invalidation::Weights(Weights {
+                        model: model.clone(),
+                        version: *version,
+                    }));
                 }
             }
             if let Some((_, isolation)) = n.config
                 && isolation > self.isolation
             {
                 if self.isolation > 0 {
-                    purges.push(Purge::Isolation(isolation));
+                    purges.push(Invalidation::Isolation(isolation));
                 }
                 self.isolation = isolation;
             }
--- a/crates/control-plane/src/duties/keeper/tail.rs
+++ b/crates/control-plane/src/duties/keeper/tail.rs
@@ -6,7 +6,7 @@
 use crate::engines::outside::Line;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{Engine, Purge, Standing};
+use fleet_core::wire::{Engine, EngineState, Invalidation};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
 /// to be: neither is followed, since an answer doesn't tell whose it is.
 pub fn engines<'a>(known: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, Source> {
     let mut by_address: BTreeMap<&str, Option<&Engine>> = BTreeMap::new();
-    for e in known.filter(|e| e.standing() != Standing::Gone && !e.silent) {
+    for e in known.filter(|e| e.state() != EngineState::Deregistered && !e.silent) {
         by_address.entry(e.address.as_str()).and_modify(|at| *at = None).or_insert(Some(e));
     }
     let source = |e: &Engine| Source { address: e.address.clone(), engine: true };
@@ -68,7 +68,7 @@
     let mut at: Option<Position> = None;
     let void = || {
         fleet_core::log_event!(s.log, Event::HolderReset, "holder" => &holder);
-        keeper.commit(&s, [Purge::Holder(holder.clone())]);
+        keeper.commit(&s, [Invalidation::Holder(holder.clone())]);
     };
     loop {
         // what a holder has gathered by the first call can be much: few of these at a time
--- a/crates/control-plane/src/duties/lease.rs
+++ b/crates/control-plane/src/duties/lease.rs
@@ -2,7 +2,7 @@
 //! here; whoever drives it passes the time in.
 
 use fleet_core::constants;
-use fleet_core::wire::{Lease, RaiseId};
+use fleet_core::wire::{LeaseRequest, RaiseId};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -56,7 +56,7 @@
     }
 
     /// Grants or takes back. A message that is older than another of its sender changes nothing.
-    pub fn answer(&mut self, l: &Lease, now: Instant, terms: Terms) -> bool {
+    pub fn answer(&mut self, l: &LeaseRequest, now: Instant, terms: Terms) -> bool {
         let grants = self.table.entry_ref(l.duty.as_str()).or_default();
         grants.retain(|g| now < g.until + terms.lease);
         let own = grants.iter().position(|g| g.incarnation == l.incarnation);
--- a/crates/control-plane/src/duties/lease_tests.rs
+++ b/crates/control-plane/src/duties/lease_tests.rs
@@ -2,20 +2,20 @@
 
 use super::*;
 use crate::control::values::{Decision, decide};
-use fleet_core::wire::{ChangeKind, Changed, Outcome, RaiseFence};
+use fleet_core::wire::{ChangeKind, ChangeResponse, Outcome, RaiseFencingToken};
 
 const L: Duration = Duration::from_secs(3);
 const ORDERS: Terms = Terms { lease: L, orders: true };
 const OTHER: Terms = Terms { lease: L, orders: false };
 
-fn lease(incarnation: u64, number: u64) -> Lease {
+fn lease(incarnation: u64, number: u64) -> LeaseRequest {
     let node = format!("n{incarnation}");
-    Lease { duty: "d".into(), incarnation, number, node, ..Default::default() }
+    LeaseRequest { duty: "d".into(), incarnation, number, node, ..Default::default() }
 }
 
 /// Of a holder that has acted.
-fn leave(incarnation: u64, number: u64) -> Lease {
-    Lease { leave: true, ms: L.as_millis() as u64, ..lease(incarnation, number) }
+fn leave(incarnation: u64, number: u64) -> LeaseRequest {
+    LeaseRequest { leave: true, ms: L.as_millis() as u64, ..lease(incarnation, number) }
 }
 
 /// Candidates that fail must not keep each other out: with a rest for each of them, several could go on for ever.
@@ -24,7 +24,7 @@
     let t = Instant::now();
     let mut g = Grantor::new(None);
     assert!(g.answer(&lease(1, 1), t, ORDERS));
-    assert!(g.answer(&Lease { ms: 0, ..leave(1, 2) }, t, ORDERS));
+    assert!(g.answer(&LeaseRequest { ms: 0, ..leave(1, 2) }, t, ORDERS));
     assert!(g.answer(&lease(2, 1), t, ORDERS));
 }
 
@@ -33,7 +33,7 @@
     let t = Instant::now();
     let mut g = Grantor::new(Some(t + L));
     assert!(!g.answer(&lease(1, 1), t, ORDERS));
-    let other_duty = Lease { duty: "e".into(), ..lease(1, 1) };
+    let other_duty = LeaseRequest { duty: "e".into(), ..lease(1, 1) };
     assert!(g.answer(&other_duty, t, OTHER), "no orders are given under it");
     assert!(g.answer(&lease(1, 2), t + L, ORDERS));
     assert!(!g.answer(&lease(2, 1), t + L, ORDERS));
@@ -44,7 +44,7 @@
     let rest = ORDERS.margin();
     assert!(!g.answer(&lease(3, 1), t + L * 5 / 2, ORDERS), "orders may be on their way");
     assert!(g.answer(&lease(3, 2), t + L * 5 / 2 + rest, ORDERS));
-    let again = Lease { incarnation: 9, ..lease(3, 1) };
+    let again = LeaseRequest { incarnation: 9, ..lease(3, 1) };
     assert!(g.answer(&again, t + L * 5 / 2 + rest, ORDERS), "the holder's own node, restarted");
     assert!(!g.answer(&lease(2, 5), t + L * 5 / 2 + rest, ORDERS));
 }
@@ -63,7 +63,7 @@
 fn a_former_incarnation_takes_nothing_from_the_next_one() {
     let t = Instant::now();
     let mut g = Grantor::new(None);
-    let second = |l| Lease { node: "n1".into(), ..l };
+    let second = |l| LeaseRequest { node: "n1".into(), ..l };
     assert!(g.answer(&second(lease(2, 1)), t, OTHER));
     assert!(g.answer(&lease(1, 7), t, OTHER), "late, of the same node");
     assert!(g.answer(&leave(1, 8), t, OTHER));
@@ -75,7 +75,7 @@
 fn a_newcomer_grants_nothing_while_a_lease_of_former_members_may_run() {
     let t = Instant::now();
     let mut g = Grantor::new(None);
-    let keeper = Lease { duty: "e".into(), ..lease(2, 1) };
+    let keeper = LeaseRequest { duty: "e".into(), ..lease(2, 1) };
     assert!(g.answer(&keeper, t, OTHER));
     g.close_until(t + L);
     g.close_until(t + L / 2);
@@ -154,10 +154,10 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    Ask(usize, Lease),
+    Ask(usize, LeaseRequest),
     Granted(usize, u64, u64),
     Raise(Raising),
-    Raised(Raising, Changed),
+    Raised(Raising, ChangeResponse),
 }
 
 /// A raise on its way, with when its lease was asked for and granted.
@@ -174,7 +174,7 @@
     fn change(&self) -> ChangeKind {
         let (id, acts) = (self.id, self.acts);
         let holder = format!("n{}", self.who);
-        ChangeKind::Raise(RaiseFence { duty: "d".into(), holder, id, acts })
+        ChangeKind::Raise(RaiseFencingToken { duty: "d".into(), holder, id, acts })
     }
 }
 
@@ -219,7 +219,7 @@
     fn send(&mut self, who: usize, leave: bool, acted: bool) -> u64 {
         let n = &mut self.nodes[who];
         n.number += 1;
-        let l = Lease {
+        let l = LeaseRequest {
             duty: "d".into(),
             incarnation: n.incarnation,
             node: format!("n{who}"),
@@ -315,7 +315,7 @@
         }
     }
 
-    fn raised(&mut self, r: Raising, c: &Changed) {
+    fn raised(&mut self, r: Raising, c: &ChangeResponse) {
         let SimNode { holder, pending, .. } = &mut self.nodes[r.who];
         if r.acts {
             match c.outcome() {
--- a/crates/control-plane/src/duties/rollout/look.rs
+++ b/crates/control-plane/src/duties/rollout/look.rs
@@ -5,7 +5,7 @@
 use super::plan::{Plan, Step};
 use crate::Controller;
 use fleet_core::constants;
-use fleet_core::wire::{Engine, Standing};
+use fleet_core::wire::{Engine, EngineState};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -74,7 +74,7 @@
             let mut engines: Vec<&Engine> = n
                 .engines
                 .values()
-                .filter(|e| e.standing() == Standing::Ready)
+                .filter(|e| e.state() == EngineState::Ready)
                 .filter(|e| fleet_core::fleet::version_of(e, model).is_some())
                 .collect();
             engines.sort_by(|a, b| a.id.cmp(&b.id));
--- a/crates/control-plane/src/duties/rollout/mod.rs
+++ b/crates/control-plane/src/duties/rollout/mod.rs
@@ -10,7 +10,7 @@
 use crate::facts::Fact;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{Engine, Standing};
+use fleet_core::wire::{Engine, EngineState};
 use order::OrderError;
 use plan::{Action, Old, Plan};
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 /// An engine that is neither gone nor silent and serves the model.
 fn serves(e: &Engine, model: &str) -> bool {
-    e.standing() == Standing::Ready
+    e.state() == EngineState::Ready
         && !e.silent
         && fleet_core::fleet::version_of(e, model).is_some()
 }
@@ -72,7 +72,7 @@
         let work = s.look(|n| {
             n.weights.iter().any(|(m, (version, _))| {
                 n.engines.values().any(|e| {
-                    e.standing() != Standing::Gone
+                    e.state() != EngineState::Deregistered
                         && fleet_core::fleet::version_of(e, m).is_some_and(|x| x < *version)
                 })
             })
--- a/crates/control-plane/src/duties/rollout/order.rs
+++ b/crates/control-plane/src/duties/rollout/order.rs
@@ -6,7 +6,7 @@
 use crate::engines::outside::{Answer, Line, OutsideError};
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{Engine, Standing};
+use fleet_core::wire::{Engine, EngineState};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -111,7 +111,7 @@
 pub fn is_at_its_address<'a>(e: &Engine, mut known: impl Iterator<Item = &'a Engine>) -> bool {
     let mut there = false;
     let another = known.any(|k| {
-        let lives = k.standing() != Standing::Gone && !k.silent && k.address == e.address;
+        let lives = k.state() != EngineState::Deregistered && !k.silent && k.address == e.address;
         there |= lives && k.id == e.id;
         lives && k.id != e.id
     });
--- a/crates/control-plane/src/duties/rollout/order_tests.rs
+++ b/crates/control-plane/src/duties/rollout/order_tests.rs
@@ -7,9 +7,9 @@
     Report { models, busy: false, call_seq, active }
 }
 
-fn engine(id: &str, standing: Standing) -> Engine {
+fn engine(id: &str, state: EngineState) -> Engine {
     let mut e = Engine { id: id.into(), address: "10.0.0.1:80".into(), ..Default::default() };
-    e.set_standing(standing);
+    e.set_state(state);
     e
 }
 
@@ -50,13 +50,13 @@
 
 #[test]
 fn an_address_belongs_to_the_one_engine_that_is_heard_there() {
-    let e = engine("a", Standing::Ready);
-    let next = engine("b", Standing::Ready);
+    let e = engine("a", EngineState::Ready);
+    let next = engine("b", EngineState::Ready);
     assert!(is_at_its_address(&e, [&e].into_iter()));
-    assert!(is_at_its_address(&e, [&e, &engine("b", Standing::Gone)].into_iter()));
+    assert!(is_at_its_address(&e, [&e, &engine("b", EngineState::Deregistered)].into_iter()));
     assert!(!is_at_its_address(&e, [&e, &next].into_iter()));
     assert!(!is_at_its_address(&e, [&next].into_iter()));
-    assert!(!is_at_its_address(&e, [&engine("a", Standing::Gone)].into_iter()));
+    assert!(!is_at_its_address(&e, [&engine("a", EngineState::Deregistered)].into_iter()));
     let silent = Engine { silent: true, ..e.clone() };
     assert!(!is_at_its_address(&e, [&silent].into_iter()));
 }
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -4,7 +4,7 @@
 use crate::facts::Fact;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{Beats, Body, Engine, Standing};
+use fleet_core::wire::{Body, Engine, EngineHeartbeats, EngineState};
 use std::sync::Arc;
 
 /// When engines were heard, and what is still to be told to the other controllers.
@@ -20,7 +20,7 @@
 pub fn hear(s: &Controller, news: Engine, own: bool) -> bool {
     let known = s.look(|n| n.engines.get(&news.id).cloned());
     let fresh = known.as_ref().is_none_or(|e| news.call > e.call);
-    if fresh && news.standing() != Standing::Gone {
+    if fresh && news.state() != EngineState::Deregistered {
         s.engines.heard.lock().insert(news.id.clone(), tokio::time::Instant::now());
     }
     if own && fresh {
@@ -34,10 +34,10 @@
         }
     };
     if changed {
-        let event = match merged.standing() {
-            Standing::Ready => Event::EngineNew,
-            Standing::Draining => Event::EngineDraining,
-            Standing::Gone => Event::EngineGone,
+        let event = match merged.state() {
+            EngineState::Ready => Event::EngineNew,
+            EngineState::Draining => Event::EngineDraining,
+            EngineState::Deregistered => Event::EngineGone,
         };
         fleet_core::log_event!(s.log, event, "id" => &merged.id, "at" => &merged.address);
     }
@@ -53,7 +53,7 @@
     /// What another controller is told of the engines when a link comes up. An engine that is silent here
     /// may have told others of its end: only its own next heartbeat proves that it is still ready.
     pub fn engines_to_tell(&self) -> Vec<Engine> {
-        let is_news = |e: &&Engine| !e.silent || e.standing() != Standing::Ready;
+        let is_news = |e: &&Engine| !e.silent || e.state() != EngineState::Ready;
         self.look(|known| known.engines.values().filter(is_news).cloned().collect())
     }
 
@@ -75,7 +75,7 @@
     for (_, link) in s.peers(&members) {
         let (tx, e) = (tx.clone(), e.clone());
         tokio::spawn(async move {
-            let b = Body::Beats(Beats { engines: vec![e], ask: false });
+            let b = Body::EngineHeartbeats(EngineHeartbeats { engines: vec![e], ask: false });
             if link.call(b, constants::BEAT_SHARE_LIMIT).await.is_ok() {
                 let _ = tx.send(()).await;
             }
@@ -102,15 +102,23 @@
             if link.is_up() && up.insert(ip) {
                 let s = s.clone();
                 tokio::spawn(async move {
-                    let b = Body::Beats(Beats { engines: s.engines_to_tell(), ask: true });
-                    if let Ok(Body::Beats(b)) = link.call(b, constants::BEAT_SHARE_LIMIT).await {
+                    let b = Body::EngineHeartbeats(EngineHeartbeats {
+                        engines: s.engines_to_tell(),
+                        ask: true,
+                    });
+                    if let Ok(Body::EngineHeartbeats(b)) =
+                        link.call(b, constants::BEAT_SHARE_LIMIT).await
+                    {
                         for e in b.engines {
                             hear(&s, e, false);
                         }
                     }
                 });
             } else if !engines.is_empty() {
-                let _ = link.tell(Body::Beats(Beats { engines: engines.clone(), ask: false }));
+                let _ = link.notify(Body::EngineHeartbeats(EngineHeartbeats {
+                    engines: engines.clone(),
+                    ask: false,
+                }));
             }
         }
     }
@@ -119,7 +127,7 @@
 /// Before this controller ends: all that it knows goes to the others, since some of it may have been told to
 /// it and one other only. Waits until they have it or the time for it is over.
 pub async fn tell_all(s: &Arc<Controller>) {
-    let ask = Body::Beats(Beats { engines: s.engines_to_tell(), ask: false });
+    let ask = Body::EngineHeartbeats(EngineHeartbeats { engines: s.engines_to_tell(), ask: false });
     let calls = s.members.links().into_iter().map(|(_, link)| {
         let ask = ask.clone();
         async move { link.call(ask, constants::BEAT_SHARE_LIMIT).await.is_ok() }
@@ -136,7 +144,7 @@
         let known: Vec<Engine> = s.look(|n| n.engines.values().cloned().collect());
         for mut e in known {
             let age = s.engines.heard.lock().get(&e.id).map(|t| now - *t);
-            if e.standing() == Standing::Gone {
+            if e.state() == EngineState::Deregistered {
                 if age.is_some_and(|a| a > constants::TOMBSTONE) {
                     s.engines.heard.lock().remove(&e.id);
                     s.known.lock().amend(|n| {
--- a/crates/control-plane/src/facts.rs
+++ b/crates/control-plane/src/facts.rs
@@ -1,6 +1,6 @@
 //! Events of a controller, and the view folded from them.
 
-use fleet_core::wire::{Engine, Membership, NamedWeights, RingHead, View};
+use fleet_core::wire::{Engine, FleetUpdate, Membership, RingHead, TargetWeights};
 
 /// Something that this controller learned and routers may have to hear of.
 #[derive(Debug, Clone)]
@@ -66,15 +66,15 @@
 }
 
 impl Known {
-    fn named(&self, model: &str) -> Option<NamedWeights> {
+    fn named(&self, model: &str) -> Option<TargetWeights> {
         let (version, at) = self.weights.get(model)?;
         let age_ms = at.map_or(0, |t| t.elapsed().as_millis() as u64);
-        Some(NamedWeights { model: model.to_owned(), version: *version, age_ms })
+        Some(TargetWeights { model: model.to_owned(), version: *version, age_ms })
     }
 
     /// Everything, for a router that has nothing yet.
-    pub fn whole(&self) -> View {
-        View {
+    pub fn whole(&self) -> FleetUpdate {
+        FleetUpdate {
             membership: Some(self.membership.clone()),
             config: self.config.map_or(0, |c| c.0),
             weights: self.weights.keys().filter_map(|m| self.named(m)).collect(),
@@ -86,8 +86,8 @@
     }
 
     /// The newest state of all that these events touched.
-    pub fn delta<'a>(&self, facts: impl Iterator<Item = &'a Fact>) -> View {
-        let mut v = View::default();
+    pub fn delta<'a>(&self, facts: impl Iterator<Item = &'a Fact>) -> FleetUpdate {
+        let mut v = FleetUpdate::default();
         for f in facts {
             match f {
                 Fact::Config { .. } => v.config = self.config.map_or(0, |c| c.0),
@@ -110,7 +110,7 @@
 
 impl crate::Controller {
     /// What is new since `seen`; all of it when the journal no longer reaches back.
-    pub fn view_since(&self, seen: Option<u64>) -> (u64, Option<View>) {
+    pub fn view_since(&self, seen: Option<u64>) -> (u64, Option<FleetUpdate>) {
         let j = self.known.lock();
         let head = j.head();
         let view = match seen {
--- a/crates/control-plane/src/learner.rs
+++ b/crates/control-plane/src/learner.rs
@@ -7,8 +7,8 @@
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{
-    Ballot, Body, ChangeKind, Committed, ConfigValue, Fetch, Membership, Outcome, Peek, Peeked,
-    WeightsValue,
+    Ballot, BallotReport, Body, ChangeKind, CommitNotice, ConfigValue, Membership, Outcome,
+    ReadBallots, RegisterRequest, WeightsValue,
 };
 use prost::Message;
 use std::sync::Arc;
@@ -36,13 +36,15 @@
     fn ask_voters(
         self: &Arc<Self>,
         membership: &Membership,
-    ) -> tokio::sync::mpsc::Receiver<(u64, Peeked)> {
+    ) -> tokio::sync::mpsc::Receiver<(u64, BallotReport)> {
         let (answers, inbox) = tokio::sync::mpsc::channel(membership.members.len().max(1));
         for (voter, link) in self.peers(&membership.members) {
             let (answers, controller) = (answers.clone(), self.clone());
-            let ask = Body::Peek(Peek { membership: membership.epoch, values: false });
+            let ask =
+                Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
             tokio::spawn(async move {
-                let Ok(Body::Peeked(answer)) = link.call(ask, constants::PHASE_LIMIT).await else {
+                let Ok(Body::BallotReport(answer)) = link.call(ask, constants::PHASE_LIMIT).await
+                else {
                     return;
                 };
                 if let Some(later) = &answer.membership {
@@ -54,7 +56,13 @@
         inbox
     }
 
-    fn count(&self, look: &mut Look, voter: u64, answer: &Peeked, begun: tokio::time::Instant) {
+    fn count(
+        &self,
+        look: &mut Look,
+        voter: u64,
+        answer: &BallotReport,
+        begun: tokio::time::Instant,
+    ) {
         if look.add(voter, answer) {
             self.contact.lock().answered(voter, begun);
         }
@@ -116,8 +124,8 @@
             if !look.is_held_by(key, id, b) {
                 continue;
             }
-            let ask = Body::Fetch(Fetch { key: key.to_owned() });
-            if let Ok(Body::Fetched(f)) = link.call(ask, constants::PHASE_LIMIT).await
+            let ask = Body::RegisterRequest(RegisterRequest { key: key.to_owned() });
+            if let Ok(Body::RegisterResponse(f)) = link.call(ask, constants::PHASE_LIMIT).await
                 && let Some(r) = f.register.filter(|r| r.accepted == b)
             {
                 return Some(r.value);
@@ -173,12 +181,12 @@
         self.learn(key, ballot, value).await;
         let members = self.acceptor.lock().membership().members.clone();
         for (_, link) in self.peers(&members) {
-            let _ = link.tell(Body::Committed(Committed { key: key.to_owned(), ballot }));
+            let _ = link.notify(Body::CommitNotice(CommitNotice { key: key.to_owned(), ballot }));
         }
     }
 
     /// Told by an owner; what this member lacks of it comes with the next look around.
-    pub async fn heard_committed(self: &Arc<Self>, c: &Committed) {
+    pub async fn heard_committed(self: &Arc<Self>, c: &CommitNotice) {
         let value = {
             let a = self.acceptor.lock();
             a.register(&c.key).filter(|r| r.accepted == c.ballot).map(|r| r.value.clone())
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -49,7 +49,7 @@
     /// keys that it owns
     pub owners: control::owner::Owners,
     learned: parking_lot::Mutex<BTreeMap<String, (Ballot, bytes::Bytes)>>,
-    known: parking_lot::Mutex<fleet_core::journal::Journal<facts::Known>>,
+    known: parking_lot::Mutex<fleet_core::journal::ChangeLog<facts::Known>>,
     head: tokio::sync::watch::Sender<u64>,
     /// engines as they were heard of
     pub engines: engines::registry::Registry,
--- a/crates/control-plane/src/members/handover.rs
+++ b/crates/control-plane/src/members/handover.rs
@@ -1,7 +1,7 @@
 //! The holder's side of catching up: values in pieces, each from one version to its end.
 
 use fleet_core::constants;
-use fleet_core::wire::{FetchPiece, Piece, Register};
+use fleet_core::wire::{Register, ValueChunk, ValueChunkRequest};
 use tokio::time::Instant;
 
 /// Who reads which key.
@@ -21,13 +21,18 @@
 
 impl Handovers {
     /// The next piece for the member at `peer`; `current` is what is held of the key now.
-    pub fn piece(&self, peer: &str, ask: &FetchPiece, current: Option<&Register>) -> Piece {
+    pub fn piece(
+        &self,
+        peer: &str,
+        ask: &ValueChunkRequest,
+        current: Option<&Register>,
+    ) -> ValueChunk {
         let mut open = self.open.lock();
         open.retain(|_, handover| handover.asked.elapsed() < constants::HANDOVER_KEPT);
         let reader = (peer.to_owned(), ask.key.clone());
         let begun = open.get(&reader).filter(|handover| handover.register.accepted == ask.ballot);
         let Some(register) = begun.map(|handover| &handover.register).or(current) else {
-            return Piece::default();
+            return ValueChunk::default();
         };
         let register = register.clone();
         let piece = cut(&register, ask);
@@ -41,12 +46,12 @@
 }
 
 /// A value of another ballot than the one asked for begins at its start.
-fn cut(register: &Register, ask: &FetchPiece) -> Piece {
+fn cut(register: &Register, ask: &ValueChunkRequest) -> ValueChunk {
     let total = register.value.len();
     let same = register.accepted == ask.ballot;
     let from = if same { total.min(ask.offset as usize) } else { 0 };
     let to = total.min(from + constants::PIECE_BYTES);
-    Piece {
+    ValueChunk {
         ballot: register.accepted,
         offset: from as u64,
         total: total as u64,
--- a/crates/control-plane/src/members/handover_tests.rs
+++ b/crates/control-plane/src/members/handover_tests.rs
@@ -9,8 +9,8 @@
     Register { key: "k".into(), accepted, value: vec![n as u8; size].into(), ..Default::default() }
 }
 
-fn ask(n: u64, offset: u64) -> FetchPiece {
-    FetchPiece { key: "k".into(), ballot: Ballot { n, node: 1, seq: 0 }, offset }
+fn ask(n: u64, offset: u64) -> ValueChunkRequest {
+    ValueChunkRequest { key: "k".into(), ballot: Ballot { n, node: 1, seq: 0 }, offset }
 }
 
 #[tokio::test(start_paused = true)]
@@ -28,5 +28,5 @@
     tokio::time::advance(constants::HANDOVER_KEPT + Duration::from_millis(1)).await;
     let late = handovers.piece("a", &ask(1, constants::PIECE_BYTES as u64), Some(&newer));
     assert_eq!((late.ballot.n, late.offset), (2, 0), "not kept for ever");
-    assert_eq!(handovers.piece("a", &ask(1, 0), None), Piece::default());
+    assert_eq!(handovers.piece("a", &ask(1, 0), None), ValueChunk::default());
 }
--- a/crates/control-plane/src/members/joiners.rs
+++ b/crates/control-plane/src/members/joiners.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::Joiner;
 use fleet_core::constants;
-use fleet_core::wire::{Join, Membership};
+use fleet_core::wire::{JoinRequest, Membership};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -15,7 +15,7 @@
 
 #[derive(Debug)]
 struct Ask {
-    join: Join,
+    join: JoinRequest,
     heard: Instant,
 }
 
@@ -28,7 +28,7 @@
 
 impl Joiners {
     /// One asks, for the first time or again.
-    pub fn hear(&mut self, join: Join, now: Instant) {
+    pub fn hear(&mut self, join: JoinRequest, now: Instant) {
         self.asks.insert(join.member.ip.clone(), Ask { join, heard: now });
     }
 
--- a/crates/control-plane/src/members/joiners_tests.rs
+++ b/crates/control-plane/src/members/joiners_tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use fleet_core::wire::Member;
 
-fn join(ip: &str, running_ms: u64) -> Join {
+fn join(ip: &str, running_ms: u64) -> JoinRequest {
     let member = Member { ip: ip.into(), ..Default::default() };
-    Join { member, observes: false, running_ms }
+    JoinRequest { member, observes: false, running_ms }
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/control-plane/src/members/loads.rs
+++ b/crates/control-plane/src/members/loads.rs
@@ -5,24 +5,24 @@
 use crate::Controller;
 use fleet_core::constants;
 use fleet_core::link::Peer;
-use fleet_core::load::{self, Book, ByEngine, Last};
-use fleet_core::wire::{Body, Loads};
+use fleet_core::load::{self, ByEngine, LoadTable, ReportSchedule};
+use fleet_core::wire::{Body, LoadReport};
 use std::sync::Arc;
 use tokio::time::Instant;
 
 #[derive(Default)]
 pub struct PeerService {
-    routers: parking_lot::Mutex<Book>,
-    peers: parking_lot::Mutex<Book>,
+    routers: parking_lot::Mutex<LoadTable>,
+    peers: parking_lot::Mutex<LoadTable>,
     /// by engine, recent runs and those that somebody waits for
     mix: parking_lot::Mutex<hashbrown::HashMap<u32, (f32, f32), ahash::RandomState>>,
 }
 
 impl PeerService {
-    pub fn hear(&self, peer: &Peer, l: Loads) {
+    pub fn hear(&self, peer: &Peer, l: LoadReport) {
         let from_peer = peer.hello.role == fleet_core::node::Role::Controller as u32;
-        let book = if from_peer { &self.peers } else { &self.routers };
-        book.lock().hear(peer.hello.incarnation, Instant::now(), l);
+        let table = if from_peer { &self.peers } else { &self.routers };
+        table.lock().record(peer.hello.incarnation, Instant::now(), l);
     }
 
     fn remember(&self, all: &ByEngine) {
@@ -60,9 +60,9 @@
 }
 
 pub async fn sharing(s: Arc<Controller>) {
-    let (mut to_peers, mut to_routers) = (Last::default(), Last::default());
+    let (mut to_peers, mut to_routers) = (ReportSchedule::default(), ReportSchedule::default());
     loop {
-        tokio::time::sleep(constants::LOAD_PAUSE).await;
+        tokio::time::sleep(constants::LOAD_REPORT_INTERVAL).await;
         let now = Instant::now();
         let peer_service = &s.members.loads;
         let sum = peer_service.routers.lock().sum(now);
@@ -70,7 +70,7 @@
         if to_peers.is_due(now, &own) {
             let members = s.acceptor.lock().membership().members.clone();
             for (_, link) in s.peers(&members) {
-                let _ = link.tell(Body::Loads(own.clone()));
+                let _ = link.notify(Body::LoadReport(own.clone()));
             }
         }
         let total = peer_service.with_peers(sum, now);
@@ -80,11 +80,11 @@
             continue;
         }
         let router_links = s.members.router_links.lock();
-        for incarnation in peer_service.routers.lock().tellers() {
+        for incarnation in peer_service.routers.lock().reporters() {
             // a slow reader gets the newest sum later
             let link = router_links.get(&incarnation);
-            if let Some(o) = link.filter(|o| o.backlog() < constants::SLOW_READER) {
-                let _ = o.push(Body::Loads(all.clone()));
+            if let Some(o) = link.filter(|o| o.backlog() < constants::SLOW_READER_BACKLOG) {
+                let _ = o.push(Body::LoadReport(all.clone()));
             }
         }
     }
--- a/crates/control-plane/src/members/membership.rs
+++ b/crates/control-plane/src/members/membership.rs
@@ -6,7 +6,7 @@
 use crate::control::{owner, values};
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{Body, Join, Member, Membership, Peek, Peeked};
+use fleet_core::wire::{BallotReport, Body, JoinRequest, Member, Membership, ReadBallots};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -70,8 +70,8 @@
     let observes = s.disk_absent() || s.disk_broken();
     for (_, link) in s.members.links() {
         let running_ms = s.started.elapsed().as_millis() as u64;
-        let ask = Body::Join(Join { member: own(s), observes, running_ms });
-        if let Ok(Body::Joined(joined)) = link.call(ask, constants::PHASE_LIMIT).await
+        let ask = Body::JoinRequest(JoinRequest { member: own(s), observes, running_ms });
+        if let Ok(Body::JoinResponse(joined)) = link.call(ask, constants::PHASE_LIMIT).await
             && let Some(membership) = joined.membership
         {
             s.adopt(&membership).await;
@@ -143,7 +143,7 @@
 
 /// Members that were heard of lately, which most likely vote.
 fn linked(s: &Controller, membership: &Membership) -> Vec<u64> {
-    let silent = |ip| s.members.link(ip).and_then(|link| link.silent_for());
+    let silent = |ip| s.members.link(ip).and_then(|link| link.time_since_received());
     let recent = |ip| silent(ip).is_some_and(|ago| ago < constants::MEMBER_SILENT_ZONE);
     let addresses = membership.members.iter().filter_map(Member::addr);
     let heard = addresses.filter(|ip| *ip == s.node.ip || recent(*ip));
@@ -152,9 +152,9 @@
 
 /// Members that vote now under this membership, this one too.
 async fn voters(s: &Arc<Controller>, membership: u64) -> Vec<u64> {
-    let ask = Body::Peek(Peek { membership, values: false });
+    let ask = Body::ReadBallots(ReadBallots { membership, values: false });
     let answers = recovery::ask_all(s, ask).await;
-    let in_force = |p: &Peeked| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
+    let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
     let others = answers.iter().filter(|(_, p)| p.votes && in_force(p)).map(|(id, _)| *id);
     others.chain(s.acceptor.lock().votes().then(|| s.node.id())).collect()
 }
@@ -190,7 +190,7 @@
         member.zone = zone;
     }
     let link = member.addr().and_then(|ip| s.members.link(ip));
-    let silent = link.and_then(|link| link.silent_for());
+    let silent = link.and_then(|link| link.time_since_received());
     Seen {
         silent: if own { Duration::ZERO } else { silent.unwrap_or_else(|| s.started.elapsed()) },
         heard: own || silent.is_some(),
@@ -211,7 +211,7 @@
 }
 
 /// A controller that waits to be taken in.
-pub fn heard_join(s: &Controller, ask: Join) {
+pub fn heard_join(s: &Controller, ask: JoinRequest) {
     if ask.member.ip.parse::<IpAddr>().is_ok() && !ask.observes {
         s.members.joiners.lock().hear(ask, Instant::now());
     }
--- a/crates/control-plane/src/members/mod.rs
+++ b/crates/control-plane/src/members/mod.rs
@@ -106,7 +106,7 @@
     }
 
     /// A router of the same machine has an incarnation of its own, which no disk ends.
-    pub fn enter(&self, hello: &fleet_core::wire::Hello) {
+    pub fn enter(&self, hello: &fleet_core::wire::Handshake) {
         let ip: Option<Ipv4Addr> = hello.ip.parse().ok();
         if hello.role == fleet_core::node::Role::Controller as u32 {
             self.callers.lock().extend(ip);
@@ -131,7 +131,7 @@
     }
 
     /// Whether a process was ended by a later one of its address that came with an empty disk.
-    pub fn is_dead(&self, hello: &fleet_core::wire::Hello) -> bool {
+    pub fn is_dead(&self, hello: &fleet_core::wire::Handshake) -> bool {
         self.incarnations.lock().get(&hello.ip).is_some_and(|l| l.dead.contains(&hello.incarnation))
     }
 }
--- a/crates/control-plane/src/members/peer_service.rs
+++ b/crates/control-plane/src/members/peer_service.rs
@@ -9,12 +9,12 @@
 use fleet_core::constants;
 use fleet_core::link::{LinkError, Peer};
 use fleet_core::log::Event;
-use fleet_core::wire::{Beats, Body, Done, Joined};
+use fleet_core::wire::{Body, Empty, EngineHeartbeats, JoinResponse};
 use std::sync::Arc;
 
 pub struct PeerService(pub Arc<Controller>);
 
-impl fleet_core::link::Host for PeerService {
+impl fleet_core::link::PeerHandler for PeerService {
     fn joined(self: &Arc<Self>, peer: &Peer) {
         let s = &self.0;
         s.members.enter(&peer.hello);
@@ -50,51 +50,55 @@
                 note_progress(s, &p.key, vote.as_ref());
                 vote.map(Body::Vote)
             }
-            Body::PreVote(p) => Some(Body::PreVoted(owner::pre_vote(s, &p))),
-            Body::Leaving(_) => {
+            Body::PreVoteRequest(p) => Some(Body::PreVoteResponse(owner::pre_vote(s, &p))),
+            Body::OwnerResigned(_) => {
                 leaving::heard_leaving(s, peer.hello.ip.parse().ok()?);
-                Some(Body::Nothing(Done {}))
+                Some(Body::Acknowledged(Empty {}))
             }
-            Body::Peek(p) => s.vote(|a| a.peek(p.values)).await.map(Body::Peeked),
-            Body::Recover(r) => read_back(s, peer, &r).await.map(Body::Peeked),
-            Body::FetchPiece(ask) => {
-                Some(Body::Piece(super::register_reads::piece(s, &peer.hello.ip, &ask)))
+            Body::ReadBallots(p) => s.vote(|a| a.peek(p.values)).await.map(Body::BallotReport),
+            Body::RecoverRequest(r) => read_back(s, peer, &r).await.map(Body::BallotReport),
+            Body::ValueChunkRequest(ask) => {
+                Some(Body::ValueChunk(super::register_reads::piece(s, &peer.hello.ip, &ask)))
             }
-            Body::Fetch(f) => Some(Body::Fetched(super::register_reads::fetched(s, f))),
-            Body::ConfigAsk(a) => Some(Body::ConfigGive(distribution::answer(s, &a).await)),
-            Body::Committed(c) => {
+            Body::RegisterRequest(f) => {
+                Some(Body::RegisterResponse(super::register_reads::fetched(s, f)))
+            }
+            Body::ConfigRequest(a) => Some(Body::ConfigResponse(distribution::answer(s, &a).await)),
+            Body::CommitNotice(c) => {
                 s.heard_committed(&c).await;
                 None
             }
-            Body::Change(c) => Some(Body::Changed(submit::submit_passed(s, &c).await)),
-            Body::Lease(l) => Some(Body::Leased(duties::grant(s, &l))),
-            Body::Beats(b) => Some(Body::Beats(heard_beats(s, b))),
-            Body::Join(j) => {
+            Body::ChangeRequest(c) => {
+                Some(Body::ChangeResponse(submit::submit_passed(s, &c).await))
+            }
+            Body::LeaseRequest(l) => Some(Body::LeaseResponse(duties::grant(s, &l))),
+            Body::EngineHeartbeats(b) => Some(Body::EngineHeartbeats(heard_beats(s, b))),
+            Body::JoinRequest(j) => {
                 super::membership::heard_join(s, j);
-                Some(Body::Joined(Joined {
+                Some(Body::JoinResponse(JoinResponse {
                     membership: Some(s.acceptor.lock().membership().clone()),
                 }))
             }
-            Body::Alive(_) => {
+            Body::RouterHeartbeat(_) => {
                 heard_router(s, peer);
-                Some(Body::Nothing(Done {}))
+                Some(Body::Acknowledged(Empty {}))
             }
-            Body::Found(f) => {
+            Body::CachedPrefixes(f) => {
                 duties::keeper::hear_found(s, &f);
                 None
             }
-            Body::Loads(l) => {
+            Body::LoadReport(l) => {
                 s.members.loads.hear(peer, l);
                 None
             }
             // who hasn't read the last answers asks again
-            Body::RingAsk(_) if peer.backlog() >= constants::SLOW_READER => None,
-            Body::RingAsk(a) => duties::keeper::give(s, &a).map(Body::RingGive),
+            Body::RingRequest(_) if peer.backlog() >= constants::SLOW_READER_BACKLOG => None,
+            Body::RingRequest(a) => duties::keeper::give(s, &a).map(Body::RingResponse),
             _ => None,
         }
     }
 
-    fn spoilt(self: &Arc<Self>, error: &LinkError) {
+    fn message_rejected(self: &Arc<Self>, error: &LinkError) {
         fleet_core::log_event!(self.0.log, Event::PeerRejected, "why" => error.to_string());
     }
 }
@@ -103,8 +107,8 @@
 async fn read_back(
     s: &Arc<Controller>,
     peer: &Peer,
-    ask: &fleet_core::wire::Recover,
-) -> Option<fleet_core::wire::Peeked> {
+    ask: &fleet_core::wire::RecoverRequest,
+) -> Option<fleet_core::wire::BallotReport> {
     if ask.membership != s.acceptor.lock().membership().epoch {
         return s.vote(|a| a.peek(false)).await;
     }
@@ -119,12 +123,12 @@
     }
 }
 
-fn heard_beats(s: &Arc<Controller>, b: Beats) -> Beats {
+fn heard_beats(s: &Arc<Controller>, b: EngineHeartbeats) -> EngineHeartbeats {
     for e in b.engines {
         engines::registry::hear(s, e, false);
     }
     let engines = if b.ask { s.engines_to_tell() } else { Vec::new() };
-    Beats { engines, ask: false }
+    EngineHeartbeats { engines, ask: false }
 }
 
 fn heard_router(s: &Arc<Controller>, peer: &Peer) {
@@ -148,15 +152,15 @@
     let mut seen = None;
     loop {
         news.borrow_and_update();
-        while peer.backlog() >= constants::SLOW_READER {
-            tokio::time::sleep(constants::SLOW_READER_PAUSE).await;
+        while peer.backlog() >= constants::SLOW_READER_BACKLOG {
+            tokio::time::sleep(constants::SLOW_READER_POLL_INTERVAL).await;
             if peer.is_closed() {
                 return;
             }
         }
         let (head, view) = s.view_since(seen);
         if let Some(v) = view
-            && peer.push(Body::View(v)).is_err()
+            && peer.push(Body::FleetUpdate(v)).is_err()
         {
             if peer.is_closed() {
                 return;
--- a/crates/control-plane/src/members/recovery.rs
+++ b/crates/control-plane/src/members/recovery.rs
@@ -9,19 +9,22 @@
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::log::Event;
-use fleet_core::wire::{Ballot, Body, FetchPiece, Peek, Peeked, Piece, Recover, Register};
+use fleet_core::wire::{
+    Ballot, BallotReport, Body, ReadBallots, RecoverRequest, Register, ValueChunk,
+    ValueChunkRequest,
+};
 use std::sync::Arc;
 
 /// One that values can be read from.
 pub trait Holder {
     /// The asked part of a value, or nothing where no answer comes in time.
-    fn piece(&self, ask: FetchPiece) -> impl Future<Output = Option<Piece>> + Send;
+    fn piece(&self, ask: ValueChunkRequest) -> impl Future<Output = Option<ValueChunk>> + Send;
 }
 
 impl Holder for Arc<Link> {
-    async fn piece(&self, ask: FetchPiece) -> Option<Piece> {
-        match self.call(Body::FetchPiece(ask), constants::PIECE_LIMIT).await {
-            Ok(Body::Piece(piece)) => Some(piece),
+    async fn piece(&self, ask: ValueChunkRequest) -> Option<ValueChunk> {
+        match self.call(Body::ValueChunkRequest(ask), constants::PIECE_LIMIT).await {
+            Ok(Body::ValueChunk(piece)) => Some(piece),
             _ => None,
         }
     }
@@ -51,7 +54,7 @@
     }
 
     /// False if the piece brings nothing on.
-    fn take(&mut self, piece: &Piece) -> bool {
+    fn take(&mut self, piece: &ValueChunk) -> bool {
         if piece.ballot < self.ballot || piece.ballot == Ballot::default() {
             return false;
         }
@@ -79,7 +82,7 @@
         for holder in holders {
             while !partial.is_whole() {
                 let offset = partial.bytes.len() as u64;
-                let ask = FetchPiece { key: key.to_owned(), ballot: partial.ballot, offset };
+                let ask = ValueChunkRequest { key: key.to_owned(), ballot: partial.ballot, offset };
                 let Some(piece) = holder.piece(ask).await else { break };
                 if !partial.take(&piece) {
                     break;
@@ -90,7 +93,7 @@
     }
 
     /// Puts the values read into the answers, which came with ballots only.
-    fn fill(&mut self, answers: &mut [Peeked]) {
+    fn fill(&mut self, answers: &mut [BallotReport]) {
         let values: std::collections::BTreeMap<String, (Ballot, bytes::Bytes)> =
             std::mem::take(&mut self.values)
                 .into_iter()
@@ -107,7 +110,9 @@
 }
 
 /// Highest accepted ballot of each key, and who has it.
-fn wanted(answers: &[(u64, Peeked)]) -> std::collections::BTreeMap<String, (Ballot, Vec<u64>)> {
+fn wanted(
+    answers: &[(u64, BallotReport)],
+) -> std::collections::BTreeMap<String, (Ballot, Vec<u64>)> {
     let mut out: std::collections::BTreeMap<String, (Ballot, Vec<u64>)> =
         std::collections::BTreeMap::new();
     let accepted = |r: &&Register| r.accepted != Ballot::default();
@@ -129,8 +134,8 @@
 /// Learns the latest recovery epoch of a majority and reads the values, takes a majority to a later
 /// epoch with its ballots, and reads what is new; the member votes then, if the membership has not moved meanwhile.
 pub async fn recover(s: &Arc<Controller>, membership: u64, catch_up: &mut CatchUp) {
-    let before = ask_all(s, Body::Peek(Peek { membership, values: false })).await;
-    let in_force = |p: &Peeked| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
+    let before = ask_all(s, Body::ReadBallots(ReadBallots { membership, values: false })).await;
+    let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
     let quorum = s.acceptor.lock().membership().members.len() / 2 + 1;
     let mut voters = before.clone();
     voters.retain(|(_, p)| p.votes && in_force(p));
@@ -138,14 +143,17 @@
         return;
     }
     let recovery_epoch = before.iter().map(|(_, p)| p.recovery_epoch).max().unwrap_or(0) + 1;
-    let ask =
-        Body::Recover(Recover { membership, incarnation: s.node.incarnation, recovery_epoch });
+    let ask = Body::RecoverRequest(RecoverRequest {
+        membership,
+        incarnation: s.node.incarnation,
+        recovery_epoch,
+    });
     let mut answers = ask_all(s, ask).await;
     answers.retain(|(_, p)| p.votes && in_force(p) && p.recovery_epoch >= recovery_epoch);
     if answers.len() < quorum || !fetch_all(s, &answers, catch_up).await {
         return;
     }
-    let mut answers: Vec<Peeked> = answers.into_iter().map(|(_, p)| p).collect();
+    let mut answers: Vec<BallotReport> = answers.into_iter().map(|(_, p)| p).collect();
     catch_up.fill(&mut answers);
     s.duties.close_for(s.settings().bounds.lease);
     if s.persist(|a| a.recover(recovery_epoch, &answers)).await {
@@ -155,7 +163,11 @@
 }
 
 /// Each value from one of its holders; others than the first take turns.
-async fn fetch_all(s: &Arc<Controller>, answers: &[(u64, Peeked)], catch_up: &mut CatchUp) -> bool {
+async fn fetch_all(
+    s: &Arc<Controller>,
+    answers: &[(u64, BallotReport)],
+    catch_up: &mut CatchUp,
+) -> bool {
     let members = s.acceptor.lock().membership().members.clone();
     let links = s.peers(&members);
     for (turn, (key, (ballot, mut ids))) in wanted(answers).into_iter().enumerate() {
@@ -171,7 +183,7 @@
 }
 
 /// Asks all other members at once; a later membership among the answers is taken up.
-pub async fn ask_all(s: &Arc<Controller>, ask: Body) -> Vec<(u64, Peeked)> {
+pub async fn ask_all(s: &Arc<Controller>, ask: Body) -> Vec<(u64, BallotReport)> {
     let members = s.acceptor.lock().membership().members.clone();
     let calls = s.peers(&members).into_iter().map(|(id, link)| {
         let ask = ask.clone();
@@ -179,11 +191,11 @@
     });
     let mut out = Vec::new();
     for (id, answer) in futures_util::future::join_all(calls).await {
-        let Ok(Body::Peeked(peeked)) = answer else { continue };
-        if let Some(membership) = &peeked.membership {
+        let Ok(Body::BallotReport(report)) = answer else { continue };
+        if let Some(membership) = &report.membership {
             s.adopt(membership).await;
         }
-        out.push((id, peeked));
+        out.push((id, report));
     }
     out
 }
--- a/crates/control-plane/src/members/recovery_tests.rs
+++ b/crates/control-plane/src/members/recovery_tests.rs
@@ -67,7 +67,7 @@
 }
 
 impl Holder for Slow<'_> {
-    async fn piece(&self, ask: FetchPiece) -> Option<Piece> {
+    async fn piece(&self, ask: ValueChunkRequest) -> Option<ValueChunk> {
         use std::sync::atomic::Ordering::Relaxed;
         self.left.fetch_update(Relaxed, Relaxed, |left| left.checked_sub(1)).ok()?;
         let piece = {
@@ -93,7 +93,7 @@
     for seq in 1..=changes {
         holders.iter_mut().for_each(|holder| write(holder, seq, size));
     }
-    let mut answers: Vec<(u64, Peeked)> =
+    let mut answers: Vec<(u64, BallotReport)> =
         holders.iter_mut().zip([1, 2]).map(|(h, id)| (id, h.hand_over(10).answer)).collect();
     let ballots: usize = answers.iter().map(|(_, p)| prost::Message::encoded_len(p)).sum();
     assert!(ballots < 1000, "ballots come without the values");
@@ -105,7 +105,7 @@
         assert!(catch_up.fetch(&key, ballot, std::slice::from_ref(&slow)).await);
     }
     let took = began.elapsed();
-    let mut answers: Vec<Peeked> = answers.drain(..).map(|(_, p)| p).collect();
+    let mut answers: Vec<BallotReport> = answers.drain(..).map(|(_, p)| p).collect();
     catch_up.fill(&mut answers);
     let mut lost = Acceptor::new(ip(3), State::default());
     lost.adopt(&membership());
--- a/crates/control-plane/src/members/register_reads.rs
+++ b/crates/control-plane/src/members/register_reads.rs
@@ -1,11 +1,13 @@
 //! Answers other controllers that ask for a value by its key.
 
 use crate::Controller;
-use fleet_core::wire::{Fetch, FetchPiece, Fetched, Piece, Register};
+use fleet_core::wire::{
+    Register, RegisterRequest, RegisterResponse, ValueChunk, ValueChunkRequest,
+};
 use std::sync::Arc;
 
 /// The newest value that is known here: accepted by this member, or learned as committed.
-pub fn fetched(s: &Arc<Controller>, ask: Fetch) -> Fetched {
+pub fn fetched(s: &Arc<Controller>, ask: RegisterRequest) -> RegisterResponse {
     let learned = s.learned.lock().get(&ask.key).cloned();
     let accepted = s.acceptor.lock().register(&ask.key).cloned();
     let register = match (accepted, learned) {
@@ -17,19 +19,19 @@
         }
         (own, _) => own,
     };
-    Fetched { known: register.is_some(), register }
+    RegisterResponse { known: register.is_some(), register }
 }
 
 impl Controller {
     /// The value of [`fetched`], if the key is known here.
     pub(crate) fn newest_value(self: &Arc<Self>, key: &str) -> Option<bytes::Bytes> {
-        let register = fetched(self, Fetch { key: key.to_owned() }).register?;
+        let register = fetched(self, RegisterRequest { key: key.to_owned() }).register?;
         Some(register.value)
     }
 }
 
 /// Part of an accepted value, for the member at `peer` that reads its state back.
-pub fn piece(s: &Arc<Controller>, peer: &str, ask: &FetchPiece) -> Piece {
+pub fn piece(s: &Arc<Controller>, peer: &str, ask: &ValueChunkRequest) -> ValueChunk {
     let current = s.acceptor.lock().register(&ask.key).cloned();
     s.members.handovers.piece(peer, ask, current.as_ref())
 }
--- a/crates/control-plane/src/running.rs
+++ b/crates/control-plane/src/running.rs
@@ -70,7 +70,7 @@
         let node = Node::seeded(&settings, Role::Controller, environment.seed);
         let rng_state = node.incarnation;
         let closed = (!environment.first_start).then_some(settings.bounds.lease);
-        let known = fleet_core::journal::Journal::new(facts::Known::default(), 512);
+        let known = fleet_core::journal::ChangeLog::new(facts::Known::default(), 512);
         let acceptor = control::acceptor::Acceptor::new(node.ip, environment.state);
         Arc::new(Controller {
             engines: engines::registry::Registry::default(),
@@ -129,7 +129,7 @@
     fn spawn_tasks(self: &Arc<Self>, listener: Box<dyn Listener>) -> tokio::task::JoinSet<()> {
         let mut tasks = tokio::task::JoinSet::new();
         let peer_service = Arc::new(members::PeerService(self.clone()));
-        tasks.spawn(fleet_core::link::host(listener, peer_service));
+        tasks.spawn(fleet_core::link::serve_peers(listener, peer_service));
         tasks.spawn(members::joining(self.clone()));
         tasks.spawn(members::exchanging(self.clone()));
         tasks.spawn(learner::learning(self.clone()));
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -7,7 +7,7 @@
 use fleet_core::configuration::Configuration;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{ChangeKind, Changed, ConfigValue, Outcome, ReplaceConfig};
+use fleet_core::wire::{ChangeKind, ChangeResponse, ConfigValue, Outcome, ReplaceConfig};
 use http::StatusCode;
 use prost::Message;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
     }
 }
 
-fn stale(changed: &Changed) -> Rejection {
+fn stale(changed: &ChangeResponse) -> Rejection {
     Rejection {
         status: StatusCode::PRECONDITION_FAILED,
         code: "stale_base",
@@ -60,7 +60,7 @@
 }
 
 /// It may have been taken so long ago that nobody knows, or its base is yet to come.
-fn unproven(changed: &Changed) -> Rejection {
+fn unproven(changed: &ChangeResponse) -> Rejection {
     let message = format!(
         "version {} is in place; whether this change was taken isn't known",
         changed.number
--- a/crates/control-plane/src/service/instances.rs
+++ b/crates/control-plane/src/service/instances.rs
@@ -4,7 +4,7 @@
 use crate::Controller;
 use crate::engines::registry;
 use bytes::Bytes;
-use fleet_core::wire::{Engine, Standing, Weights};
+use fleet_core::wire::{Engine, EngineState, Weights};
 use std::sync::Arc;
 
 #[derive(serde::Deserialize)]
@@ -60,9 +60,9 @@
             weights: weights.collect(),
             ..Default::default()
         };
-        engine.set_standing(match self.state {
-            State::Ready => Standing::Ready,
-            State::Draining => Standing::Draining,
+        engine.set_state(match self.state {
+            State::Ready => EngineState::Ready,
+            State::Draining => EngineState::Draining,
         });
         engine
     }
@@ -104,7 +104,7 @@
     let call = known.as_ref().map_or(0, |e| e.call);
     let mut engine = known.unwrap_or_else(|| Engine { id: id.clone(), ..Default::default() });
     engine.call = call.max(leave.call_seq.unwrap_or(call + 1));
-    engine.set_standing(Standing::Gone);
+    engine.set_state(EngineState::Deregistered);
     registry::hear(s, engine, true);
     contact(s)?;
     told(s, &id).await
--- a/crates/control-plane/src/service/members/mod.rs
+++ b/crates/control-plane/src/service/members/mod.rs
@@ -9,7 +9,7 @@
 use crate::control::values;
 use crate::duties;
 use fleet_core::constants;
-use fleet_core::wire::{Ballot, Body, DutyValue, Member, Membership, Peek, Peeked};
+use fleet_core::wire::{Ballot, BallotReport, Body, LeaseValue, Member, Membership, ReadBallots};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -50,39 +50,39 @@
 }
 
 /// What each voter answers, this one too; one that says nothing in time is left out.
-async fn ask_voters(s: &Arc<Controller>, membership: &Membership) -> BTreeMap<u64, Peeked> {
+async fn ask_voters(s: &Arc<Controller>, membership: &Membership) -> BTreeMap<u64, BallotReport> {
     let calls = s.peers(&membership.members).into_iter().map(|(id, link)| async move {
-        let ask = Body::Peek(Peek { membership: membership.epoch, values: false });
+        let ask = Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
         match link.call(ask, constants::PHASE_LIMIT).await {
-            Ok(Body::Peeked(peeked)) => Some((id, peeked)),
+            Ok(Body::BallotReport(report)) => Some((id, report)),
             _ => None,
         }
     });
     let own = tokio::time::timeout(constants::PHASE_LIMIT, s.vote(|a| a.peek(false)));
     let (others, own) = tokio::join!(futures_util::future::join_all(calls), own);
-    let mut answers: BTreeMap<u64, Peeked> = others.into_iter().flatten().collect();
+    let mut answers: BTreeMap<u64, BallotReport> = others.into_iter().flatten().collect();
     let is_member = s.acceptor.lock().is_member();
-    if is_member && let Ok(Some(peeked)) = own {
-        answers.insert(s.node.id(), peeked);
+    if is_member && let Ok(Some(report)) = own {
+        answers.insert(s.node.id(), report);
     }
     answers
 }
 
 /// Highest ballot under which a voter has accepted a value of the key.
-fn highest_accepted(answers: &BTreeMap<u64, Peeked>, key: &str) -> Ballot {
-    let voting = answers.values().filter(|peeked| peeked.votes);
-    voting.map(|peeked| accepted(peeked, key)).max().unwrap_or_default()
+fn highest_accepted(answers: &BTreeMap<u64, BallotReport>, key: &str) -> Ballot {
+    let voting = answers.values().filter(|report| report.votes);
+    voting.map(|report| accepted(report, key)).max().unwrap_or_default()
 }
 
-fn accepted(peeked: &Peeked, key: &str) -> Ballot {
-    let register = peeked.registers.iter().find(|register| register.key == key);
+fn accepted(report: &BallotReport, key: &str) -> Ballot {
+    let register = report.registers.iter().find(|register| register.key == key);
     register.map(|register| register.accepted).unwrap_or_default()
 }
 
 fn voter_view(
     s: &Controller,
     member: &Member,
-    answers: &BTreeMap<u64, Peeked>,
+    answers: &BTreeMap<u64, BallotReport>,
     highest: Ballot,
 ) -> VoterView {
     let id = member.addr().map(|ip| u64::from(u32::from(ip)));
@@ -95,17 +95,17 @@
         joined_epoch: member.joined_epoch,
         ..Default::default()
     };
-    let Some(peeked) = id.and_then(|id| answers.get(&id)) else {
+    let Some(report) = id.and_then(|id| answers.get(&id)) else {
         let age = id.and_then(|id| s.last_answer_age(id));
         return VoterView { last_answer_ms: age.map(whole_ms), ..view };
     };
-    let held = accepted(peeked, values::CONFIG);
+    let held = accepted(report, values::CONFIG);
     VoterView {
         answered: true,
         last_answer_ms: Some(0),
-        votes: peeked.votes,
-        membership_epoch: peeked.membership.as_ref().map_or(0, |membership| membership.epoch),
-        recovery_epoch: peeked.recovery_epoch,
+        votes: report.votes,
+        membership_epoch: report.membership.as_ref().map_or(0, |membership| membership.epoch),
+        recovery_epoch: report.recovery_epoch,
         config: BallotView::of(held),
         behind: Lag::between(held, highest),
         ..view
@@ -113,10 +113,10 @@
 }
 
 /// The owner of a key is the node that a voter promised the highest epoch to.
-fn key_views(answers: &BTreeMap<u64, Peeked>) -> Vec<KeyView> {
+fn key_views(answers: &BTreeMap<u64, BallotReport>) -> Vec<KeyView> {
     let mut promised: BTreeMap<&str, Ballot> = BTreeMap::new();
-    let voting = answers.values().filter(|peeked| peeked.votes);
-    for register in voting.flat_map(|peeked| &peeked.registers) {
+    let voting = answers.values().filter(|report| report.votes);
+    for register in voting.flat_map(|report| &report.registers) {
         let highest = promised.entry(&register.key).or_default();
         *highest = register.promised.max(*highest);
     }
@@ -134,7 +134,7 @@
 
 fn duty_view(s: &Arc<Controller>, duty: &str) -> Option<DutyView> {
     let value = s.newest_value(&values::duty_key(duty))?;
-    let value = DutyValue::decode(value).ok()?;
+    let value = LeaseValue::decode(value).ok()?;
     let now = Instant::now();
     let granted = s.duties.granted(duty, now);
     Some(DutyView {
--- a/crates/control-plane/tests/cluster/hung_disk.rs
+++ b/crates/control-plane/tests/cluster/hung_disk.rs
@@ -4,7 +4,7 @@
 use super::{Cluster, read_everywhere, replace, sheet};
 use control_plane::control::{owner, values};
 use control_plane::service::configuration;
-use fleet_core::wire::PreVote;
+use fleet_core::wire::PreVoteRequest;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -85,7 +85,7 @@
     let cluster = Cluster::found(3, 13).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.settle().await;
-    let ask = PreVote { key: values::CONFIG.into(), membership: 1 };
+    let ask = PreVoteRequest { key: values::CONFIG.into(), membership: 1 };
     let willing = || owner::pre_vote(cluster.controller(2), &ask).ok;
     assert!(willing());
     cluster.hang_disk(2, true);
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -6,7 +6,7 @@
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::Link;
 use fleet_core::packing;
-use fleet_core::wire::{Body, ConfigAsk, ConfigDelta, ConfigForm, ConfigGive};
+use fleet_core::wire::{Body, ConfigDelta, ConfigForm, ConfigRequest, ConfigResponse};
 use prost::Message;
 use std::sync::Arc;
 use std::time::Duration;
@@ -187,11 +187,11 @@
     fleet.router_link(ROUTER, to, pushed)
 }
 
-async fn ask(link: &Link, digest: &bytes::Bytes) -> ConfigGive {
+async fn ask(link: &Link, digest: &bytes::Bytes) -> ConfigResponse {
     link.watch().wait_for(|up| *up).await.unwrap();
-    let ask = Body::ConfigAsk(ConfigAsk { digest: digest.clone() });
+    let ask = Body::ConfigRequest(ConfigRequest { digest: digest.clone() });
     match link.call(ask, Duration::from_secs(2)).await.unwrap() {
-        Body::ConfigGive(given) => given,
+        Body::ConfigResponse(given) => given,
         other => panic!("{other:?}"),
     }
 }
@@ -252,7 +252,7 @@
     assert_eq!(ask(&link, &bytes::Bytes::new()).await.version, 5);
     fleet.crash(2);
     fleet.crash(3);
-    assert_eq!(ask(&link, &bytes::Bytes::new()).await, ConfigGive::default());
+    assert_eq!(ask(&link, &bytes::Bytes::new()).await, ConfigResponse::default());
     assert_eq!(
         configuration::fetch(fleet.controller(1)).await.map_err(|r| r.status.as_u16()),
         Err(503)
--- a/crates/control-plane/tests/exhaustive.rs
+++ b/crates/control-plane/tests/exhaustive.rs
@@ -6,7 +6,7 @@
 use control_plane::control::acceptor::Acceptor;
 use control_plane::control::proposer::{Action, Proposer, Request, Scope};
 use control_plane::disk::format::State;
-use fleet_core::wire::{Member, Membership, Peeked, Vote};
+use fleet_core::wire::{BallotReport, Member, Membership, Vote};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::Ipv4Addr;
@@ -64,7 +64,7 @@
     machine: usize,
     recovery_epoch: u64,
     asked: BTreeSet<usize>,
-    got: Vec<Peeked>,
+    got: Vec<BallotReport>,
 }
 
 /// What may still happen.
--- a/crates/control-plane/tests/members.rs
+++ b/crates/control-plane/tests/members.rs
@@ -2,10 +2,10 @@
 
 use control_plane::members::Members;
 use fleet_core::node::Role;
-use fleet_core::wire::Hello;
+use fleet_core::wire::Handshake;
 
-fn hello(role: Role, incarnation: u64) -> Hello {
-    Hello { ip: "10.0.0.7".into(), role: role as u32, incarnation, ..Default::default() }
+fn hello(role: Role, incarnation: u64) -> Handshake {
+    Handshake { ip: "10.0.0.7".into(), role: role as u32, incarnation, ..Default::default() }
 }
 
 #[test]
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -9,7 +9,7 @@
 use control_plane::disk::format::{Record, State};
 use control_plane::disk::storage::Folder;
 use fleet_core::wire::{
-    Ballot, ConfigValue, DutyValue, Member, Membership, RaiseId, Register, WeightsValue,
+    Ballot, ConfigValue, LeaseValue, Member, Membership, RaiseId, Register, WeightsValue,
 };
 use prost::Message;
 use std::path::{Path, PathBuf};
@@ -75,9 +75,9 @@
     ConfigValue { version: 9, isolation: 2, packed: vec![1, 2, 3].into(), ..Default::default() }
 }
 
-fn duty() -> DutyValue {
+fn duty() -> LeaseValue {
     let raise = Some(RaiseId { incarnation: 5, attempt: 6 });
-    DutyValue { fence: 7, holder: "n1".into(), acting: "n2".into(), raise }
+    LeaseValue { fence: 7, holder: "n1".into(), acting: "n2".into(), raise }
 }
 
 fn record(registers: Vec<Register>) -> Record {
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -6,7 +6,7 @@
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::{Link, LinkError};
 use fleet_core::log::Event;
-use fleet_core::wire::{Body, ConfigAsk, ConfigDelta, ConfigForm, ConfigGive};
+use fleet_core::wire::{Body, ConfigDelta, ConfigForm, ConfigRequest, ConfigResponse};
 use fleet_core::{constants, delta, packing};
 use prost::Message;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
 }
 
 /// The body that was given, with the digest that a majority confirmed.
-pub fn rebuild(given: &ConfigGive, held: Option<&HeldBody>) -> Result<HeldBody, FetchError> {
+pub fn rebuild(given: &ConfigResponse, held: Option<&HeldBody>) -> Result<HeldBody, FetchError> {
     const MOST: usize = constants::CONFIG_BYTES;
     let body = match (&given.form, held) {
         (Some(ConfigForm::Whole(packed)), _) => packing::unpack(packed, MOST)?,
@@ -94,10 +94,10 @@
         constants::CONFIG_ASK_PAUSE_MS << self.failures.min(5)
     }
 
-    fn ask(&self) -> ConfigAsk {
+    fn ask(&self) -> ConfigRequest {
         let held = self.held.as_ref().filter(|_| !self.whole_next);
         let digest = held.map(|held| bytes::Bytes::copy_from_slice(held.digest.as_bytes()));
-        ConfigAsk { digest: digest.unwrap_or_default() }
+        ConfigRequest { digest: digest.unwrap_or_default() }
     }
 
     /// The links take turns, from a start that is drawn for each router.
@@ -115,9 +115,9 @@
     async fn fetch(&mut self, d: &Arc<Router>) -> Result<(), FetchError> {
         let begun = Instant::now();
         let link = self.next_link(d).ok_or(FetchError::NoLink)?;
-        let answer = link.call(Body::ConfigAsk(self.ask()), self.limit()).await?;
-        let Body::ConfigGive(given) = answer else {
-            return Err(FetchError::Link(LinkError::Unfitting));
+        let answer = link.call(Body::ConfigRequest(self.ask()), self.limit()).await?;
+        let Body::ConfigResponse(given) = answer else {
+            return Err(FetchError::Link(LinkError::UnexpectedAnswer));
         };
         if d.fleet_view.table().is_some_and(|table| table.version >= given.version) {
             return Err(FetchError::NotNewer);
@@ -139,7 +139,7 @@
 
 /// Reads a body once; on a thread of its own, beside the requests.
 fn make_table(
-    given: &ConfigGive,
+    given: &ConfigResponse,
     held: Option<&HeldBody>,
 ) -> Result<(HeldBody, Table), FetchError> {
     let held = rebuild(given, held)?;
--- a/crates/data-plane/src/fleet_view/config_fetch_tests.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch_tests.rs
@@ -6,9 +6,9 @@
     HeldBody { digest: BodyDigest::of(body.as_bytes()), body: body.into() }
 }
 
-fn given(body: &str, form: ConfigForm) -> ConfigGive {
+fn given(body: &str, form: ConfigForm) -> ConfigResponse {
     let digest = BodyDigest::of(body.as_bytes());
-    ConfigGive {
+    ConfigResponse {
         version: 2,
         isolation: 1,
         digest: bytes::Bytes::copy_from_slice(digest.as_bytes()),
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -4,7 +4,7 @@
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::log::Event;
-use fleet_core::wire::{Alive, Body};
+use fleet_core::wire::{Body, RouterHeartbeat};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
 
@@ -40,14 +40,14 @@
             }
         }
         let links: Vec<Arc<Link>> = d.fleet_view.links.lock().values().cloned().collect();
-        let alive = Alive {
+        let heartbeat = RouterHeartbeat {
             version: d.fleet_view.table().map_or(0, |t| t.version),
             leaving: d.leaving.load(std::sync::atomic::Ordering::Relaxed),
         };
         for l in links {
-            let alive = alive.clone();
+            let heartbeat = heartbeat.clone();
             tokio::spawn(async move {
-                let _ = l.call(Body::Alive(alive), constants::ROUTER_BEAT).await;
+                let _ = l.call(Body::RouterHeartbeat(heartbeat), constants::ROUTER_BEAT).await;
             });
         }
         tokio::time::sleep(constants::ROUTER_BEAT).await;
@@ -75,8 +75,8 @@
             }
         };
         let v = match body {
-            Some(Body::View(v)) => v,
-            Some(Body::Loads(l)) => {
+            Some(Body::FleetUpdate(v)) => v,
+            Some(Body::LoadReport(l)) => {
                 d.fleet_view.hear_loads(&l);
                 continue;
             }
--- a/crates/data-plane/src/fleet_view/loads.rs
+++ b/crates/data-plane/src/fleet_view/loads.rs
@@ -4,8 +4,8 @@
 use crate::Router;
 use fleet_core::constants;
 use fleet_core::link::Link;
-use fleet_core::load::{self, ByEngine, Last};
-use fleet_core::wire::{Body, Loads, Member, Standing};
+use fleet_core::load::{self, ByEngine, ReportSchedule};
+use fleet_core::wire::{Body, EngineState, LoadReport, Member};
 use std::sync::Arc;
 use tokio::time::Instant;
 
@@ -31,13 +31,13 @@
     }
 
     /// The sum over all routers; the own part is counted as it is now, not as it was told.
-    pub fn hear_loads(&self, message: &Loads) {
+    pub fn hear_loads(&self, message: &LoadReport) {
         let all: ByEngine = load::unpack(message).collect();
         let now = Instant::now();
         let (mut engines, mut slots) = (0, 0);
         for engine in self.engines.read().values() {
             let news = engine.news();
-            if news.standing() == Standing::Ready && !news.silent {
+            if news.state() == EngineState::Ready && !news.silent {
                 engines += 1;
                 slots = news.slots.max(slots);
             }
@@ -64,16 +64,16 @@
 
 /// Tells one controller the own loads whenever they are due.
 pub async fn telling(router: Arc<Router>) {
-    let mut last = Last::default();
+    let mut last = ReportSchedule::default();
     loop {
-        tokio::time::sleep(constants::LOAD_PAUSE).await;
+        tokio::time::sleep(constants::LOAD_REPORT_INTERVAL).await;
         let own = load::pack(&router.fleet_view.own_loads());
         if !last.is_due(Instant::now(), &own) {
             continue;
         }
         let node = &router.node;
         if let Some(link) = router.fleet_view.load_link(&node.zone, &node.name) {
-            let _ = link.tell(Body::Loads(own));
+            let _ = link.notify(Body::LoadReport(own));
         }
     }
 }
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::pool::EngineHandle;
 use fleet_core::constants;
-use fleet_core::wire::{Engine, Membership, NamedWeights, RingHead, Standing, View};
+use fleet_core::wire::{Engine, EngineState, FleetUpdate, Membership, RingHead, TargetWeights};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::time::Instant;
@@ -117,7 +117,7 @@
         match known {
             Some(engine) => {
                 engine.hear(news);
-                if news.standing() == Standing::Gone {
+                if news.state() == EngineState::Deregistered {
                     self.prefix_view.forget(&news.id);
                 }
             }
@@ -141,7 +141,7 @@
         }
     }
 
-    fn hear_weights(&self, news: &NamedWeights) {
+    fn hear_weights(&self, news: &TargetWeights) {
         let since = Instant::now()
             .checked_sub(std::time::Duration::from_millis(news.age_ms))
             .unwrap_or_else(Instant::now);
@@ -164,7 +164,7 @@
         let mut up: Vec<_> = links.iter().filter(|(_, link)| link.is_up()).collect();
         up.sort_unstable_by_key(|(ip, _)| **ip);
         let fresh = |link: &fleet_core::link::Link| {
-            link.silent_for().is_some_and(|silence| silence < constants::CONTROLLER_FRESH)
+            link.time_since_received().is_some_and(|silence| silence < constants::CONTROLLER_FRESH)
         };
         if up.iter().any(|(_, link)| fresh(link)) {
             up.retain(|(_, link)| fresh(link));
@@ -173,7 +173,7 @@
     }
 
     /// Takes what a controller pushed.
-    pub fn hear(&self, view: &View) {
+    pub fn hear(&self, view: &FleetUpdate) {
         for engine in &view.engines {
             self.hear_engine(engine);
         }
--- a/crates/data-plane/src/fleet_view/purge.rs
+++ b/crates/data-plane/src/fleet_view/purge.rs
@@ -4,7 +4,7 @@
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::log::Event;
-use fleet_core::wire::{Body, Found, HeldParts, RingAsk, RingEntry, RingGive};
+use fleet_core::wire::{Body, CachedParts, CachedPrefixes, RingEntry, RingRequest, RingResponse};
 use invalidation::cache::Cache;
 use prompt_index::Index;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
     /// The whole view gives way.
     pub reset: bool,
     /// What holders were found to keep; on a reset, all of it.
-    pub digest: Vec<HeldParts>,
+    pub digest: Vec<CachedParts>,
     /// Invalidations, to be applied after the findings.
     pub entries: Vec<RingEntry>,
 }
@@ -67,9 +67,9 @@
     index: Index,
     pending: AtomicBool,
     inbox: parking_lot::Mutex<Vec<Change>>,
-    found: parking_lot::Mutex<Vec<HeldParts>>,
+    found: parking_lot::Mutex<Vec<CachedParts>>,
     /// own findings, newest last, for a keeper that starts from nothing
-    again: parking_lot::Mutex<std::collections::VecDeque<HeldParts>>,
+    again: parking_lot::Mutex<std::collections::VecDeque<CachedParts>>,
 }
 
 impl PrefixView {
@@ -126,7 +126,7 @@
         if found.len() >= constants::FOUND_KEPT {
             return;
         }
-        let held = HeldParts {
+        let held = CachedParts {
             holder: holder.to_owned(),
             salt: salt.to_owned(),
             parts: news.iter().map(|(part, _)| *part).collect(),
@@ -141,7 +141,7 @@
     }
 
     /// What own sends have left behind lately.
-    pub fn found_before(&self) -> Vec<HeldParts> {
+    pub fn found_before(&self) -> Vec<CachedParts> {
         self.again.lock().iter().cloned().collect()
     }
 
@@ -167,7 +167,7 @@
         }
         let keeper = router.fleet_view.ring.lock().as_ref().map(|head| head.keeper.clone());
         if let Some(link) = keeper.and_then(|keeper| router.fleet_view.link_to(&keeper)) {
-            let _ = link.tell(Body::Found(Found { held }));
+            let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { held }));
         }
     }
 }
@@ -214,7 +214,7 @@
 
 /// What an answer of the keeper does to the reader: its next place, and what to apply. None if the
 /// answer cannot be used: it is of an older keeper, of another ring without a reset, or without a head.
-pub fn step(at: Place, answer: RingGive) -> Option<(Place, Option<Change>)> {
+pub fn step(at: Place, answer: RingResponse) -> Option<(Place, Option<Change>)> {
     let head = answer.head?;
     if head.fence < at.fence {
         return None;
@@ -228,7 +228,7 @@
         cursor: answer.cursor,
         found: head.found,
     };
-    let RingGive { reset, digest, entries, .. } = answer;
+    let RingResponse { reset, digest, entries, .. } = answer;
     let has_news = reset || !entries.is_empty() || !digest.is_empty();
     Some((next, has_news.then_some(Change { reset, digest, entries })))
 }
@@ -246,7 +246,7 @@
         if told != (head.fence, head.incarnation) {
             told = (head.fence, head.incarnation);
             let held = view.prefix_view.found_before();
-            let _ = link.tell(Body::Found(Found { held }));
+            let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { held }));
         }
         while fetch(&router, &link, &mut at).await == Fetch::More {}
     }
@@ -263,7 +263,7 @@
 
 /// Fetches once, and leaves what came to be applied.
 async fn fetch(router: &Router, link: &Link, at: &mut Place) -> Fetch {
-    let ask = RingAsk {
+    let ask = RingRequest {
         fence: at.fence,
         incarnation: at.incarnation,
         cursor: at.cursor,
@@ -272,7 +272,7 @@
         found: at.found,
     };
     let limit = if ask.refill { constants::REFILL_LIMIT } else { constants::PHASE_LIMIT };
-    let Ok(Body::RingGive(answer)) = link.call(Body::RingAsk(ask), limit).await else {
+    let Ok(Body::RingResponse(answer)) = link.call(Body::RingRequest(ask), limit).await else {
         return Fetch::Done;
     };
     let head = answer.head.as_ref().map_or(0, |head| head.head);
--- a/crates/data-plane/src/fleet_view/roll.rs
+++ b/crates/data-plane/src/fleet_view/roll.rs
@@ -3,7 +3,7 @@
 use super::EngineHandles;
 use crate::pool::EngineHandle;
 use fleet_core::constants;
-use fleet_core::wire::{Engine, Standing};
+use fleet_core::wire::{Engine, EngineState};
 use prompt_index::{At, Index};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -93,7 +93,7 @@
 
     /// Marks the engines that heavy requests settle at.
     fn divide(rows: &mut [Row], interactive: f64) {
-        let ready = |row: &Row| row.news.standing() == Standing::Ready && !row.news.silent;
+        let ready = |row: &Row| row.news.state() == EngineState::Ready && !row.news.silent;
         let mut order: Vec<usize> = (0..rows.len()).filter(|i| ready(&rows[*i])).collect();
         order.sort_unstable_by_key(|i| (rows[*i].rank, *i));
         let slots = rows.iter().map(|row| row.news.slots).max().unwrap_or(0);
@@ -163,7 +163,7 @@
             .values()
             .filter_map(|engine| {
                 let news = engine.news();
-                let wanted = news.service == service && news.standing() != Standing::Gone;
+                let wanted = news.service == service && news.state() != EngineState::Deregistered;
                 wanted.then(|| (engine.clone(), news.clone()))
             })
             .collect();
--- a/crates/data-plane/src/place/candidates.rs
+++ b/crates/data-plane/src/place/candidates.rs
@@ -7,7 +7,7 @@
 use crate::pool::Health;
 use fleet_core::constants;
 use fleet_core::fleet;
-use fleet_core::wire::Standing;
+use fleet_core::wire::EngineState;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -58,7 +58,7 @@
     };
     let mut found = Vec::with_capacity(roll.rows.len());
     for (number, row) in roll.rows.iter().enumerate() {
-        if row.news.standing() != Standing::Ready || tried.contains(&row.engine.id) {
+        if row.news.state() != EngineState::Ready || tried.contains(&row.engine.id) {
             continue;
         }
         found.extend(weights.candidate(number, row, now));
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -3,7 +3,7 @@
 use super::connection::Idle;
 use fleet_core::constants;
 use fleet_core::load::Load;
-use fleet_core::wire::{Engine, Standing};
+use fleet_core::wire::{Engine, EngineState};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicU32;
@@ -78,7 +78,7 @@
     /// Load of all routers, as far as it is known now.
     pub fn all(&self, now: Instant) -> Load {
         let mut out = self.own();
-        if self.others_at.is_some_and(|t| now.duration_since(t) < constants::LOAD_LIMIT) {
+        if self.others_at.is_some_and(|t| now.duration_since(t) < constants::LOAD_REPORT_TIMEOUT) {
             out.add(&self.others);
         }
         out
@@ -139,7 +139,7 @@
             *self.marked.lock() = Instant::now();
         }
         drop(n);
-        if news.standing() == Standing::Gone {
+        if news.state() == EngineState::Deregistered {
             self.work().idle.clear();
         }
     }
@@ -220,7 +220,7 @@
 
     /// Dropped a connection after this rest: forgotten, unless the engine ended.
     pub fn suspect_forgetting(&self, rest: Duration) {
-        if rest < constants::IDLE_LIFE_LEAST || self.news().standing() != Standing::Ready {
+        if rest < constants::IDLE_LIFE_LEAST || self.news().state() != EngineState::Ready {
             return;
         }
         let mut w = self.work();
--- a/crates/data-plane/src/pool/mod.rs
+++ b/crates/data-plane/src/pool/mod.rs
@@ -7,7 +7,7 @@
 pub use engine::{EngineHandle, Health, Told, Work};
 
 use fleet_core::constants;
-use fleet_core::wire::Standing;
+use fleet_core::wire::EngineState;
 use tokio::time::Instant;
 
 /// Closes connections that have been idle for long, and forgets engines long gone.
@@ -19,7 +19,7 @@
         let handles: Vec<_> = d.fleet_view.engines.read().values().cloned().collect();
         for s in handles {
             s.sweep(now);
-            if s.news().standing() == Standing::Gone {
+            if s.news().state() == EngineState::Deregistered {
                 gone.entry_ref(s.id.as_str()).or_insert(now);
             }
         }
--- a/crates/data-plane/src/serve/mod.rs
+++ b/crates/data-plane/src/serve/mod.rs
@@ -23,10 +23,10 @@
 pub async fn accepting(d: Arc<Router>, listener: tokio::net::TcpListener) {
     loop {
         let Ok((s, _)) = listener.accept().await else {
-            tokio::time::sleep(constants::RELINK_PAUSE).await;
+            tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
             continue;
         };
-        if fleet_core::link::tame(&s).is_err() {
+        if fleet_core::link::set_socket_options(&s).is_err() {
             continue;
         }
         let d = d.clone();
@@ -63,7 +63,7 @@
 pub async fn probes(d: Arc<Router>, listener: tokio::net::TcpListener) {
     loop {
         let Ok((s, _)) = listener.accept().await else {
-            tokio::time::sleep(constants::RELINK_PAUSE).await;
+            tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
             continue;
         };
         let d = d.clone();
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -5,7 +5,9 @@
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::{LinkError, Peer};
 use fleet_core::packing;
-use fleet_core::wire::{Body, ConfigAsk, ConfigForm, ConfigGive, Done, Member, Membership, View};
+use fleet_core::wire::{
+    Body, ConfigForm, ConfigRequest, ConfigResponse, Empty, FleetUpdate, Member, Membership,
+};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -13,7 +15,7 @@
 /// A call for the configuration that waits for its answer.
 struct Asked {
     at: Ipv4Addr,
-    ask: ConfigAsk,
+    ask: ConfigRequest,
     answer: oneshot::Sender<Body>,
 }
 
@@ -24,7 +26,7 @@
     asked: mpsc::UnboundedSender<Asked>,
 }
 
-impl fleet_core::link::Host for PlayedController {
+impl fleet_core::link::PeerHandler for PlayedController {
     fn joined(self: &Arc<Self>, peer: &Peer) {
         let _ = self.joined.send(peer.clone());
     }
@@ -32,13 +34,13 @@
     fn left(self: &Arc<Self>, _: &Peer) {}
 
     async fn answer(self: &Arc<Self>, _: &Peer, body: Body) -> Option<Body> {
-        let Body::ConfigAsk(ask) = body else { return Some(Body::Nothing(Done {})) };
+        let Body::ConfigRequest(ask) = body else { return Some(Body::Acknowledged(Empty {})) };
         let (answer, answered) = oneshot::channel();
         self.asked.send(Asked { at: self.ip, ask, answer }).ok()?;
         answered.await.ok()
     }
 
-    fn spoilt(self: &Arc<Self>, error: &LinkError) {
+    fn message_rejected(self: &Arc<Self>, error: &LinkError) {
         panic!("{error}");
     }
 }
@@ -64,14 +66,14 @@
         let (asked_tx, asked) = mpsc::unbounded_channel();
         for (ip, listener) in ips.into_iter().zip(listeners) {
             let host = PlayedController { ip, joined: joined.clone(), asked: asked_tx.clone() };
-            tokio::spawn(fleet_core::link::host(Box::new(listener), Arc::new(host)));
+            tokio::spawn(fleet_core::link::serve_peers(Box::new(listener), Arc::new(host)));
         }
         let text = format!("nodeName=c1\nip=127.0.0.1\nzone=z\nportRange={port},{}\n", port + 1);
         let settings = fleet_core::settings::Settings::parse(&text).unwrap();
         let router = Router::assemble(settings, slog::Logger::root(slog::Discard, slog::o!()));
         let members = ips.map(|ip| Member { ip: ip.to_string(), ..Default::default() }).into();
         let membership = Some(Membership { epoch: 1, members });
-        router.fleet_view.hear(&View { membership, ..Default::default() });
+        router.fleet_view.hear(&FleetUpdate { membership, ..Default::default() });
         tokio::spawn(links::watching(router.clone()));
         tokio::spawn(config_fetch::fetching(router.clone()));
         let mut peers = Vec::new();
@@ -84,7 +86,7 @@
     /// All controllers tell of a version.
     fn tell(&self, config: u64) {
         for peer in &self.peers {
-            peer.push(Body::View(View { config, ..Default::default() })).unwrap();
+            peer.push(Body::FleetUpdate(FleetUpdate { config, ..Default::default() })).unwrap();
         }
     }
 
@@ -111,13 +113,13 @@
     bytes::Bytes::copy_from_slice(BodyDigest::of(body(version).as_bytes()).as_bytes())
 }
 
-fn whole(version: u64) -> ConfigGive {
+fn whole(version: u64) -> ConfigResponse {
     let form = Some(ConfigForm::Whole(packing::pack(body(version).as_bytes())));
-    ConfigGive { version, isolation: 1, digest: digest(version), form }
+    ConfigResponse { version, isolation: 1, digest: digest(version), form }
 }
 
-fn give(asked: Asked, given: ConfigGive) {
-    asked.answer.send(Body::ConfigGive(given)).unwrap();
+fn give(asked: Asked, given: ConfigResponse) {
+    asked.answer.send(Body::ConfigResponse(given)).unwrap();
 }
 
 #[tokio::test]
@@ -154,11 +156,11 @@
     give(old, whole(1));
     let damaged = stand.next().await;
     asked_at.push(damaged.at);
-    give(damaged, ConfigGive { digest: digest(7), ..whole(2) });
+    give(damaged, ConfigResponse { digest: digest(7), ..whole(2) });
     let unfitting = stand.next().await;
     asked_at.push(unfitting.at);
     assert!(unfitting.ask.digest.is_empty(), "the whole is asked for after a wrong digest");
-    unfitting.answer.send(Body::Nothing(Done {})).unwrap();
+    unfitting.answer.send(Body::Acknowledged(Empty {})).unwrap();
     let last = stand.next().await;
     asked_at.sort_unstable();
     asked_at.dedup();
--- a/crates/data-plane/tests/engines/idle.rs
+++ b/crates/data-plane/tests/engines/idle.rs
@@ -110,8 +110,10 @@
     let f = Fleet::start(&[&forgetting]).await;
     ask_ok(&f, "/safe/").await;
     let other = StandIn::start("e2", script).await;
-    let view =
-        fleet_core::wire::View { engines: vec![super::stand::known(&other)], ..Default::default() };
+    let view = fleet_core::wire::FleetUpdate {
+        engines: vec![super::stand::known(&other)],
+        ..Default::default()
+    };
     f.d.fleet_view.hear(&view);
     pass(ms(3000)).await;
     ask_ok(&f, "/safe/").await;
--- a/crates/data-plane/tests/engines/main.rs
+++ b/crates/data-plane/tests/engines/main.rs
@@ -77,12 +77,12 @@
 /// What the controllers tell of an engine decides whether it gets anything.
 #[tokio::test]
 async fn draining_changing_and_outdated_engines_get_nothing() {
-    use fleet_core::wire::{NamedWeights, Standing, View};
+    use fleet_core::wire::{EngineState, FleetUpdate, TargetWeights};
     type Edit = fn(&mut fleet_core::wire::Engine);
     let table: Vec<(&str, Edit, u64, bool)> = vec![
         ("ready", |_| {}, 0, true),
-        ("draining", |e| e.set_standing(Standing::Draining), 0, false),
-        ("gone", |e| e.set_standing(Standing::Gone), 0, false),
+        ("draining", |e| e.set_state(EngineState::Draining), 0, false),
+        ("gone", |e| e.set_state(EngineState::Deregistered), 0, false),
         ("under order", |e| e.turn = 1, 0, false),
         ("old weights, lately named", |_| {}, 3000, true),
         ("old weights, long named", |_| {}, 7500, false),
@@ -93,8 +93,8 @@
         let mut news = stand::known(&e);
         news.call = 2;
         edit(&mut news);
-        let weights = vec![NamedWeights { model: "m".into(), version: 3, age_ms }];
-        f.d.fleet_view.hear(&View { engines: vec![news], weights, ..Default::default() });
+        let weights = vec![TargetWeights { model: "m".into(), version: 3, age_ms }];
+        f.d.fleet_view.hear(&FleetUpdate { engines: vec![news], weights, ..Default::default() });
         let want = if served { 200 } else { 503 };
         assert_eq!(status(&f.ask("/once/", "").await), want, "{what}");
         assert_eq!(e.arrivals(), usize::from(served), "{what}");
@@ -277,7 +277,7 @@
 /// The parts of an engine that drains are fetched while it still answers.
 #[tokio::test]
 async fn newcomer_fetches_from_the_engine_that_leaves() {
-    use fleet_core::wire::{HeldParts, Standing, View};
+    use fleet_core::wire::{CachedParts, EngineState, FleetUpdate};
     let old = StandIn::start("e1", |_, s| (whole(s, 1..=1), Then::Keep)).await;
     let new = StandIn::start("e2", |_, s| (whole(s, 1..=1), Then::Keep)).await;
     let f = Fleet::start(&[&old, &new]).await;
@@ -286,7 +286,7 @@
         .replace("30,5", "5100,5");
     f.d.fleet_view.prefix_view.put(data_plane::fleet_view::purge::Change {
         reset: false,
-        digest: vec![HeldParts {
+        digest: vec![CachedParts {
             holder: "e1".into(),
             salt: "m|2|#4".into(),
             parts: vec![0xaa, 0xbb],
@@ -296,15 +296,15 @@
     });
     let mut news = stand::known(&old);
     news.call = 2;
-    news.set_standing(Standing::Draining);
-    f.d.fleet_view.hear(&View { engines: vec![news.clone()], ..Default::default() });
+    news.set_state(EngineState::Draining);
+    f.d.fleet_view.hear(&FleetUpdate { engines: vec![news.clone()], ..Default::default() });
     assert_eq!(status(&f.raw(heavy.as_bytes()).await), 200);
     assert_eq!((old.arrivals(), new.arrivals()), (0, 1));
     let source = new.seen.lock()[0].header("x-kv-source").map(str::to_owned);
     assert_eq!(source, Some(old.address.to_string()));
     news.call = 3;
-    news.set_standing(Standing::Gone);
-    f.d.fleet_view.hear(&View { engines: vec![news], ..Default::default() });
+    news.set_state(EngineState::Deregistered);
+    f.d.fleet_view.hear(&FleetUpdate { engines: vec![news], ..Default::default() });
     let other = heavy.replace("cc:100", "cd:100").replace("bb:", "be:");
     assert_eq!(status(&f.raw(other.as_bytes()).await), 200);
     assert_eq!(new.seen.lock()[1].header("x-kv-source"), None);
--- a/crates/data-plane/tests/engines/stand.rs
+++ b/crates/data-plane/tests/engines/stand.rs
@@ -2,7 +2,7 @@
 
 use data_plane::Router;
 use data_plane::fleet_view::table::Table;
-use fleet_core::wire::{Engine, NamedWeights, View, Weights};
+use fleet_core::wire::{Engine, FleetUpdate, TargetWeights, Weights};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -182,9 +182,9 @@
             "tenants": [{"name": "t1", "apiKeys": ["k1"]}, {"name": "t2", "apiKeys": ["k2"], "isolated": true}],
         });
         d.fleet_view.set_table(Table::compile(sheet.to_string().as_bytes(), 4).unwrap());
-        let view = View {
+        let view = FleetUpdate {
             engines: engines.iter().map(|e| known(e)).collect(),
-            weights: vec![NamedWeights { model: "m".into(), version: 2, age_ms: 0 }],
+            weights: vec![TargetWeights { model: "m".into(), version: 2, age_ms: 0 }],
             ..Default::default()
         };
         d.fleet_view.hear(&view);
--- a/crates/data-plane/tests/loads.rs
+++ b/crates/data-plane/tests/loads.rs
@@ -1,7 +1,7 @@
 //! Which controller a router tells its loads, and what it makes of the sum it hears.
 
 use data_plane::fleet_view::loads::chosen;
-use fleet_core::wire::{Engine, Member, View};
+use fleet_core::wire::{Engine, FleetUpdate, Member};
 
 fn members() -> Vec<Member> {
     [("10.0.0.1", "a"), ("10.0.0.2", "b"), ("10.0.0.3", "b"), ("10.0.0.4", "c")]
@@ -39,7 +39,7 @@
 fn own_sends_are_counted_once_in_the_sum() {
     let fleet_view = data_plane::fleet_view::FleetView::new();
     let e = Engine { id: "e".into(), address: "10.0.0.9:80".into(), ..Default::default() };
-    fleet_view.hear(&View { engines: vec![e], ..Default::default() });
+    fleet_view.hear(&FleetUpdate { engines: vec![e], ..Default::default() });
     let engine = fleet_view.engines.read()["e"].clone();
     {
         let mut w = engine.work();
@@ -53,6 +53,6 @@
     let now = tokio::time::Instant::now();
     let all = engine.work().all(now);
     assert_eq!((all.runs, all.unread), (6, 640));
-    let late = engine.work().all(now + fleet_core::constants::LOAD_LIMIT);
+    let late = engine.work().all(now + fleet_core::constants::LOAD_REPORT_TIMEOUT);
     assert_eq!((late.runs, late.unread), (3, 0), "old news of others count no more");
 }
--- a/crates/data-plane/tests/purge.rs
+++ b/crates/data-plane/tests/purge.rs
@@ -1,7 +1,9 @@
 //! A reader of the ring: what it keeps after lost answers, overruns and new incarnations of the keeper.
 
 use data_plane::fleet_view::purge::{Change, Place, PrefixView, step};
-use fleet_core::wire::{HeldParts, PartAt, Purge, RingEntry, RingGive, RingHead};
+use fleet_core::wire::{
+    CachedParts, Invalidation, PartLocation, RingEntry, RingHead, RingResponse,
+};
 use invalidation::view::View;
 use prompt_index::HolderBitmap;
 
@@ -12,12 +14,12 @@
 #[test]
 fn another_incarnation_counts_only_with_a_reset() {
     let at = Place::new(2, 7, 5, 0);
-    let g = RingGive { head: head(2, 8, 9), cursor: 9, ..Default::default() };
+    let g = RingResponse { head: head(2, 8, 9), cursor: 9, ..Default::default() };
     assert!(step(at, g.clone()).is_none());
-    let (next, change) = step(at, RingGive { reset: true, ..g }).unwrap();
+    let (next, change) = step(at, RingResponse { reset: true, ..g }).unwrap();
     assert_eq!(next, Place::new(2, 8, 9, 0));
     assert!(change.is_some_and(|c| c.reset));
-    let old = RingGive { head: head(1, 3, 9), reset: true, ..Default::default() };
+    let old = RingResponse { head: head(1, 3, 9), reset: true, ..Default::default() };
     assert!(step(at, old).is_none());
 }
 
@@ -33,7 +35,7 @@
     assert!(!holds(&s));
     s.put(Change {
         reset: true,
-        digest: vec![HeldParts {
+        digest: vec![CachedParts {
             holder: "e".into(),
             salt: "m|1|#1".into(),
             parts: vec![4],
@@ -42,7 +44,12 @@
         entries: Vec::new(),
     });
     assert!(holds(&s));
-    let gone = Purge::Part(PartAt { holder: "e".into(), salt: "m|1|#1".into(), part: 4, kept: 0 });
+    let gone = Invalidation::Part(PartLocation {
+        holder: "e".into(),
+        salt: "m|1|#1".into(),
+        part: 4,
+        kept: 0,
+    });
     s.put(Change {
         reset: false,
         digest: Vec::new(),
@@ -59,7 +66,7 @@
         use invalidation::ring::{Read, Ring};
         let entry = |p: u64| RingEntry {
             scope: 0,
-            what: Some(Purge::Part(PartAt { holder: "e".into(), salt: "m|1|#1".into(), part: p, kept: 0 })),
+            what: Some(Invalidation::Part(PartLocation { holder: "e".into(), salt: "m|1|#1".into(), part: p, kept: 0 })),
         };
         let (mut ring, mut incarnation) = (Ring::<RingEntry>::new(8, 2, 4), 1u64);
         let mut truth = std::collections::HashSet::<u64>::new();
@@ -80,7 +87,7 @@
                     let lost = what == 5;
                     let same = at.incarnation() == incarnation && at.fence() == 1;
                     let cursor = if same { ring.cursor(1).filter(|c| c.next() == at.cursor()) } else { None };
-                    let mut g = RingGive { head: head(1, incarnation, ring.head()), ..Default::default() };
+                    let mut g = RingResponse { head: head(1, incarnation, ring.head()), ..Default::default() };
                     match cursor.as_ref().map(|c| (c, ring.read(c, 3))) {
                         Some((c, Read::Entries(e))) => { g.entries = e; g.cursor = c.next(); }
                         Some((c, Read::Nothing)) => g.cursor = c.next(),
@@ -88,7 +95,7 @@
                             let (_, cur) = ring.enter(1);
                             g.reset = true;
                             g.cursor = cur;
-                            g.digest = vec![HeldParts { holder: "e".into(), salt: "m|1|#1".into(), parts: truth.iter().copied().collect(), kept: Vec::new() }];
+                            g.digest = vec![CachedParts { holder: "e".into(), salt: "m|1|#1".into(), parts: truth.iter().copied().collect(), kept: Vec::new() }];
                         }
                     }
                     if lost { continue; }
--- a/crates/fleet-core/src/constants/link.rs
+++ b/crates/fleet-core/src/constants/link.rs
@@ -5,11 +5,11 @@
 /// ms; a connection inside the fleet either comes up in a few round trips or is behind a cut.
 pub const CONNECT_LIMIT: Duration = Duration::from_millis(400);
 /// ms; unacknowledged bytes older than this mean a cut or a dark machine.
-pub const TCP_SILENCE: Duration = Duration::from_millis(2500);
+pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// s; first keep-alive probe of an idle connection, the least the kernel takes.
 pub const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 /// s; pause between keep-alive probes, the least the kernel takes.
-pub const KEEPALIVE_GAP: Duration = Duration::from_secs(1);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 /// probes; two lost in a row are rare without a cut.
 pub const KEEPALIVE_PROBES: u32 = 2;
 /// connections; a burst of clients after a failover must not lose its opening packets.
@@ -19,10 +19,10 @@
 /// frames; a peer that reads slower than this is cut off and starts anew.
 pub const LINK_BACKLOG: usize = 256;
 /// ms; pause before a broken link is tried again.
-pub const RELINK_PAUSE: Duration = Duration::from_millis(250);
+pub const RECONNECT_BACKOFF: Duration = Duration::from_millis(250);
 /// bytes; frames that wait are written together up to this, so that a connection holds little beside its queue.
 pub const WRITE_BATCH: usize = 64 << 10;
 /// frames; a reader with so many waiting gets nothing that can be told later in a newer form.
-pub const SLOW_READER: usize = 8;
+pub const SLOW_READER_BACKLOG: usize = 8;
 /// ms; pause before a slow reader's queue is looked at again.
-pub const SLOW_READER_PAUSE: Duration = Duration::from_millis(50);
+pub const SLOW_READER_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/fleet-core/src/constants/rollout.rs
+++ b/crates/fleet-core/src/constants/rollout.rs
@@ -30,7 +30,7 @@
 pub const WIDTH_CUT_PAUSE: Duration = Duration::from_millis(800);
 /// share of an engine's recent runs that somebody waits for, above which it counts as interactive.
 pub const INTERACTIVE_SHARE: f64 = 0.4;
-/// what is left of the memory of an engine's mix after a `LOAD_PAUSE`; two seconds of traffic.
+/// what is left of the memory of an engine's mix after a `LOAD_REPORT_INTERVAL`; two seconds of traffic.
 pub const MIX_DECAY: f32 = 0.95;
 /// ms; what it costs a long stream to go to an engine that is about to turn.
 pub const FADE_COST_MS: f64 = 400.0;
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -11,11 +11,11 @@
 /// routers; how many may join before the others hear of it.
 pub const BUDGET_SPARES: usize = 3;
 /// ms; loads of engines are told on this often, twice on their way; most reads take longer.
-pub const LOAD_PAUSE: Duration = Duration::from_millis(100);
+pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// ms; loads that have not changed are told again this often.
-pub const LOAD_REFRESH: Duration = Duration::from_millis(500);
+pub const LOAD_REPORT_REFRESH: Duration = Duration::from_millis(500);
 /// ms; loads older than this count no more.
-pub const LOAD_LIMIT: Duration = Duration::from_millis(1500);
+pub const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// tokens; unit in which loads are told.
 pub const LOAD_TOKENS: u64 = 64;
 /// connections kept idle to one engine.
--- a/crates/fleet-core/src/delta.rs
+++ b/crates/fleet-core/src/delta.rs
@@ -5,7 +5,7 @@
 //! makes an element (a route, a service, a tenant, the limits) one part or a few; a part that both
 //! bodies have is copied, wherever it stood, and the order is that of the new body.
 
-use crate::wire::{ConfigDelta, DeltaPiece};
+use crate::wire::{ConfigDelta, DeltaOp};
 
 /// Why a delta doesn't fit the body that it is applied to.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
@@ -18,7 +18,7 @@
 
 /// Parts shorter than this are found only where the copy under way goes on: they stand at too many
 /// places, and naming one costs as much as inserting it.
-const SHORTEST_FOUND: usize = 16;
+const SHORTEST_COPY: usize = 16;
 
 fn parts(body: &[u8]) -> impl Iterator<Item = &[u8]> {
     body.split_inclusive(|byte| *byte == b'}')
@@ -27,14 +27,14 @@
 /// The pieces so far, and where in the former body the last copy ended.
 struct Builder<'a> {
     former: &'a [u8],
-    pieces: Vec<DeltaPiece>,
+    ops: Vec<DeltaOp>,
     copied_to: usize,
 }
 
 impl Builder<'_> {
     /// Appends a part that goes on where the last copy ended, if it does.
     fn goes_on(&mut self, part: &[u8]) -> bool {
-        let Some(last) = self.pieces.last_mut().filter(|piece| piece.insert.is_empty()) else {
+        let Some(last) = self.ops.last_mut().filter(|op| op.insert.is_empty()) else {
             return false;
         };
         if !self.former[self.copied_to..].starts_with(part) {
@@ -46,16 +46,15 @@
     }
 
     fn copy(&mut self, from: usize, length: usize) {
-        let (at, length_told) = (from as u64, length as u64);
-        self.pieces.push(DeltaPiece { from: at, length: length_told, insert: Vec::new() });
+        self.ops.push(DeltaOp { from: from as u64, length: length as u64, insert: Vec::new() });
         self.copied_to = from + length;
     }
 
     fn insert(&mut self, part: &[u8]) {
-        match self.pieces.last_mut() {
+        match self.ops.last_mut() {
             Some(last) => last.insert.extend_from_slice(part),
             None => {
-                self.pieces.push(DeltaPiece { from: 0, length: 0, insert: part.to_vec() });
+                self.ops.push(DeltaOp { from: 0, length: 0, insert: part.to_vec() });
             }
         }
     }
@@ -70,32 +69,32 @@
         places.entry(part).or_insert(at);
         at += part.len();
     }
-    let mut builder = Builder { former, pieces: Vec::new(), copied_to: 0 };
+    let mut builder = Builder { former, ops: Vec::new(), copied_to: 0 };
     for part in parts(new) {
         if builder.goes_on(part) {
             continue;
         }
-        match places.get(part).filter(|_| part.len() >= SHORTEST_FOUND) {
+        match places.get(part).filter(|_| part.len() >= SHORTEST_COPY) {
             Some(from) => builder.copy(*from, part.len()),
             None => builder.insert(part),
         }
     }
-    ConfigDelta { pieces: builder.pieces }
+    ConfigDelta { ops: builder.ops }
 }
 
 /// The body that a delta makes of `former`, of `most` bytes at the most.
 pub fn apply(delta: &ConfigDelta, former: &[u8], most: usize) -> Result<bytes::Bytes, DeltaError> {
     let mut body = Vec::with_capacity(former.len());
-    for piece in &delta.pieces {
-        let from = usize::try_from(piece.from).map_err(|_| DeltaError::OutOfRange)?;
-        let length = usize::try_from(piece.length).map_err(|_| DeltaError::OutOfRange)?;
+    for op in &delta.ops {
+        let from = usize::try_from(op.from).map_err(|_| DeltaError::OutOfRange)?;
+        let length = usize::try_from(op.length).map_err(|_| DeltaError::OutOfRange)?;
         let end = from.checked_add(length).ok_or(DeltaError::OutOfRange)?;
         let copied = former.get(from..end).ok_or(DeltaError::OutOfRange)?;
-        if body.len() + copied.len() + piece.insert.len() > most {
+        if body.len() + copied.len() + op.insert.len() > most {
             return Err(DeltaError::TooLarge(most));
         }
         body.extend_from_slice(copied);
-        body.extend_from_slice(&piece.insert);
+        body.extend_from_slice(&op.insert);
     }
     Ok(body.into())
 }
--- a/crates/fleet-core/src/delta_tests.rs
+++ b/crates/fleet-core/src/delta_tests.rs
@@ -21,20 +21,20 @@
     new[120].1 = 70;
     let (former, new) = (body(1, &former), body(2, &new));
     let delta = between(former.as_bytes(), new.as_bytes());
-    let inserted: usize = delta.pieces.iter().map(|piece| piece.insert.len()).sum();
+    let inserted: usize = delta.ops.iter().map(|op| op.insert.len()).sum();
     assert!(inserted <= 4 * route(199, 50).len(), "{inserted} bytes of {}", new.len());
     assert_eq!(apply(&delta, former.as_bytes(), MOST).unwrap(), new);
 }
 
 #[test]
 fn what_reaches_outside_or_beyond_the_bound_is_an_error() {
-    let piece = |from, length| ConfigDelta {
-        pieces: vec![DeltaPiece { from, length, insert: b"more".to_vec() }],
+    let op = |from, length| ConfigDelta {
+        ops: vec![DeltaOp { from, length, insert: b"more".to_vec() }],
     };
-    assert_eq!(apply(&piece(2, 9), b"0123456789", MOST), Err(DeltaError::OutOfRange));
-    assert_eq!(apply(&piece(u64::MAX, 2), b"0123456789", MOST), Err(DeltaError::OutOfRange));
-    assert_eq!(apply(&piece(0, 9), b"0123456789", 12), Err(DeltaError::TooLarge(12)));
-    assert_eq!(apply(&piece(0, 9), b"0123456789", 13).unwrap(), &b"012345678more"[..]);
+    assert_eq!(apply(&op(2, 9), b"0123456789", MOST), Err(DeltaError::OutOfRange));
+    assert_eq!(apply(&op(u64::MAX, 2), b"0123456789", MOST), Err(DeltaError::OutOfRange));
+    assert_eq!(apply(&op(0, 9), b"0123456789", 12), Err(DeltaError::TooLarge(12)));
+    assert_eq!(apply(&op(0, 9), b"0123456789", 13).unwrap(), &b"012345678more"[..]);
 }
 
 proptest! {
--- a/crates/fleet-core/src/digest.rs
+++ b/crates/fleet-core/src/digest.rs
@@ -15,9 +15,9 @@
 
     /// The digest of these bytes.
     pub fn of(body: &[u8]) -> BodyDigest {
-        let whole: [u8; 32] = sha2::Sha256::digest(body).into();
+        let complete: [u8; 32] = sha2::Sha256::digest(body).into();
         let mut first = [0; BodyDigest::BYTES];
-        first.copy_from_slice(&whole[..BodyDigest::BYTES]);
+        first.copy_from_slice(&complete[..BodyDigest::BYTES]);
         BodyDigest(first)
     }
 
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -1,20 +1,20 @@
 //! What is believed of an engine, and how news of it merge; alike at controllers and routers.
 
-use crate::wire::{Engine, Standing};
+use crate::wire::{Engine, EngineState};
 
 /// Takes the news into what is known; false if they tell nothing new but the call's number.
 /// News of a later call replace what is known; of an earlier one, only what never falls counts:
 /// versions, marks of the roll-out, and that it is gone.
-pub fn merge(known: &mut Engine, news: &Engine) -> bool {
+pub fn merge(known: &mut Engine, update: &Engine) -> bool {
     let before = known.clone();
-    if news.call > known.call {
-        *known = news.clone();
+    if update.call > known.call {
+        *known = update.clone();
         keep_what_never_falls(known, &before);
     } else {
-        if news.call == known.call {
-            known.silent = news.silent;
+        if update.call == known.call {
+            known.silent = update.silent;
         }
-        keep_what_never_falls(known, news);
+        keep_what_never_falls(known, update);
     }
     let call = std::mem::replace(&mut known.call, before.call);
     let changed = *known != before;
@@ -29,8 +29,8 @@
     }
     engine.turn = engine.turn.max(other.turn);
     engine.fade = engine.fade.max(other.fade);
-    if other.standing() == Standing::Gone {
-        engine.set_standing(Standing::Gone);
+    if other.state() == EngineState::Deregistered {
+        engine.set_state(EngineState::Deregistered);
     }
 }
 
--- a/crates/fleet-core/src/journal.rs
+++ b/crates/fleet-core/src/journal.rs
@@ -10,24 +10,24 @@
 
 /// Keeps the view and the newest events; older ones live on in the view only.
 #[derive(Debug)]
-pub struct Journal<V: Fold> {
+pub struct ChangeLog<V: Fold> {
     view: V,
     tail: std::collections::VecDeque<V::Event>,
-    kept: usize,
+    capacity: usize,
     head: u64,
 }
 
-impl<V: Fold> Journal<V> {
-    /// A journal with this view of the events before it, which keeps `kept` events.
-    pub fn new(view: V, kept: usize) -> Self {
-        Journal { view, tail: std::collections::VecDeque::new(), kept, head: 0 }
+impl<V: Fold> ChangeLog<V> {
+    /// A journal with this view of the events before it, which keeps `capacity` events.
+    pub fn new(view: V, capacity: usize) -> Self {
+        ChangeLog { view, tail: std::collections::VecDeque::new(), capacity, head: 0 }
     }
 
     /// Folds an event into the view and keeps it; gives the new head.
     pub fn append(&mut self, event: V::Event) -> u64 {
         self.view.fold(&event);
         self.tail.push_back(event);
-        while self.tail.len() > self.kept {
+        while self.tail.len() > self.capacity {
             self.tail.pop_front();
         }
         self.head += 1;
@@ -49,10 +49,10 @@
         self.head
     }
 
-    /// The events after the first `seen`; none if some of them are no longer kept, or if there were
+    /// The events after the first `position`; none if some of them are no longer kept, or if there were
     /// never so many.
-    pub fn since(&self, seen: u64) -> Option<impl Iterator<Item = &V::Event>> {
-        let gap = self.head.checked_sub(seen)? as usize;
+    pub fn since(&self, position: u64) -> Option<impl Iterator<Item = &V::Event>> {
+        let gap = self.head.checked_sub(position)? as usize;
         let skip = self.tail.len().checked_sub(gap)?;
         Some(self.tail.iter().skip(skip))
     }
--- a/crates/fleet-core/src/journal_tests.rs
+++ b/crates/fleet-core/src/journal_tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn view_is_the_fold_and_the_tail_is_bounded() {
-    let mut j = Journal::new(Sum::default(), 2);
+    let mut j = ChangeLog::new(Sum::default(), 2);
     for i in 1..=4 {
         j.append(i);
     }
--- a/crates/fleet-core/src/link.rs
+++ b/crates/fleet-core/src/link.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-pub use transport::{connect, listen, tame};
+pub use transport::{connect, listen, set_socket_options};
 
 /// Why a message or a call failed.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
@@ -23,9 +23,9 @@
     /// a frame of {0} bytes is too large
     TooLarge(usize),
     /// a frame can't be read
-    Undecodable,
+    Malformed,
     /// an answer of another kind than the call, or to no call
-    Unfitting,
+    UnexpectedAnswer,
     /// a message of a kind that this program does not know
     UnknownKind,
     /// {0}
@@ -45,7 +45,7 @@
     }
     let mut buf = bytes::BytesMut::zeroed(len);
     r.read_exact(&mut buf).await?;
-    Frame::decode(buf.freeze()).map_err(|_| LinkError::Undecodable)
+    Frame::decode(buf.freeze()).map_err(|_| LinkError::Malformed)
 }
 
 fn encode(f: &Frame, out: &mut Vec<u8>) {
@@ -102,11 +102,12 @@
 
 /// Ordered, so that a broken link wakes its callers in the order of their calls.
 /// An answer of a kind that this program does not know comes as none.
-type Waiting = Arc<parking_lot::Mutex<BTreeMap<u64, tokio::sync::oneshot::Sender<Option<Body>>>>>;
+type PendingCalls =
+    Arc<parking_lot::Mutex<BTreeMap<u64, tokio::sync::oneshot::Sender<Option<Body>>>>>;
 
-struct Live {
+struct Connected {
     tx: tokio::sync::mpsc::Sender<Frame>,
-    waiting: Waiting,
+    pending: PendingCalls,
 }
 
 /// Our end of a link that we keep up to one address.
@@ -115,18 +116,18 @@
     pub to: SocketAddr,
     own: Ipv4Addr,
     transport: Arc<dyn Transport>,
-    hello: crate::wire::Hello,
-    live: parking_lot::Mutex<Option<Live>>,
+    hello: crate::wire::Handshake,
+    connected: parking_lot::Mutex<Option<Connected>>,
     calls: AtomicU64,
     rejected: AtomicU64,
-    heard: parking_lot::Mutex<Option<tokio::time::Instant>>,
+    last_received: parking_lot::Mutex<Option<tokio::time::Instant>>,
     state: tokio::sync::watch::Sender<bool>,
     task: parking_lot::Mutex<Option<tokio::task::AbortHandle>>,
 }
 
 /// How a node introduces itself on a new connection.
-fn hello(node: &crate::node::Node) -> crate::wire::Hello {
-    crate::wire::Hello {
+fn hello(node: &crate::node::Node) -> crate::wire::Handshake {
+    crate::wire::Handshake {
         name: node.name.clone(),
         ip: node.ip.to_string(),
         zone: node.zone.clone(),
@@ -165,10 +166,10 @@
             own: node.ip,
             transport,
             hello: hello(node),
-            live: parking_lot::Mutex::new(None),
+            connected: parking_lot::Mutex::new(None),
             calls: AtomicU64::new(1),
             rejected: AtomicU64::new(0),
-            heard: parking_lot::Mutex::new(None),
+            last_received: parking_lot::Mutex::new(None),
             state: tokio::sync::watch::channel(false).0,
             task: parking_lot::Mutex::new(None),
         });
@@ -187,28 +188,28 @@
             if let Ok(stream) = transport.connect(own, to, constants::CONNECT_LIMIT).await {
                 Self::serve(&weak, stream, hello, pushed.as_ref()).await;
             }
-            tokio::time::sleep(constants::RELINK_PAUSE).await;
+            tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
         }
     }
 
     async fn serve(
         weak: &Weak<Link>,
         stream: BoxedStream,
-        hello: crate::wire::Hello,
+        hello: crate::wire::Handshake,
         pushed: Option<&tokio::sync::mpsc::Sender<Body>>,
     ) {
         let (r, w) = stream.into_halves();
         let (tx, rx) = tokio::sync::mpsc::channel(constants::LINK_BACKLOG);
-        let waiting: Waiting = Arc::default();
+        let pending: PendingCalls = Arc::default();
         let writer = Writer::start(w, rx);
-        let first = Frame { call: 0, answer: false, body: Some(Body::Hello(hello)) };
+        let first = Frame { call: 0, answer: false, body: Some(Body::Handshake(hello)) };
         if tx.send(first).await.is_err() {
             return;
         }
         {
             let Some(l) = weak.upgrade() else { return };
-            *l.live.lock() = Some(Live { tx, waiting: waiting.clone() });
-            *l.heard.lock() = Some(tokio::time::Instant::now());
+            *l.connected.lock() = Some(Connected { tx, pending: pending.clone() });
+            *l.last_received.lock() = Some(tokio::time::Instant::now());
             l.state.send_replace(true);
         }
         let mut r = tokio::io::BufReader::with_capacity(4096, r);
@@ -216,7 +217,7 @@
             let f = tokio::select! {
                 biased;
                 f = read_frame(&mut r) => f,
-                () = async { while !writer.is_finished() { tokio::time::sleep(constants::TCP_SILENCE).await } } => Err(LinkError::Down),
+                () = async { while !writer.is_finished() { tokio::time::sleep(constants::TCP_USER_TIMEOUT).await } } => Err(LinkError::Down),
             };
             let Some(l) = weak.upgrade() else { break };
             let f = match f {
@@ -226,10 +227,10 @@
                     break;
                 }
             };
-            *l.heard.lock() = Some(tokio::time::Instant::now());
+            *l.last_received.lock() = Some(tokio::time::Instant::now());
             drop(l);
             if f.answer {
-                if let Some(tx) = waiting.lock().remove(&f.call) {
+                if let Some(tx) = pending.lock().remove(&f.call) {
                     let _ = tx.send(f.body);
                 }
             } else if let (Some(p), Some(body)) = (pushed, f.body)
@@ -240,11 +241,11 @@
         }
         drop(writer);
         if let Some(l) = weak.upgrade() {
-            *l.live.lock() = None;
+            *l.connected.lock() = None;
             l.state.send_replace(false);
         }
         // No call can be added any more: those that wait learn that no answer will come.
-        waiting.lock().clear();
+        pending.lock().clear();
     }
 
     /// Whether the connection stands, as far as this side knows.
@@ -258,8 +259,8 @@
     }
 
     /// Since the other side was last heard; none before the first time.
-    pub fn silent_for(&self) -> Option<Duration> {
-        self.heard.lock().map(|t| t.elapsed())
+    pub fn time_since_received(&self) -> Option<Duration> {
+        self.last_received.lock().map(|t| t.elapsed())
     }
 
     /// Frames and answers of the other side that could not be taken.
@@ -268,17 +269,19 @@
     }
 
     fn count_rejected(&self, error: &LinkError) {
-        let theirs =
-            matches!(error, LinkError::TooLarge(_) | LinkError::Undecodable | LinkError::Unfitting);
+        let theirs = matches!(
+            error,
+            LinkError::TooLarge(_) | LinkError::Malformed | LinkError::UnexpectedAnswer
+        );
         self.rejected.fetch_add(u64::from(theirs), Ordering::Relaxed);
     }
 
     /// Sends without an answer; it is lost where the link breaks.
-    pub fn tell(&self, body: Body) -> Result<(), LinkError> {
+    pub fn notify(&self, body: Body) -> Result<(), LinkError> {
         let frame = sendable(0, false, body)?;
-        let g = self.live.lock();
-        let live = g.as_ref().ok_or(LinkError::Down)?;
-        live.tx.try_send(frame).map_err(|_| LinkError::Down)
+        let g = self.connected.lock();
+        let connected = g.as_ref().ok_or(LinkError::Down)?;
+        connected.tx.try_send(frame).map_err(|_| LinkError::Down)
     }
 
     /// Asks and waits for the answer, not longer than the limit.
@@ -287,24 +290,24 @@
         let no = self.calls.fetch_add(1, Ordering::Relaxed);
         let frame = sendable(no, false, body)?;
         let (tx, rx) = tokio::sync::oneshot::channel();
-        let waiting = {
-            let g = self.live.lock();
-            let live = g.as_ref().ok_or(LinkError::Down)?;
-            live.waiting.lock().insert(no, tx);
-            if live.tx.try_send(frame).is_err() {
-                live.waiting.lock().remove(&no);
+        let pending = {
+            let g = self.connected.lock();
+            let connected = g.as_ref().ok_or(LinkError::Down)?;
+            connected.pending.lock().insert(no, tx);
+            if connected.tx.try_send(frame).is_err() {
+                connected.pending.lock().remove(&no);
                 return Err(LinkError::Down);
             }
-            live.waiting.clone()
+            connected.pending.clone()
         };
         match tokio::time::timeout(limit, rx).await {
             Ok(Ok(answer)) => answer.filter(fits).ok_or_else(|| {
-                self.count_rejected(&LinkError::Unfitting);
-                LinkError::Unfitting
+                self.count_rejected(&LinkError::UnexpectedAnswer);
+                LinkError::UnexpectedAnswer
             }),
             Ok(Err(_)) => Err(LinkError::Down),
             Err(_) => {
-                waiting.lock().remove(&no);
+                pending.lock().remove(&no);
                 Err(LinkError::Late)
             }
         }
@@ -315,7 +318,7 @@
 #[derive(Clone)]
 pub struct Peer {
     /// How it introduced itself.
-    pub hello: Arc<crate::wire::Hello>,
+    pub hello: Arc<crate::wire::Handshake>,
     tx: tokio::sync::mpsc::Sender<Frame>,
 }
 
@@ -338,7 +341,7 @@
 }
 
 /// What the accepting end does with connections and messages.
-pub trait Host: Send + Sync + 'static {
+pub trait PeerHandler: Send + Sync + 'static {
     /// A peer has introduced itself.
     fn joined(self: &Arc<Self>, peer: &Peer);
     /// The connection of a peer has ended.
@@ -350,59 +353,63 @@
         body: Body,
     ) -> impl std::future::Future<Output = Option<Body>> + Send;
     /// A message was dropped, or a connection ended for bytes that make no frame.
-    fn spoilt(self: &Arc<Self>, error: &LinkError);
+    fn message_rejected(self: &Arc<Self>, error: &LinkError);
 }
 
 /// Serves all who connect to the listener, until it is dropped.
-pub async fn host<H: Host>(mut listener: Box<dyn Listener>, host: Arc<H>) {
+pub async fn serve_peers<H: PeerHandler>(mut listener: Box<dyn Listener>, serve_peers: Arc<H>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
         let Ok(stream) = listener.accept().await else {
-            tokio::time::sleep(constants::RELINK_PAUSE).await;
+            tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
             continue;
         };
-        connections.spawn(host_one(stream, host.clone()));
+        connections.spawn(serve_peer(stream, serve_peers.clone()));
     }
 }
 
-async fn host_one<H: Host>(stream: BoxedStream, host: Arc<H>) {
+async fn serve_peer<H: PeerHandler>(stream: BoxedStream, serve_peers: Arc<H>) {
     let (r, w) = stream.into_halves();
     let mut r = tokio::io::BufReader::with_capacity(4096, r);
-    let first = tokio::time::timeout(constants::TCP_SILENCE, read_frame(&mut r)).await;
-    let Ok(Ok(Frame { body: Some(Body::Hello(hello)), .. })) = first else { return };
+    let first = tokio::time::timeout(constants::TCP_USER_TIMEOUT, read_frame(&mut r)).await;
+    let Ok(Ok(Frame { body: Some(Body::Handshake(hello)), .. })) = first else { return };
     let (tx, rx) = tokio::sync::mpsc::channel(constants::LINK_BACKLOG);
     let writer = Writer::start(w, rx);
     let peer = Peer { hello: Arc::new(hello), tx };
-    host.joined(&peer);
+    serve_peers.joined(&peer);
     loop {
         let f = match read_frame(&mut r).await {
             Ok(f) => f,
             Err(e) => {
                 if !matches!(e, LinkError::Socket(_)) {
-                    host.spoilt(&e);
+                    serve_peers.message_rejected(&e);
                 }
                 break;
             }
         };
         let Some(body) = f.body.filter(|_| !f.answer) else {
-            host.spoilt(if f.answer { &LinkError::Unfitting } else { &LinkError::UnknownKind });
+            serve_peers.message_rejected(if f.answer {
+                &LinkError::UnexpectedAnswer
+            } else {
+                &LinkError::UnknownKind
+            });
             continue;
         };
-        let (host, peer) = (host.clone(), peer.clone());
+        let (serve_peers, peer) = (serve_peers.clone(), peer.clone());
         tokio::spawn(async move {
-            let Some(body) = host.answer(&peer, body).await else { return };
+            let Some(body) = serve_peers.answer(&peer, body).await else { return };
             if f.call == 0 {
                 return;
             }
             match sendable(f.call, true, body) {
                 Ok(frame) => drop(peer.tx.try_send(frame)),
-                Err(error) => host.spoilt(&error),
+                Err(error) => serve_peers.message_rejected(&error),
             }
         });
     }
     drop(writer);
-    host.left(&peer);
+    serve_peers.left(&peer);
 }
 
 #[cfg(test)]
--- a/crates/fleet-core/src/link_backlog_tests.rs
+++ b/crates/fleet-core/src/link_backlog_tests.rs
@@ -1,14 +1,14 @@
 //! Tests of the bounds on what `link` keeps for a slow reader.
 
 use super::*;
-use crate::wire::{Hello, Loads, View};
+use crate::wire::{FleetUpdate, Handshake, LoadReport};
 
 const FRAMES: usize = 100;
 
 /// A host that shows its peer as soon as there is one.
 struct Shows(parking_lot::Mutex<Option<tokio::sync::oneshot::Sender<Peer>>>);
 
-impl Host for Shows {
+impl PeerHandler for Shows {
     fn joined(self: &Arc<Self>, peer: &Peer) {
         if let Some(shown) = self.0.lock().take() {
             let _ = shown.send(peer.clone());
@@ -21,7 +21,7 @@
         None
     }
 
-    fn spoilt(self: &Arc<Self>, _: &LinkError) {}
+    fn message_rejected(self: &Arc<Self>, _: &LinkError) {}
 }
 
 /// Lets all tasks run until they wait for each other.
@@ -36,17 +36,17 @@
     let (near, far) = tokio::io::duplex(4096);
     let (shown, peer) = tokio::sync::oneshot::channel();
     let host = Arc::new(Shows(parking_lot::Mutex::new(Some(shown))));
-    let serving = tokio::spawn(host_one(Box::new(near), host));
+    let serving = tokio::spawn(serve_peer(Box::new(near), host));
     let (reader, mut writer) = tokio::io::split(far);
     let mut hello = Vec::new();
-    let first = Frame { call: 0, answer: false, body: Some(Body::Hello(Hello::default())) };
+    let first = Frame { call: 0, answer: false, body: Some(Body::Handshake(Handshake::default())) };
     encode(&first, &mut hello);
     writer.write_all(&hello).await.unwrap();
     let peer = peer.await.unwrap();
     assert_eq!(peer.backlog(), 0);
 
     let unread = vec![u32::MAX; constants::WRITE_BATCH / 8];
-    let large = Body::Loads(Loads { unread, ..Default::default() });
+    let large = Body::LoadReport(LoadReport { unread, ..Default::default() });
     for _ in 0..FRAMES {
         peer.push(large.clone()).unwrap();
     }
@@ -55,10 +55,10 @@
 
     let mut reader = tokio::io::BufReader::new(Box::new(reader) as ByteReader);
     for _ in 0..FRAMES {
-        assert!(matches!(read_frame(&mut reader).await.unwrap().body, Some(Body::Loads(_))));
+        assert!(matches!(read_frame(&mut reader).await.unwrap().body, Some(Body::LoadReport(_))));
     }
-    peer.push(Body::View(View::default())).unwrap();
-    assert!(matches!(read_frame(&mut reader).await.unwrap().body, Some(Body::View(_))));
+    peer.push(Body::FleetUpdate(FleetUpdate::default())).unwrap();
+    assert!(matches!(read_frame(&mut reader).await.unwrap().body, Some(Body::FleetUpdate(_))));
     assert_eq!(peer.backlog(), 0);
     serving.abort();
 }
--- a/crates/fleet-core/src/link_tests.rs
+++ b/crates/fleet-core/src/link_tests.rs
@@ -2,7 +2,9 @@
 
 use super::*;
 use crate::transport::{BoxFuture, TransportError};
-use crate::wire::{Alive, Done, Fetch, Fetched, Hello, Leased};
+use crate::wire::{
+    Empty, Handshake, LeaseResponse, RegisterRequest, RegisterResponse, RouterHeartbeat,
+};
 use tokio::io::DuplexStream;
 use tokio::sync::mpsc;
 
@@ -37,7 +39,7 @@
 }
 
 fn fetched(known: bool) -> Body {
-    Body::Fetched(Fetched { known, register: None })
+    Body::RegisterResponse(RegisterResponse { known, register: None })
 }
 
 fn frame(call: u64, answer: bool, body: Option<Body>) -> Vec<u8> {
@@ -55,7 +57,7 @@
 
 async fn far_end(far_ends: &mut mpsc::UnboundedReceiver<DuplexStream>) -> DuplexStream {
     let mut far = far_ends.recv().await.unwrap();
-    assert!(matches!(read_one(&mut far).await.body, Some(Body::Hello(_))));
+    assert!(matches!(read_one(&mut far).await.body, Some(Body::Handshake(_))));
     far
 }
 
@@ -74,10 +76,11 @@
         tokio::task::yield_now().await;
     }
     let calling = link.clone();
-    let call =
-        tokio::spawn(async move { calling.call(Body::Fetch(Fetch::default()), LIMIT).await });
+    let call = tokio::spawn(async move {
+        calling.call(Body::RegisterRequest(RegisterRequest::default()), LIMIT).await
+    });
     let asked = read_one(far).await;
-    assert!(!asked.answer && matches!(asked.body, Some(Body::Fetch(_))));
+    assert!(!asked.answer && matches!(asked.body, Some(Body::RegisterRequest(_))));
     (call, asked.call)
 }
 
@@ -136,12 +139,14 @@
 
 #[tokio::test(start_paused = true)]
 async fn answer_of_another_kind_is_an_error() {
-    for body in [Some(Body::Leased(Leased { ok: true })), Some(Body::Done(Done {})), None] {
+    for body in
+        [Some(Body::LeaseResponse(LeaseResponse { ok: true })), Some(Body::Empty(Empty {})), None]
+    {
         let (link, mut far_ends) = link();
         let mut far = far_end(&mut far_ends).await;
         let (call, no) = call(&link, &mut far).await;
         far.write_all(&frame(no, true, body)).await.unwrap();
-        assert_eq!(call.await.unwrap(), Err(LinkError::Unfitting));
+        assert_eq!(call.await.unwrap(), Err(LinkError::UnexpectedAnswer));
         assert_eq!(link.rejected(), 1);
         assert!(link.is_up());
     }
@@ -175,10 +180,10 @@
     let (link, mut far_ends) = link();
     let mut far = far_end(&mut far_ends).await;
     let (waiting, no) = call(&link, &mut far).await;
-    let large = Fetch { key: "k".repeat(constants::FRAME_MAX) };
-    let got = link.call(Body::Fetch(large.clone()), LIMIT).await;
+    let large = RegisterRequest { key: "k".repeat(constants::FRAME_MAX) };
+    let got = link.call(Body::RegisterRequest(large.clone()), LIMIT).await;
     assert!(matches!(got, Err(LinkError::TooLarge(_))), "{got:?}");
-    assert!(matches!(link.tell(Body::Fetch(large)), Err(LinkError::TooLarge(_))));
+    assert!(matches!(link.notify(Body::RegisterRequest(large)), Err(LinkError::TooLarge(_))));
     far.write_all(&frame(no, true, Some(fetched(true)))).await.unwrap();
     assert_eq!(waiting.await.unwrap(), Ok(fetched(true)));
 }
@@ -190,33 +195,33 @@
     errors: parking_lot::Mutex<Vec<LinkError>>,
 }
 
-impl Host for Heard {
+impl PeerHandler for Heard {
     fn joined(self: &Arc<Self>, _peer: &Peer) {}
     fn left(self: &Arc<Self>, _peer: &Peer) {}
     async fn answer(self: &Arc<Self>, _peer: &Peer, body: Body) -> Option<Body> {
-        let large = matches!(body, Body::Fetch(_));
+        let large = matches!(body, Body::RegisterRequest(_));
         self.bodies.lock().push(body);
         if large {
             let key = "k".repeat(constants::FRAME_MAX);
-            return Some(Body::Fetch(Fetch { key }));
+            return Some(Body::RegisterRequest(RegisterRequest { key }));
         }
-        Some(Body::Nothing(Done {}))
+        Some(Body::Acknowledged(Empty {}))
     }
-    fn spoilt(self: &Arc<Self>, error: &LinkError) {
+    fn message_rejected(self: &Arc<Self>, error: &LinkError) {
         self.errors.lock().push(error.clone());
     }
 }
 
 fn alive() -> Body {
-    Body::Alive(Alive::default())
+    Body::RouterHeartbeat(RouterHeartbeat::default())
 }
 
 /// Plays bytes behind a proper introduction and gives what the host made of them.
 async fn play(bytes: &[u8]) -> Arc<Heard> {
     let heard = Arc::new(Heard::default());
     let (near, mut far) = tokio::io::duplex(1 << 16);
-    let hosting = tokio::spawn(host_one(Box::new(near), heard.clone()));
-    far.write_all(&frame(0, false, Some(Body::Hello(Hello::default())))).await.unwrap();
+    let hosting = tokio::spawn(serve_peer(Box::new(near), heard.clone()));
+    far.write_all(&frame(0, false, Some(Body::Handshake(Handshake::default())))).await.unwrap();
     far.write_all(bytes).await.unwrap();
     far.shutdown().await.unwrap();
     hosting.await.unwrap();
@@ -234,9 +239,9 @@
     let unknown_kind = [&4u32.to_be_bytes()[..], &[0xaa, 0x3f, 0x01, 0x00]].concat();
     let table: Vec<(&str, Vec<u8>, usize, Vec<LinkError>)> = vec![
         ("call", call.clone(), 1, vec![]),
-        ("answer to nothing", frame(9, true, Some(alive())), 0, vec![LinkError::Unfitting]),
+        ("answer to nothing", frame(9, true, Some(alive())), 0, vec![LinkError::UnexpectedAnswer]),
         ("unknown kind", unknown_kind, 0, vec![LinkError::UnknownKind]),
-        ("undecodable", undecodable, 0, vec![LinkError::Undecodable]),
+        ("undecodable", undecodable, 0, vec![LinkError::Malformed]),
         ("oversized", oversized, 0, vec![LinkError::TooLarge(u32::MAX as usize)]),
     ];
     for (what, bytes, calls, errors) in table {
@@ -252,7 +257,8 @@
 /// An answer that the caller would reject with the whole connection is not sent.
 #[tokio::test(start_paused = true)]
 async fn oversized_answers_are_not_sent() {
-    let heard = play(&frame(1, false, Some(Body::Fetch(Fetch::default())))).await;
+    let heard =
+        play(&frame(1, false, Some(Body::RegisterRequest(RegisterRequest::default())))).await;
     assert_eq!(heard.bodies.lock().len(), 1);
     assert!(matches!(heard.errors.lock()[..], [LinkError::TooLarge(_)]));
 }
--- a/crates/fleet-core/src/load.rs
+++ b/crates/fleet-core/src/load.rs
@@ -1,7 +1,7 @@
 //! Loads of engines, as routers and controllers add them up.
 
 use crate::constants;
-use crate::wire::Loads;
+use crate::wire::LoadReport;
 
 /// Load of one engine by sends in flight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -42,12 +42,12 @@
 
 /// The message that tells these loads: without idle engines, ordered by key, tokens rounded up to
 /// `LOAD_TOKENS`.
-pub fn pack(loads: &ByEngine) -> Loads {
-    let mut rows: Vec<(&u32, &Load)> =
+pub fn pack(loads: &ByEngine) -> LoadReport {
+    let mut engines: Vec<(&u32, &Load)> =
         loads.iter().filter(|(_, load)| **load != Load::default()).collect();
-    rows.sort_unstable_by_key(|(key, _)| **key);
-    let mut message = Loads::default();
-    for (key, load) in rows {
+    engines.sort_unstable_by_key(|(key, _)| **key);
+    let mut message = LoadReport::default();
+    for (key, load) in engines {
         let unread = load.unread.div_ceil(constants::LOAD_TOKENS).min(u64::from(u32::MAX));
         message.keys.push(*key);
         message.unread.push(unread as u32);
@@ -58,10 +58,10 @@
 }
 
 /// The loads that a message tells. Lists of unequal length are read as far as all reach.
-pub fn unpack(message: &Loads) -> impl Iterator<Item = (u32, Load)> + '_ {
-    let rows =
+pub fn unpack(message: &LoadReport) -> impl Iterator<Item = (u32, Load)> + '_ {
+    let engines =
         message.keys.iter().zip(&message.unread).zip(&message.runs).zip(&message.interactive);
-    rows.map(|(((key, unread), runs), interactive)| {
+    engines.map(|(((key, unread), runs), interactive)| {
         let unread = u64::from(*unread) * constants::LOAD_TOKENS;
         (*key, Load { unread, runs: *runs, interactive: *interactive })
     })
@@ -69,21 +69,21 @@
 
 /// What each sender told last, for as long as it keeps telling.
 #[derive(Default)]
-pub struct Book {
-    told: std::collections::BTreeMap<u64, (tokio::time::Instant, Loads)>,
+pub struct LoadTable {
+    reports: std::collections::BTreeMap<u64, (tokio::time::Instant, LoadReport)>,
 }
 
-impl Book {
+impl LoadTable {
     /// Remembers what a sender told now.
-    pub fn hear(&mut self, teller: u64, now: tokio::time::Instant, loads: Loads) {
-        self.told.insert(teller, (now, loads));
+    pub fn record(&mut self, reporter: u64, now: tokio::time::Instant, loads: LoadReport) {
+        self.reports.insert(reporter, (now, loads));
     }
 
-    /// The sum over all senders that were heard within `LOAD_LIMIT`; forgets the others.
+    /// The sum over all senders that were heard within `LOAD_REPORT_TIMEOUT`; forgets the others.
     pub fn sum(&mut self, now: tokio::time::Instant) -> ByEngine {
-        self.told.retain(|_, (at, _)| now.duration_since(*at) < constants::LOAD_LIMIT);
+        self.reports.retain(|_, (at, _)| now.duration_since(*at) < constants::LOAD_REPORT_TIMEOUT);
         let mut sum = ByEngine::default();
-        for (_, message) in self.told.values() {
+        for (_, message) in self.reports.values() {
             for (key, load) in unpack(message) {
                 sum.entry(key).or_default().add(&load);
             }
@@ -92,23 +92,25 @@
     }
 
     /// The senders that are remembered.
-    pub fn tellers(&self) -> impl Iterator<Item = u64> + '_ {
-        self.told.keys().copied()
+    pub fn reporters(&self) -> impl Iterator<Item = u64> + '_ {
+        self.reports.keys().copied()
     }
 }
 
-/// Decides whether a message goes out now: when it has changed, and every `LOAD_REFRESH` so that it
+/// Decides whether a message goes out now: when it has changed, and every `LOAD_REPORT_REFRESH` so that it
 /// still counts.
 #[derive(Default)]
-pub struct Last {
-    sent: Option<(tokio::time::Instant, Loads)>,
+pub struct ReportSchedule {
+    sent: Option<(tokio::time::Instant, LoadReport)>,
 }
 
-impl Last {
+impl ReportSchedule {
     /// Whether these loads go out now; they are then the ones sent last.
-    pub fn is_due(&mut self, now: tokio::time::Instant, loads: &Loads) -> bool {
+    pub fn is_due(&mut self, now: tokio::time::Instant, loads: &LoadReport) -> bool {
         let due = match &self.sent {
-            Some((at, was)) => was != loads || now.duration_since(*at) >= constants::LOAD_REFRESH,
+            Some((at, was)) => {
+                was != loads || now.duration_since(*at) >= constants::LOAD_REPORT_REFRESH
+            }
             None => true,
         };
         if due {
--- a/crates/fleet-core/src/transport.rs
+++ b/crates/fleet-core/src/transport.rs
@@ -115,7 +115,7 @@
         Box::pin(async move {
             loop {
                 let (stream, _) = tokio::net::TcpListener::accept(self).await?;
-                if tame(&stream).is_ok() {
+                if set_socket_options(&stream).is_ok() {
                     return Ok(Box::new(stream) as BoxedStream);
                 }
             }
@@ -124,14 +124,14 @@
 }
 
 /// Bounds how long a socket may hang behind a cut.
-pub fn tame(stream: &tokio::net::TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &tokio::net::TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(constants::TCP_SILENCE))?;
+    socket.set_tcp_user_timeout(Some(constants::TCP_USER_TIMEOUT))?;
     socket.set_tcp_keepalive(
         &socket2::TcpKeepalive::new()
             .with_time(constants::KEEPALIVE_IDLE)
-            .with_interval(constants::KEEPALIVE_GAP)
+            .with_interval(constants::KEEPALIVE_INTERVAL)
             .with_retries(constants::KEEPALIVE_PROBES),
     )
 }
@@ -156,6 +156,6 @@
     socket.bind(SocketAddr::new(own.into(), 0))?;
     let connecting = tokio::time::timeout(limit, socket.connect(to));
     let stream = connecting.await.map_err(|_| TransportError::Late)??;
-    tame(&stream)?;
+    set_socket_options(&stream)?;
     Ok(stream)
 }
--- a/crates/fleet-core/src/wire/answers.rs
+++ b/crates/fleet-core/src/wire/answers.rs
@@ -9,34 +9,38 @@
     pub fn answer_test(&self) -> fn(&Body) -> bool {
         match self {
             Body::Prepare(_) | Body::Accept(_) => |answer| matches!(answer, Body::Vote(_)),
-            Body::PreVote(_) => |answer| matches!(answer, Body::PreVoted(_)),
-            Body::Peek(_) | Body::Recover(_) => |answer| matches!(answer, Body::Peeked(_)),
-            Body::FetchPiece(_) => |answer| matches!(answer, Body::Piece(_)),
-            Body::Fetch(_) => |answer| matches!(answer, Body::Fetched(_)),
-            Body::Change(_) => |answer| matches!(answer, Body::Changed(_)),
-            Body::Lease(_) => |answer| matches!(answer, Body::Leased(_)),
-            Body::Beats(_) => |answer| matches!(answer, Body::Beats(_)),
-            Body::Join(_) => |answer| matches!(answer, Body::Joined(_)),
-            Body::Alive(_) | Body::Leaving(_) => |answer| matches!(answer, Body::Nothing(_)),
-            Body::ConfigAsk(_) => |answer| matches!(answer, Body::ConfigGive(_)),
-            Body::RingAsk(_) => |answer| matches!(answer, Body::RingGive(_)),
-            Body::Hello(_)
+            Body::PreVoteRequest(_) => |answer| matches!(answer, Body::PreVoteResponse(_)),
+            Body::ReadBallots(_) | Body::RecoverRequest(_) => {
+                |answer| matches!(answer, Body::BallotReport(_))
+            }
+            Body::ValueChunkRequest(_) => |answer| matches!(answer, Body::ValueChunk(_)),
+            Body::RegisterRequest(_) => |answer| matches!(answer, Body::RegisterResponse(_)),
+            Body::ChangeRequest(_) => |answer| matches!(answer, Body::ChangeResponse(_)),
+            Body::LeaseRequest(_) => |answer| matches!(answer, Body::LeaseResponse(_)),
+            Body::EngineHeartbeats(_) => |answer| matches!(answer, Body::EngineHeartbeats(_)),
+            Body::JoinRequest(_) => |answer| matches!(answer, Body::JoinResponse(_)),
+            Body::RouterHeartbeat(_) | Body::OwnerResigned(_) => {
+                |answer| matches!(answer, Body::Acknowledged(_))
+            }
+            Body::ConfigRequest(_) => |answer| matches!(answer, Body::ConfigResponse(_)),
+            Body::RingRequest(_) => |answer| matches!(answer, Body::RingResponse(_)),
+            Body::Handshake(_)
             | Body::Vote(_)
-            | Body::PreVoted(_)
-            | Body::Peeked(_)
-            | Body::Fetched(_)
-            | Body::Piece(_)
-            | Body::Committed(_)
-            | Body::Changed(_)
-            | Body::Leased(_)
-            | Body::Joined(_)
-            | Body::View(_)
-            | Body::RingGive(_)
-            | Body::ConfigGive(_)
-            | Body::Done(_)
-            | Body::Nothing(_)
-            | Body::Found(_)
-            | Body::Loads(_) => |_| false,
+            | Body::PreVoteResponse(_)
+            | Body::BallotReport(_)
+            | Body::RegisterResponse(_)
+            | Body::ValueChunk(_)
+            | Body::CommitNotice(_)
+            | Body::ChangeResponse(_)
+            | Body::LeaseResponse(_)
+            | Body::JoinResponse(_)
+            | Body::FleetUpdate(_)
+            | Body::RingResponse(_)
+            | Body::ConfigResponse(_)
+            | Body::Empty(_)
+            | Body::Acknowledged(_)
+            | Body::CachedPrefixes(_)
+            | Body::LoadReport(_) => |_| false,
         }
     }
 }
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -57,7 +57,7 @@
 
 /// What the key `duty/NAME` holds.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct DutyValue {
+pub struct LeaseValue {
     /// Fencing token of the newest holder; rises by one with each raise and is never used again.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
@@ -84,9 +84,9 @@
 }
 
 /// Asks the owner of a key for one change; a controller that does not own the key passes the change on.
-/// Answered with [`Changed`].
+/// Answered with [`ChangeResponse`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Change {
+pub struct ChangeRequest {
     /// What to change; a change of a kind unknown to the receiver is not answered.
     #[prost(oneof = "ChangeKind", tags = "1, 2, 3, 4")]
     pub kind: Option<ChangeKind>,
@@ -103,10 +103,10 @@
     Replace(ReplaceConfig),
     /// Names a version of a model's weights.
     #[prost(message, tag = "2")]
-    Name(NameVersion),
+    Name(SetTargetVersion),
     /// Raises a duty's fencing token.
     #[prost(message, tag = "3")]
-    Raise(RaiseFence),
+    Raise(RaiseFencingToken),
     /// Changes nothing: asks the key's owner to complete what is open and to prove its value current.
     #[prost(string, tag = "4")]
     Confirm(String),
@@ -128,7 +128,7 @@
 
 /// Names the version to which the engines of a model are to be brought.
 #[derive(Clone, PartialEq, Message)]
-pub struct NameVersion {
+pub struct SetTargetVersion {
     /// Name of the model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -139,7 +139,7 @@
 
 /// Raises the fencing token of a duty for a new holding.
 #[derive(Clone, PartialEq, Message)]
-pub struct RaiseFence {
+pub struct RaiseFencingToken {
     /// Name of the duty.
     #[prost(string, tag = "1")]
     pub duty: String,
@@ -171,9 +171,9 @@
     Unproven = 4,
 }
 
-/// Answer to [`Change`].
+/// Answer to [`ChangeRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Changed {
+pub struct ChangeResponse {
     /// An [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "1")]
     pub outcome: i32,
--- a/crates/fleet-core/src/wire/configurations.rs
+++ b/crates/fleet-core/src/wire/configurations.rs
@@ -4,7 +4,7 @@
 
 /// A router asks for the configuration in force, and tells what it has.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ConfigAsk {
+pub struct ConfigRequest {
     /// digest of the body that the router has; empty if it has none that a delta could build on
     #[prost(bytes = "bytes", tag = "1")]
     pub digest: bytes::Bytes,
@@ -12,7 +12,7 @@
 
 /// The configuration that a majority confirmed after the call came; the default where none did.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct ConfigGive {
+pub struct ConfigResponse {
     /// its number
     #[prost(uint64, tag = "1")]
     pub version: u64,
@@ -43,12 +43,12 @@
 pub struct ConfigDelta {
     /// in the order of the new body
     #[prost(message, repeated, tag = "1")]
-    pub pieces: Vec<DeltaPiece>,
+    pub ops: Vec<DeltaOp>,
 }
 
 /// Copies a range of the former body, then inserts bytes.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct DeltaPiece {
+pub struct DeltaOp {
     /// where the range begins
     #[prost(uint64, tag = "1")]
     pub from: u64,
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -35,9 +35,9 @@
     /// Requests that it runs at a time.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
-    /// A [`Standing`].
-    #[prost(enumeration = "Standing", tag = "7")]
-    pub standing: i32,
+    /// A [`EngineState`].
+    #[prost(enumeration = "EngineState", tag = "7")]
+    pub state: i32,
     /// Weights that it has loaded, one entry a model.
     #[prost(message, repeated, tag = "8")]
     pub weights: Vec<Weights>,
@@ -55,18 +55,18 @@
 /// Whether an engine takes requests.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, prost::Enumeration)]
 #[repr(i32)]
-pub enum Standing {
+pub enum EngineState {
     /// It takes requests.
     Ready = 0,
     /// It finishes what runs and takes no new requests; it still serves as a source of kept prompts.
     Draining = 1,
     /// It has ended; final for this instance.
-    Gone = 2,
+    Deregistered = 2,
 }
 
 /// Engines as one controller tells them to another; answered in kind.
 #[derive(Clone, PartialEq, Message)]
-pub struct Beats {
+pub struct EngineHeartbeats {
     /// News of engines; all that are known if the receiver has asked for them.
     #[prost(message, repeated, tag = "1")]
     pub engines: Vec<Engine>,
@@ -77,9 +77,9 @@
 
 /// Loads of engines, in parallel lists: from a router its own sends in flight, from a controller the
 /// sum over its routers, to a router the sum over all. Engines without load are left out. Each message
-/// replaces the one before from the same sender, and counts for `LOAD_LIMIT`.
+/// replaces the one before from the same sender, and counts for `LOAD_REPORT_TIMEOUT`.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Loads {
+pub struct LoadReport {
     /// Hash of the engine's id (`load::key_of`); two that collide only look busier than they are.
     #[prost(fixed32, repeated, tag = "1")]
     pub keys: Vec<u32>,
--- a/crates/fleet-core/src/wire/frame.rs
+++ b/crates/fleet-core/src/wire/frame.rs
@@ -1,15 +1,17 @@
 //! The frame that every message travels in.
 
 use super::{
-    Accept, Alive, Beats, Change, Changed, Committed, ConfigAsk, ConfigGive, Fetch, FetchPiece,
-    Fetched, Found, Hello, Join, Joined, Lease, Leased, Loads, Peek, Peeked, Piece, PreVote,
-    PreVoted, Prepare, Recover, RingAsk, RingGive, View, Vote,
+    Accept, BallotReport, CachedPrefixes, ChangeRequest, ChangeResponse, CommitNotice,
+    ConfigRequest, ConfigResponse, EngineHeartbeats, FleetUpdate, Handshake, JoinRequest,
+    JoinResponse, LeaseRequest, LeaseResponse, LoadReport, PreVoteRequest, PreVoteResponse,
+    Prepare, ReadBallots, RecoverRequest, RegisterRequest, RegisterResponse, RingRequest,
+    RingResponse, RouterHeartbeat, ValueChunk, ValueChunkRequest, Vote,
 };
 use prost::Message;
 
 /// An answer without content.
 #[derive(Clone, PartialEq, Message)]
-pub struct Done {}
+pub struct Empty {}
 
 /// One message on a link. On the wire, its length as four bytes, big-endian, goes before it; at most
 /// `FRAME_MAX` bytes. An unknown body is read as none.
@@ -35,7 +37,7 @@
 pub enum Body {
     /// First frame of a link, from who opened it; not answered.
     #[prost(message, tag = "3")]
-    Hello(Hello),
+    Handshake(Handshake),
     /// Controller to controller; answered with `Vote`.
     #[prost(message, tag = "4")]
     Prepare(Prepare),
@@ -45,88 +47,88 @@
     /// Answer to `Prepare` and `Accept`.
     #[prost(message, tag = "6")]
     Vote(Vote),
-    /// Controller to controller; answered with `Peeked`.
+    /// Controller to controller; answered with `BallotReport`.
     #[prost(message, tag = "7")]
-    Peek(Peek),
-    /// Answer to `Peek` and `Recover`.
+    ReadBallots(ReadBallots),
+    /// Answer to `ReadBallots` and `RecoverRequest`.
     #[prost(message, tag = "8")]
-    Peeked(Peeked),
-    /// Controller with an empty disk to the others; answered with `Peeked`.
+    BallotReport(BallotReport),
+    /// Controller with an empty disk to the others; answered with `BallotReport`.
     #[prost(message, tag = "9")]
-    Recover(Recover),
-    /// Anyone to a controller; answered with `Fetched`.
+    RecoverRequest(RecoverRequest),
+    /// Anyone to a controller; answered with `RegisterResponse`.
     #[prost(message, tag = "10")]
-    Fetch(Fetch),
-    /// Answer to `Fetch`.
+    RegisterRequest(RegisterRequest),
+    /// Answer to `RegisterRequest`.
     #[prost(message, tag = "11")]
-    Fetched(Fetched),
+    RegisterResponse(RegisterResponse),
     /// Owner of a key to the other controllers; not answered.
     #[prost(message, tag = "12")]
-    Committed(Committed),
-    /// Controller to the owner of a key, or who is taken for it; answered with `Changed`.
+    CommitNotice(CommitNotice),
+    /// Controller to the owner of a key, or who is taken for it; answered with `ChangeResponse`.
     #[prost(message, tag = "13")]
-    Change(Change),
-    /// Answer to `Change`.
+    ChangeRequest(ChangeRequest),
+    /// Answer to `ChangeRequest`.
     #[prost(message, tag = "14")]
-    Changed(Changed),
-    /// Controller to controller; answered with `Leased`.
+    ChangeResponse(ChangeResponse),
+    /// Controller to controller; answered with `LeaseResponse`.
     #[prost(message, tag = "15")]
-    Lease(Lease),
-    /// Answer to `Lease`.
+    LeaseRequest(LeaseRequest),
+    /// Answer to `LeaseRequest`.
     #[prost(message, tag = "16")]
-    Leased(Leased),
-    /// Controller to controller; answered with `Beats`.
+    LeaseResponse(LeaseResponse),
+    /// Controller to controller; answered with `EngineHeartbeats`.
     #[prost(message, tag = "17")]
-    Beats(Beats),
-    /// Controller to controller; answered with `Joined`.
+    EngineHeartbeats(EngineHeartbeats),
+    /// Controller to controller; answered with `JoinResponse`.
     #[prost(message, tag = "18")]
-    Join(Join),
-    /// Answer to `Join`.
+    JoinRequest(JoinRequest),
+    /// Answer to `JoinRequest`.
     #[prost(message, tag = "19")]
-    Joined(Joined),
-    /// Router to controller; answered with `Nothing`.
+    JoinResponse(JoinResponse),
+    /// Router to controller; answered with `Acknowledged`.
     #[prost(message, tag = "20")]
-    Alive(Alive),
+    RouterHeartbeat(RouterHeartbeat),
     /// Pushed by a controller to a router.
     #[prost(message, tag = "21")]
-    View(View),
-    /// Router to the index-keeper; answered with `RingGive`.
+    FleetUpdate(FleetUpdate),
+    /// Router to the index-keeper; answered with `RingResponse`.
     #[prost(message, tag = "22")]
-    RingAsk(RingAsk),
-    /// Answer to `RingAsk`.
+    RingRequest(RingRequest),
+    /// Answer to `RingRequest`.
     #[prost(message, tag = "23")]
-    RingGive(RingGive),
+    RingResponse(RingResponse),
     /// Answer without content: it was done.
     #[prost(message, tag = "24")]
-    Done(Done),
+    Empty(Empty),
     /// Answer without content: it was heard.
     #[prost(message, tag = "25")]
-    Nothing(Done),
+    Acknowledged(Empty),
     /// Router to the index-keeper; not answered.
     #[prost(message, tag = "26")]
-    Found(Found),
+    CachedPrefixes(CachedPrefixes),
     /// Both ways between routers and controllers, and between controllers; not answered.
     #[prost(message, tag = "27")]
-    Loads(Loads),
-    /// Controller that reads its state back, to one that holds a value; answered with `Piece`.
+    LoadReport(LoadReport),
+    /// Controller that reads its state back, to one that holds a value; answered with `ValueChunk`.
     #[prost(message, tag = "28")]
-    FetchPiece(FetchPiece),
-    /// Answer to `FetchPiece`.
+    ValueChunkRequest(ValueChunkRequest),
+    /// Answer to `ValueChunkRequest`.
     #[prost(message, tag = "29")]
-    Piece(Piece),
+    ValueChunk(ValueChunk),
     /// Asks whether a key's owner is silent.
     #[prost(message, tag = "40")]
-    PreVote(PreVote),
-    /// Answers `PreVote`.
+    PreVoteRequest(PreVoteRequest),
+    /// Answers `PreVoteRequest`.
     #[prost(message, tag = "41")]
-    PreVoted(PreVoted),
-    /// A controller has given back the keys that it owned; answered with `Nothing`.
+    PreVoteResponse(PreVoteResponse),
+    /// A controller has given back the keys that it owned; answered with `Acknowledged`.
     #[prost(message, tag = "42")]
-    Leaving(Done),
-    /// Router to controller; answered with `ConfigGive`.
+    OwnerResigned(Empty),
+    /// Router to controller; answered with `ConfigResponse`.
     #[prost(message, tag = "32")]
-    ConfigAsk(ConfigAsk),
-    /// Answer to `ConfigAsk`.
+    ConfigRequest(ConfigRequest),
+    /// Answer to `ConfigRequest`.
     #[prost(message, tag = "33")]
-    ConfigGive(ConfigGive),
+    ConfigResponse(ConfigResponse),
 }
--- a/crates/fleet-core/src/wire/invalidations.rs
+++ b/crates/fleet-core/src/wire/invalidations.rs
@@ -15,7 +15,7 @@
     /// Position behind the newest entry.
     #[prost(uint64, tag = "3")]
     pub head: u64,
-    /// The index-keeper's IP address, to which [`RingAsk`] goes.
+    /// The index-keeper's IP address, to which [`RingRequest`] goes.
     #[prost(string, tag = "4")]
     pub keeper: String,
     /// Findings (parts that holders were found to keep) counted so far.
@@ -25,7 +25,7 @@
 
 /// A reader asks for the entries behind its cursor.
 #[derive(Clone, PartialEq, Message)]
-pub struct RingAsk {
+pub struct RingRequest {
     /// Fence of the ring that the cursor belongs to; 0 for none.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
@@ -46,9 +46,9 @@
     pub found: u64,
 }
 
-/// Answer to [`RingAsk`]. Without a head, the keeper cannot tell yet: ask again later.
+/// Answer to [`RingRequest`]. Without a head, the keeper cannot tell yet: ask again later.
 #[derive(Clone, PartialEq, Message)]
-pub struct RingGive {
+pub struct RingResponse {
     /// Where the ring stands now.
     #[prost(message, optional, tag = "1")]
     pub head: Option<RingHead>,
@@ -65,7 +65,7 @@
     /// On a reset, a snapshot of all that is kept; else what was found since. To be applied before the
     /// entries.
     #[prost(message, repeated, tag = "5")]
-    pub digest: Vec<HeldParts>,
+    pub digest: Vec<CachedParts>,
 }
 
 /// One invalidation.
@@ -75,16 +75,16 @@
     #[prost(uint64, tag = "1")]
     pub scope: u64,
     /// What is void; an entry of an unknown kind is skipped.
-    #[prost(oneof = "Purge", tags = "2, 3, 4, 5")]
-    pub what: Option<Purge>,
+    #[prost(oneof = "Invalidation", tags = "2, 3, 4, 5")]
+    pub what: Option<Invalidation>,
 }
 
 /// What an entry of the ring voids.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
-pub enum Purge {
+pub enum Invalidation {
     /// A part at one holder.
     #[prost(message, tag = "2")]
-    Part(PartAt),
+    Part(PartLocation),
     /// All that a holder keeps.
     #[prost(string, tag = "3")]
     Holder(String),
@@ -98,7 +98,7 @@
 
 /// A part of a prompt at a holder (an engine or a store).
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct PartAt {
+pub struct PartLocation {
     /// The engine's instance id, or the store's address.
     #[prost(string, tag = "1")]
     pub holder: String,
@@ -116,7 +116,7 @@
 /// Parts that one holder keeps under one salt, in parallel lists. An empty salt only says that the
 /// holder answers.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct HeldParts {
+pub struct CachedParts {
     /// The engine's instance id, or the store's address.
     #[prost(string, tag = "1")]
     pub holder: String,
@@ -134,8 +134,8 @@
 /// Shared parts that a router's own sends leave at holders. A hint: the keeper takes them in without
 /// proof.
 #[derive(Clone, PartialEq, Message)]
-pub struct Found {
+pub struct CachedPrefixes {
     /// One entry for each holder and salt.
     #[prost(message, repeated, tag = "1")]
-    pub held: Vec<HeldParts>,
+    pub held: Vec<CachedParts>,
 }
--- a/crates/fleet-core/src/wire/leases.rs
+++ b/crates/fleet-core/src/wire/leases.rs
@@ -5,7 +5,7 @@
 /// Asks a member for its grant of a duty lease, or gives the lease back. The asker counts the lease
 /// from before it asked, and holds the duty with the grants of a majority only.
 #[derive(Clone, PartialEq, Message)]
-pub struct Lease {
+pub struct LeaseRequest {
     /// Name of the duty.
     #[prost(string, tag = "1")]
     pub duty: String,
@@ -30,9 +30,9 @@
     pub number: u64,
 }
 
-/// Answer to [`Lease`].
+/// Answer to [`LeaseRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Leased {
+pub struct LeaseResponse {
     /// Granted: the granter grants this duty to no other node until the lease has passed, counted from
     /// its answer.
     #[prost(bool, tag = "1")]
--- a/crates/fleet-core/src/wire/members.rs
+++ b/crates/fleet-core/src/wire/members.rs
@@ -43,7 +43,7 @@
 
 /// First frame of a link: who has opened it.
 #[derive(Clone, PartialEq, Message)]
-pub struct Hello {
+pub struct Handshake {
     /// The node's name.
     #[prost(string, tag = "1")]
     pub name: String,
@@ -63,7 +63,7 @@
 
 /// A controller outside the membership asks for a place in it, again and again until it has one.
 #[derive(Clone, PartialEq, Message)]
-pub struct Join {
+pub struct JoinRequest {
     /// Who asks.
     #[prost(message, required, tag = "1")]
     pub member: Member,
@@ -75,9 +75,9 @@
     pub running_ms: u64,
 }
 
-/// Answer to [`Join`]; a place is given later, by a new membership.
+/// Answer to [`JoinRequest`]; a place is given later, by a new membership.
 #[derive(Clone, PartialEq, Message)]
-pub struct Joined {
+pub struct JoinResponse {
     /// The membership in force, as the answering controller knows it.
     #[prost(message, optional, tag = "1")]
     pub membership: Option<Membership>,
--- a/crates/fleet-core/src/wire/registers.rs
+++ b/crates/fleet-core/src/wire/registers.rs
@@ -64,7 +64,7 @@
 
 /// Asks a voter whether the key's owner has gone silent, before any ballot is prepared.
 #[derive(Clone, PartialEq, Message)]
-pub struct PreVote {
+pub struct PreVoteRequest {
     /// Key that the asker means to take over.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -73,9 +73,9 @@
     pub membership: u64,
 }
 
-/// Answer to [`PreVote`].
+/// Answer to [`PreVoteRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct PreVoted {
+pub struct PreVoteResponse {
     /// Whether this voter would take part in an election now.
     #[prost(bool, tag = "1")]
     pub ok: bool,
@@ -127,7 +127,7 @@
 
 /// Asks for all registers of a member; changes nothing.
 #[derive(Clone, PartialEq, Message)]
-pub struct Peek {
+pub struct ReadBallots {
     /// Epoch of the asker's membership.
     #[prost(uint64, tag = "1")]
     pub membership: u64,
@@ -136,13 +136,13 @@
     pub values: bool,
 }
 
-/// Answer to [`Peek`] and [`Recover`].
+/// Answer to [`ReadBallots`] and [`RecoverRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Peeked {
+pub struct BallotReport {
     /// Whether the member votes at all; only then does its answer count.
     #[prost(bool, tag = "1")]
     pub votes: bool,
-    /// All its registers; values only where the question asked for them, never on [`Recover`].
+    /// All its registers; values only where the question asked for them, never on [`RecoverRequest`].
     #[prost(message, repeated, tag = "2")]
     pub registers: Vec<Register>,
     /// The membership that it votes in.
@@ -156,7 +156,7 @@
 /// An empty disk asks for all ballots, and ends what its former incarnation had on the way: whoever
 /// answers is in the new recovery epoch, and votes in no earlier one.
 #[derive(Clone, PartialEq, Message)]
-pub struct Recover {
+pub struct RecoverRequest {
     /// Epoch of the asker's membership; under another one the answer has no values.
     #[prost(uint64, tag = "1")]
     pub membership: u64,
@@ -170,15 +170,15 @@
 
 /// Asks for one register.
 #[derive(Clone, PartialEq, Message)]
-pub struct Fetch {
+pub struct RegisterRequest {
     /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
 }
 
-/// Answer to [`Fetch`].
+/// Answer to [`RegisterRequest`].
 #[derive(Clone, PartialEq, Message)]
-pub struct Fetched {
+pub struct RegisterResponse {
     /// Whether there is an answer; not if a majority could not be reached.
     #[prost(bool, tag = "1")]
     pub known: bool,
@@ -189,7 +189,7 @@
 
 /// Asks a holder for the part of an accepted value that begins at `offset`.
 #[derive(Clone, PartialEq, Message)]
-pub struct FetchPiece {
+pub struct ValueChunkRequest {
     /// Key of the register.
     #[prost(string, tag = "1")]
     pub key: String,
@@ -203,7 +203,7 @@
 
 /// Part of an accepted value.
 #[derive(Clone, PartialEq, Message)]
-pub struct Piece {
+pub struct ValueChunk {
     /// The ballot that the value was accepted at; blank where the holder has nothing.
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
@@ -221,7 +221,7 @@
 /// Tells that the value at this ballot is committed. A hint: who has accepted it may count it as
 /// committed, others find out by themselves.
 #[derive(Clone, PartialEq, Message)]
-pub struct Committed {
+pub struct CommitNotice {
     /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
--- a/crates/fleet-core/src/wire/views.rs
+++ b/crates/fleet-core/src/wire/views.rs
@@ -5,7 +5,7 @@
 
 /// A router tells each controller, once every `ROUTER_BEAT`, that it lives and what it has.
 #[derive(Clone, PartialEq, Message)]
-pub struct Alive {
+pub struct RouterHeartbeat {
     /// Version of the configuration in force at the router; 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
@@ -16,7 +16,7 @@
 
 /// The version named for a model.
 #[derive(Clone, PartialEq, Message)]
-pub struct NamedWeights {
+pub struct TargetWeights {
     /// Name of the model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -31,17 +31,17 @@
 /// Pushed to routers whenever something changed, and once in full at the start of a link. Each field is
 /// set only when it has news.
 #[derive(Clone, PartialEq, Message)]
-pub struct View {
+pub struct FleetUpdate {
     /// The membership in force.
     #[prost(message, optional, tag = "1")]
     pub membership: Option<Membership>,
-    /// Version of the newest committed configuration; the router fetches it by [`super::Fetch`]. 0 for
+    /// Version of the newest committed configuration; the router fetches it by [`super::RegisterRequest`]. 0 for
     /// no news.
     #[prost(uint64, tag = "2")]
     pub config: u64,
     /// Newly named weights.
     #[prost(message, repeated, tag = "3")]
-    pub weights: Vec<NamedWeights>,
+    pub weights: Vec<TargetWeights>,
     /// Engines that changed.
     #[prost(message, repeated, tag = "4")]
     pub engines: Vec<Engine>,
--- a/crates/fleet-core/tests/load.rs
+++ b/crates/fleet-core/tests/load.rs
@@ -1,7 +1,7 @@
 //! Loads of engines, added up over routers and controllers.
 
 use fleet_core::constants;
-use fleet_core::load::{Book, ByEngine, Last, Load, key_of, pack, unpack};
+use fleet_core::load::{ByEngine, Load, LoadTable, ReportSchedule, key_of, pack, unpack};
 use tokio::time::Instant;
 
 fn load(unread: u64, runs: u32) -> Load {
@@ -31,23 +31,23 @@
 #[test]
 fn tellers_add_up_until_they_fall_silent() {
     let t = Instant::now();
-    let mut b = Book::default();
-    b.hear(1, t, pack(&one("e", load(64, 1))));
-    b.hear(2, t, pack(&one("e", load(64, 9))));
-    b.hear(2, t + constants::LOAD_REFRESH, pack(&one("e", load(64, 2))));
-    assert_eq!(b.sum(t + constants::LOAD_REFRESH)[&key_of("e")].runs, 3);
-    assert_eq!(b.sum(t + constants::LOAD_LIMIT)[&key_of("e")].runs, 2);
-    assert_eq!(b.tellers().collect::<Vec<_>>(), [2]);
-    assert!(b.sum(t + constants::LOAD_LIMIT * 2).is_empty());
+    let mut b = LoadTable::default();
+    b.record(1, t, pack(&one("e", load(64, 1))));
+    b.record(2, t, pack(&one("e", load(64, 9))));
+    b.record(2, t + constants::LOAD_REPORT_REFRESH, pack(&one("e", load(64, 2))));
+    assert_eq!(b.sum(t + constants::LOAD_REPORT_REFRESH)[&key_of("e")].runs, 3);
+    assert_eq!(b.sum(t + constants::LOAD_REPORT_TIMEOUT)[&key_of("e")].runs, 2);
+    assert_eq!(b.reporters().collect::<Vec<_>>(), [2]);
+    assert!(b.sum(t + constants::LOAD_REPORT_TIMEOUT * 2).is_empty());
 }
 
 #[test]
 fn nothing_goes_out_while_nothing_changes_but_now_and_then() {
     let t = Instant::now();
-    let mut last = Last::default();
+    let mut last = ReportSchedule::default();
     let (a, b) = (pack(&one("e", load(64, 1))), pack(&one("e", load(64, 2))));
     assert!(last.is_due(t, &a));
-    assert!(!last.is_due(t + constants::LOAD_PAUSE, &a));
-    assert!(last.is_due(t + constants::LOAD_PAUSE, &b));
-    assert!(last.is_due(t + constants::LOAD_PAUSE + constants::LOAD_REFRESH, &b));
+    assert!(!last.is_due(t + constants::LOAD_REPORT_INTERVAL, &a));
+    assert!(last.is_due(t + constants::LOAD_REPORT_INTERVAL, &b));
+    assert!(last.is_due(t + constants::LOAD_REPORT_INTERVAL + constants::LOAD_REPORT_REFRESH, &b));
 }
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -2,7 +2,9 @@
 //! `cargo test -p fleet-core --test sizes -- --nocapture` prints them.
 
 use fleet_core::load::{ByEngine, Load, pack};
-use fleet_core::wire::{Engine, HeldParts, PartAt, Purge, RingEntry, View, Weights};
+use fleet_core::wire::{
+    CachedParts, Engine, FleetUpdate, Invalidation, PartLocation, RingEntry, Weights,
+};
 use prost::Message;
 
 const SIZES: [usize; 3] = [90, 280, 760];
@@ -30,7 +32,7 @@
 
 #[test]
 fn news_of_an_engine_and_entries_of_the_ring_are_bounded() {
-    let engine = |n: usize| View {
+    let engine = |n: usize| FleetUpdate {
         engines: (0..n)
             .map(|i| Engine {
                 id: format!("i-{i:010x}"),
@@ -48,7 +50,7 @@
     assert!(slope("view, an engine", |n| engine(n).encoded_len()) <= 96.0);
     let entry = |i: usize| RingEntry {
         scope: 0,
-        what: Some(Purge::Part(PartAt {
+        what: Some(Invalidation::Part(PartLocation {
             holder: format!("i-{i:010x}"),
             salt: "daka510000|2|#1".into(),
             part: u64::MAX >> 16,
@@ -60,7 +62,7 @@
     let held = |n: usize| {
         let parts: Vec<u64> = (0..n as u64).map(|i| i << 20).collect();
         let kept = vec![3780; n];
-        HeldParts { holder: "i-00".into(), salt: "m|2|#1".into(), parts, kept }.encoded_len()
+        CachedParts { holder: "i-00".into(), salt: "m|2|#1".into(), parts, kept }.encoded_len()
     };
     assert!(slope("finding at one holder, a part", held) <= 11.0);
 }
