--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -64,7 +64,7 @@
         address: "10.0.0.9:80".into(),
         zone: "z2".into(),
         slots: 9,
-        standing: Standing::Draining as i32,
+        state: EngineState::Draining as i32,
         weights: vec![Weights { model: "m".into(), version: 10 }],
         silent: true,
         turn: 11,
@@ -76,16 +76,16 @@
     RingHead { fence: 1, incarnation: 2, head: 3, keeper: "10.0.0.2".into(), found: 4 }
 }
 
-fn held_parts() -> HeldParts {
-    HeldParts { holder: "e1".into(), salt: "salt".into(), parts: vec![5, 6], kept: vec![7, 0] }
+fn cached_parts() -> CachedParts {
+    CachedParts { holder: "e1".into(), salt: "salt".into(), parts: vec![5, 6], kept: vec![7, 0] }
 }
 
-fn entry(what: Purge) -> RingEntry {
+fn entry(what: Invalidation) -> RingEntry {
     RingEntry { scope: 21, what: Some(what) }
 }
 
 fn change(kind: ChangeKind) -> Body {
-    Body::Change(Change { kind: Some(kind), hops: 2 })
+    Body::ChangeRequest(ChangeRequest { kind: Some(kind), hops: 2 })
 }
 
 fn raise_id() -> RaiseId {
@@ -93,7 +93,11 @@
 }
 
 fn changed(outcome: Outcome) -> Body {
-    Body::Changed(Changed { outcome: outcome as i32, number: 41, holder: "n1".into() })
+    Body::ChangeResponse(ChangeResponse {
+        outcome: outcome as i32,
+        number: 41,
+        holder: "n1".into(),
+    })
 }
 
 /// The messages of registers and of members.
@@ -119,44 +123,51 @@
         membership: Some(membership()),
         recovery_epoch: 3,
     };
-    let peeked = Peeked {
+    let peeked = BallotReport {
         votes: true,
         registers: vec![register()],
         membership: Some(membership()),
         recovery_epoch: 3,
     };
-    let recover = Recover { membership: 1, incarnation: 2, recovery_epoch: 3 };
-    let fetch_piece = FetchPiece { key: "config".into(), ballot: ballot(2), offset: 3 };
-    let piece = Piece { ballot: ballot(2), offset: 3, total: 4, bytes: vec![5].into() };
-    let join = Join { member: member(), observes: true, running_ms: 12 };
+    let recover = RecoverRequest { membership: 1, incarnation: 2, recovery_epoch: 3 };
+    let chunk_request = ValueChunkRequest { key: "config".into(), ballot: ballot(2), offset: 3 };
+    let delta_op = ValueChunk { ballot: ballot(2), offset: 3, total: 4, bytes: vec![5].into() };
+    let join = JoinRequest { member: member(), observes: true, running_ms: 12 };
     vec![
         ("4", Body::Prepare(prepare)),
         ("5", Body::Accept(accept)),
         ("6", Body::Vote(vote)),
-        ("7", Body::Peek(Peek { membership: 1, values: true })),
-        ("8", Body::Peeked(peeked)),
-        ("9", Body::Recover(recover)),
-        ("10", Body::Fetch(Fetch { key: "config".into() })),
-        ("11", Body::Fetched(Fetched { known: true, register: Some(register()) })),
-        ("12", Body::Committed(Committed { key: "config".into(), ballot: ballot(2) })),
-        ("18", Body::Join(join)),
-        ("19", Body::Joined(Joined { membership: Some(membership()) })),
-        ("28", Body::FetchPiece(fetch_piece)),
-        ("29", Body::Piece(piece)),
-        ("40", Body::PreVote(PreVote { key: "config".into(), membership: 1 })),
-        ("41", Body::PreVoted(PreVoted { ok: true, promised: ballot(2) })),
-        ("42", Body::Leaving(Done {})),
+        ("7", Body::ReadBallots(ReadBallots { membership: 1, values: true })),
+        ("8", Body::BallotReport(peeked)),
+        ("9", Body::RecoverRequest(recover)),
+        ("10", Body::RegisterRequest(RegisterRequest { key: "config".into() })),
+        (
+            "11",
+            Body::RegisterResponse(RegisterResponse { known: true, register: Some(register()) }),
+        ),
+        ("12", Body::CommitNotice(CommitNotice { key: "config".into(), ballot: ballot(2) })),
+        ("18", Body::JoinRequest(join)),
+        ("19", Body::JoinResponse(JoinResponse { membership: Some(membership()) })),
+        ("28", Body::ValueChunkRequest(chunk_request)),
+        ("29", Body::ValueChunk(delta_op)),
+        ("40", Body::PreVoteRequest(PreVoteRequest { key: "config".into(), membership: 1 })),
+        ("41", Body::PreVoteResponse(PreVoteResponse { ok: true, promised: ballot(2) })),
+        ("42", Body::OwnerResigned(Empty {})),
     ]
 }
 
 /// Changes of the control state and their outcomes.
 fn change_bodies() -> Vec<(&'static str, Body)> {
     let replace = ReplaceConfig { base: 1, version: 2, packed: vec![3].into() };
-    let raise =
-        RaiseFence { duty: "roll-out".into(), holder: "n1".into(), id: raise_id(), acts: true };
+    let raise = RaiseFencingToken {
+        duty: "roll-out".into(),
+        holder: "n1".into(),
+        id: raise_id(),
+        acts: true,
+    };
     vec![
         ("13-replace", change(ChangeKind::Replace(replace))),
-        ("13-name", change(ChangeKind::Name(NameVersion { model: "m".into(), version: 2 }))),
+        ("13-name", change(ChangeKind::Name(SetTargetVersion { model: "m".into(), version: 2 }))),
         ("13-raise", change(ChangeKind::Raise(raise))),
         ("13-confirm", change(ChangeKind::Confirm("config".into()))),
         ("14-unknown", changed(Outcome::Unknown)),
@@ -169,14 +180,14 @@
 
 /// Leases, engines, routers and what is pushed to these.
 fn fleet_bodies() -> Vec<(&'static str, Body)> {
-    let hello = Hello {
+    let hello = Handshake {
         name: "n1".into(),
         ip: "10.0.0.1".into(),
         zone: "z1".into(),
         role: 2,
         incarnation: 3,
     };
-    let lease = Lease {
+    let lease = LeaseRequest {
         duty: "roll-out".into(),
         incarnation: 2,
         ms: 3,
@@ -185,32 +196,36 @@
         membership: 6,
         number: 7,
     };
-    let view = View {
+    let view = FleetUpdate {
         membership: Some(membership()),
         config: 2,
-        weights: vec![NamedWeights { model: "m".into(), version: 1, age_ms: 2 }],
+        weights: vec![TargetWeights { model: "m".into(), version: 1, age_ms: 2 }],
         engines: vec![engine()],
         ring: Some(ring_head()),
         routers: 6,
         nudge: true,
     };
-    let loads =
-        Loads { keys: vec![1, 2], unread: vec![3, 4], runs: vec![5, 6], interactive: vec![7, 8] };
+    let loads = LoadReport {
+        keys: vec![1, 2],
+        unread: vec![3, 4],
+        runs: vec![5, 6],
+        interactive: vec![7, 8],
+    };
     let give = |form| {
         let digest = vec![3].into();
-        Body::ConfigGive(ConfigGive { version: 1, isolation: 2, digest, form: Some(form) })
+        Body::ConfigResponse(ConfigResponse { version: 1, isolation: 2, digest, form: Some(form) })
     };
     vec![
-        ("3", Body::Hello(hello)),
-        ("15", Body::Lease(lease)),
-        ("16", Body::Leased(Leased { ok: true })),
-        ("17", Body::Beats(Beats { engines: vec![engine()], ask: true })),
-        ("20", Body::Alive(Alive { version: 1, leaving: true })),
-        ("21", Body::View(view)),
-        ("24", Body::Done(Done {})),
-        ("25", Body::Nothing(Done {})),
-        ("27", Body::Loads(loads)),
-        ("32", Body::ConfigAsk(ConfigAsk { digest: vec![1].into() })),
+        ("3", Body::Handshake(hello)),
+        ("15", Body::LeaseRequest(lease)),
+        ("16", Body::LeaseResponse(LeaseResponse { ok: true })),
+        ("17", Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine()], ask: true })),
+        ("20", Body::RouterHeartbeat(RouterHeartbeat { version: 1, leaving: true })),
+        ("21", Body::FleetUpdate(view)),
+        ("24", Body::Empty(Empty {})),
+        ("25", Body::Acknowledged(Empty {})),
+        ("27", Body::LoadReport(loads)),
+        ("32", Body::ConfigRequest(ConfigRequest { digest: vec![1].into() })),
         ("33-whole", give(ConfigForm::Whole(vec![4].into()))),
         ("33-delta", give(ConfigForm::Delta(vec![5].into()))),
     ]
@@ -218,25 +233,26 @@
 
 /// The ring of invalidations and the prompt index.
 fn ring_bodies() -> Vec<(&'static str, Body)> {
-    let ask = RingAsk { fence: 1, incarnation: 2, cursor: 3, reader: 4, refill: true, found: 6 };
-    let part = PartAt { holder: "e1".into(), salt: "salt".into(), part: 3, kept: 4 };
+    let ask =
+        RingRequest { fence: 1, incarnation: 2, cursor: 3, reader: 4, refill: true, found: 6 };
+    let part = PartLocation { holder: "e1".into(), salt: "salt".into(), part: 3, kept: 4 };
     let entries = vec![
-        entry(Purge::Part(part)),
-        entry(Purge::Holder("e1".into())),
-        entry(Purge::Weights(Weights { model: "m".into(), version: 2 })),
-        entry(Purge::Isolation(5)),
+        entry(Invalidation::Part(part)),
+        entry(Invalidation::Holder("e1".into())),
+        entry(Invalidation::Weights(Weights { model: "m".into(), version: 2 })),
+        entry(Invalidation::Isolation(5)),
     ];
-    let give = RingGive {
+    let give = RingResponse {
         head: Some(ring_head()),
         reset: true,
         entries,
         cursor: 4,
-        digest: vec![held_parts()],
+        digest: vec![cached_parts()],
     };
     vec![
-        ("22", Body::RingAsk(ask)),
-        ("23", Body::RingGive(give)),
-        ("26", Body::Found(Found { held: vec![held_parts()] })),
+        ("22", Body::RingRequest(ask)),
+        ("23", Body::RingResponse(give)),
+        ("26", Body::CachedPrefixes(CachedPrefixes { held: vec![cached_parts()] })),
     ]
 }
 
@@ -255,14 +271,14 @@
         isolated: vec!["t".into()],
     };
     let duty =
-        DutyValue { fence: 1, holder: "n1".into(), acting: "n2".into(), raise: Some(raise_id()) };
-    let piece = DeltaPiece { from: 1, length: 2, insert: vec![3] };
+        LeaseValue { fence: 1, holder: "n1".into(), acting: "n2".into(), raise: Some(raise_id()) };
+    let delta_op = DeltaOp { from: 1, length: 2, insert: vec![3] };
     vec![
         ("value-config", config.encode_to_vec()),
         ("value-weights", WeightsValue { version: 3 }.encode_to_vec()),
         ("value-duty", duty.encode_to_vec()),
         ("value-membership", membership().encode_to_vec()),
-        ("value-delta", ConfigDelta { pieces: vec![piece] }.encode_to_vec()),
+        ("value-delta", ConfigDelta { ops: vec![delta_op] }.encode_to_vec()),
     ]
 }
 
--- a/crates/invalidation/src/cache.rs
+++ b/crates/invalidation/src/cache.rs
@@ -2,7 +2,7 @@
 //! index, or a router's prompt index.
 
 use crate::salt::read_salt;
-use fleet_core::wire::{HeldParts, PartAt, Purge, RingEntry, Weights};
+use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry, Weights};
 
 /// A cache of what holders (engines and stores) keep.
 pub trait Cache {
@@ -40,12 +40,12 @@
         return false;
     }
     match &entry.what {
-        Some(Purge::Part(PartAt { holder, salt, part, kept })) => {
+        Some(Invalidation::Part(PartLocation { holder, salt, part, kept })) => {
             cache.evict(holder, salt, *part, *kept);
         }
-        Some(Purge::Holder(holder)) => cache.drop_holder(holder),
-        Some(Purge::Weights(weights)) => cache.drop_salts(&|salt| is_older(salt, weights)),
-        Some(Purge::Isolation(generation)) => {
+        Some(Invalidation::Holder(holder)) => cache.drop_holder(holder),
+        Some(Invalidation::Weights(weights)) => cache.drop_salts(&|salt| is_older(salt, weights)),
+        Some(Invalidation::Isolation(generation)) => {
             cache.drop_salts(&|salt| is_isolated_before(salt, *generation));
         }
         None => {}
@@ -55,7 +55,7 @@
 }
 
 /// Takes in what holders were found to keep.
-pub fn refill(cache: &mut impl Cache, snapshot: &[HeldParts]) {
+pub fn refill(cache: &mut impl Cache, snapshot: &[CachedParts]) {
     for held in snapshot {
         cache.meet(&held.holder);
         if held.salt.is_empty() {
--- a/crates/invalidation/src/view_tests.rs
+++ b/crates/invalidation/src/view_tests.rs
@@ -1,9 +1,9 @@
 //! Tests of `view`.
 
 use super::*;
-use fleet_core::wire::{PartAt, Purge};
+use fleet_core::wire::{Invalidation, PartLocation};
 
-fn entry(what: Purge) -> RingEntry {
+fn entry(what: Invalidation) -> RingEntry {
     RingEntry { scope: 0, what: Some(what) }
 }
 
@@ -18,21 +18,26 @@
     };
     fill(&mut v);
     v.apply(
-        &entry(Purge::Part(PartAt { holder: "e1".into(), salt: a.clone(), part: 1, kept: 0 })),
+        &entry(Invalidation::Part(PartLocation {
+            holder: "e1".into(),
+            salt: a.clone(),
+            part: 1,
+            kept: 0,
+        })),
         |_| true,
     );
     assert!(!v.holds("e1", part_of(&a, 1)));
     assert!(v.holds("e1", part_of(&a, 2)) && v.holds("e1", part_of(&b, 1)));
     v.apply(
-        &entry(Purge::Weights(fleet_core::wire::Weights { model: "m".into(), version: 2 })),
+        &entry(Invalidation::Weights(fleet_core::wire::Weights { model: "m".into(), version: 2 })),
         |_| true,
     );
     assert!(!v.holds("e1", part_of(&a, 2)) && !v.holds("e2", part_of(&a, 1)));
     assert!(v.holds("e1", part_of(&b, 1)));
     fill(&mut v);
-    v.apply(&entry(Purge::Isolation(2)), |_| true);
+    v.apply(&entry(Invalidation::Isolation(2)), |_| true);
     assert!(!v.holds("e2", part_of(&a, 1)) && v.holds("e1", part_of(&b, 1)));
-    v.apply(&entry(Purge::Holder("e1".into())), |_| true);
+    v.apply(&entry(Invalidation::Holder("e1".into())), |_| true);
     assert!(!v.holds("e1", part_of(&b, 1)));
 }
 
@@ -45,7 +50,7 @@
         h.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     }));
     v.learn("e", "m|1|#1", [1].into_iter());
-    let mut e = entry(Purge::Holder("e".into()));
+    let mut e = entry(Invalidation::Holder("e".into()));
     e.scope = 9;
     v.apply(&e, |s| s == 8);
     assert!(v.holds("e", part_of("m|1|#1", 1)));
--- a/crates/simulation/src/constants.rs
+++ b/crates/simulation/src/constants.rs
@@ -13,7 +13,7 @@
 /// connections; what a listener holds before it accepts them.
 pub const BACKLOG: usize = 256;
 /// ms; bytes held up by a cut for so long end their connection, as the kernel's user timeout does.
-pub const CUT_ENDS_STREAM: Duration = fleet_core::constants::TCP_SILENCE;
+pub const CUT_ENDS_STREAM: Duration = fleet_core::constants::TCP_USER_TIMEOUT;
 /// us; least time of a synced write.
 pub const SYNC_LEAST_US: u64 = 300;
 /// us; what a synced write may take beyond that.
--- a/crates/simulation/src/echo.rs
+++ b/crates/simulation/src/echo.rs
@@ -6,10 +6,10 @@
 use crate::mutant::Mutant;
 use crate::transport::ProcessTransport;
 use crate::world::World;
-use fleet_core::link::{Host, Link, LinkError, Peer, host};
+use fleet_core::link::{Link, LinkError, Peer, PeerHandler, serve_peers};
 use fleet_core::node::{Node, Role};
 use fleet_core::transport::Transport;
-use fleet_core::wire::{Body, Fetch, Fetched, Register};
+use fleet_core::wire::{Body, Register, RegisterRequest, RegisterResponse};
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,21 +22,21 @@
     handled: Mutex<BTreeMap<String, usize>>,
 }
 
-impl Host for Echo {
+impl PeerHandler for Echo {
     fn joined(self: &Arc<Self>, _: &Peer) {}
 
     fn left(self: &Arc<Self>, _: &Peer) {}
 
     async fn answer(self: &Arc<Self>, _: &Peer, body: Body) -> Option<Body> {
-        let Body::Fetch(Fetch { key, .. }) = body else { return None };
+        let Body::RegisterRequest(RegisterRequest { key, .. }) = body else { return None };
         *self.handled.lock().entry(key.clone()).or_default() += 1;
         let takes = self.rng.lock().u64(0..constants::ECHO_LONGEST_MS);
         tokio::time::sleep(Duration::from_millis(takes)).await;
         let register = Some(Register { key, ..Register::default() });
-        Some(Body::Fetched(Fetched { known: true, register }))
+        Some(Body::RegisterResponse(RegisterResponse { known: true, register }))
     }
 
-    fn spoilt(self: &Arc<Self>, _: &LinkError) {}
+    fn message_rejected(self: &Arc<Self>, _: &LinkError) {}
 }
 
 /// Calls from one machine to another until the run is over, and records all calls.
@@ -81,21 +81,21 @@
             if let Some(former) = serving.take() {
                 former.abort();
             }
-            serving = Some(tokio::spawn(host(listener, echo.clone())));
+            serving = Some(tokio::spawn(serve_peers(listener, echo.clone())));
         }
         tokio::time::sleep(constants::CALLER_SILENCE).await;
     }
 }
 
 async fn call(world: Arc<World>, link: Arc<Link>, asked: String) -> LinkCall {
-    let question = Body::Fetch(Fetch { key: asked.clone() });
+    let question = Body::RegisterRequest(RegisterRequest { key: asked.clone() });
     let mut answer = link.call(question.clone(), constants::ECHO_LIMIT).await;
     let repeats = world.mutant == Some(Mutant::RepeatedCall);
     if repeats && answer == Err(LinkError::Late) {
         answer = link.call(question, constants::ECHO_LIMIT).await;
     }
     let answered = match answer {
-        Ok(Body::Fetched(fetched)) => fetched.register.map(|register| register.key),
+        Ok(Body::RegisterResponse(fetched)) => fetched.register.map(|register| register.key),
         _ => None,
     };
     LinkCall { asked, answered, handled: 0 }
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine.rs
@@ -5,7 +5,7 @@
 use crate::world::World;
 use bytes::Bytes;
 use control_plane::service::instances;
-use fleet_core::wire::Standing;
+use fleet_core::wire::EngineState;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -65,9 +65,8 @@
         if !controller.acceptor.lock().is_member() {
             continue;
         }
-        let standing =
-            controller.look(|known| known.engines.get(&drained.engine).map(|e| e.standing()));
-        let ready = standing == Some(Standing::Ready);
+        let state = controller.look(|known| known.engines.get(&drained.engine).map(|e| e.state()));
+        let ready = state == Some(EngineState::Ready);
         seen.push(DrainSeen {
             engine: drained.engine.clone(),
             acknowledged_by: drained.by,
--- a/crates/simulation/src/mutant.rs
+++ b/crates/simulation/src/mutant.rs
@@ -52,7 +52,7 @@
     /// The invariant that this defect breaks.
     pub fn breaks(self) -> Invariant {
         match self {
-            Mutant::LyingDisk => Invariant::Committed,
+            Mutant::LyingDisk => Invariant::CommitNotice,
             Mutant::EarlyAcknowledgement => Invariant::Chain,
             Mutant::HastyRefusal => Invariant::Answers,
             Mutant::StaleRead => Invariant::Fresh,
--- a/crates/simulation/src/reader.rs
+++ b/crates/simulation/src/reader.rs
@@ -13,7 +13,7 @@
 use data_plane::fleet_view::config_fetch::{HeldBody, rebuild};
 use fleet_core::link::Link;
 use fleet_core::node::{Node, Role};
-use fleet_core::wire::{Alive, Body, ConfigAsk, ConfigValue};
+use fleet_core::wire::{Body, ConfigRequest, ConfigValue, RouterHeartbeat};
 use prost::Message;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -114,8 +114,8 @@
     let mut held: Option<HeldBody> = None;
     while !world.is_over() {
         tokio::time::sleep(Duration::from_millis(constants::READ_PAUSE_MS)).await;
-        let alive = Alive::default();
-        if link.call(Body::Alive(alive), constants::CALLER_SILENCE).await.is_err() {
+        let heartbeat = RouterHeartbeat::default();
+        if link.call(Body::RouterHeartbeat(heartbeat), constants::CALLER_SILENCE).await.is_err() {
             continue;
         }
         let invoked = world.now();
@@ -129,9 +129,9 @@
 /// The configuration that a majority confirms, put together as the real router does it.
 async fn fetch_newest(link: &Link, held: Option<&HeldBody>) -> Option<HeldBody> {
     let digest = held.map(|held| Bytes::copy_from_slice(held.digest.as_bytes()));
-    let ask = ConfigAsk { digest: digest.unwrap_or_default() };
-    let answer = link.call(Body::ConfigAsk(ask), fleet_core::constants::CONFIG_ASK_LIMIT).await;
-    let Ok(Body::ConfigGive(given)) = answer else { return None };
+    let ask = ConfigRequest { digest: digest.unwrap_or_default() };
+    let answer = link.call(Body::ConfigRequest(ask), fleet_core::constants::CONFIG_ASK_LIMIT).await;
+    let Ok(Body::ConfigResponse(given)) = answer else { return None };
     if given.form.is_none() {
         return held.filter(|held| held.digest.as_bytes() == &given.digest[..]).cloned();
     }
