--- a/crates/control-plane/src/api/config.rs
+++ b/crates/control-plane/src/api/config.rs
@@ -1,6 +1,6 @@
 //! The operator's configurations.
 
-use super::{Context, json, whole};
+use super::{Context, json, read_limited};
 use crate::service::configuration;
 use http::StatusCode;
 
@@ -12,7 +12,7 @@
     let base = rq.request.headers().get("X-Base-Revision").and_then(|v| v.to_str().ok());
     // before the body is read: who sends no base needn't send all of it
     configuration::base_of(base)?;
-    let body = whole(body, fleet_core::constants::CONFIG_BYTES).await?;
+    let body = read_limited(body, fleet_core::constants::CONFIG_BYTES).await?;
     let replaced = configuration::replace(rq.context(), base, body).await?;
     json(StatusCode::OK, format!("{{\"revision\":{}}}", replaced.version))
 }
--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -4,7 +4,7 @@
 use fleet_core::wire::{Engine, EngineState};
 use http::StatusCode;
 
-fn row(e: &Engine) -> serde_json::Value {
+fn engine_json(e: &Engine) -> serde_json::Value {
     let state = match e.state() {
         EngineState::Ready => "ready",
         EngineState::Draining => "draining",
@@ -16,18 +16,18 @@
         .map(|w| serde_json::json!({"name": w.model, "revision": w.version}))
         .collect();
     serde_json::json!({"id": e.id, "service": e.service, "address": e.address, "zone": e.zone,
-        "slots": e.slots, "standing": state, "silent": e.silent, "models": models})
+        "slots": e.slots, "standing": state, "silent": e.heartbeat_missed, "models": models})
 }
 
 #[dropshot::endpoint { method = GET, path = "/anisedyke/Fleet.Look" }]
-pub async fn look(
+pub async fn view(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = rq.context().look(|n| {
+    let body = rq.context().read_state(|n| {
         serde_json::json!({
             "revision": n.config.map_or(0, |c| c.0),
             "routers": n.routers,
-            "engines": n.engines.values().map(row).collect::<Vec<_>>(),
+            "engines": n.engines.values().map(engine_json).collect::<Vec<_>>(),
         })
     });
     json(StatusCode::OK, body.to_string())
--- a/crates/control-plane/src/api/instances.rs
+++ b/crates/control-plane/src/api/instances.rs
@@ -1,6 +1,6 @@
 //! Engines tell that they live, and that they leave.
 
-use super::{Context, json, whole};
+use super::{Context, json, read_limited};
 use crate::service::instances;
 use fleet_core::constants;
 use http::StatusCode;
@@ -16,7 +16,7 @@
     path: dropshot::Path<Id>,
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = whole(body, constants::BEAT_BYTES).await?;
+    let body = read_limited(body, constants::HEARTBEAT_MAX_BYTES).await?;
     instances::heartbeat(rq.context(), path.into_inner().id, body).await?;
     json(StatusCode::OK, "{}")
 }
@@ -27,7 +27,7 @@
     path: dropshot::Path<Id>,
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = whole(body, constants::BEAT_BYTES).await?;
+    let body = read_limited(body, constants::HEARTBEAT_MAX_BYTES).await?;
     instances::deregister(rq.context(), path.into_inner().id, body).await?;
     json(StatusCode::OK, "{}")
 }
--- a/crates/control-plane/src/api/members.rs
+++ b/crates/control-plane/src/api/membership.rs
@@ -4,10 +4,10 @@
 use http::StatusCode;
 
 #[dropshot::endpoint { method = GET, path = "/anisedyke/Members.Look" }]
-pub async fn look(
+pub async fn view(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let view = crate::service::members::look(rq.context()).await;
+    let view = crate::service::membership::view(rq.context()).await;
     let body = serde_json::to_string(&view)
         .map_err(|error| dropshot::HttpError::for_internal_error(error.to_string()))?;
     json(StatusCode::OK, body)
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -3,7 +3,7 @@
 mod config;
 mod fleet;
 mod instances;
-mod members;
+mod membership;
 mod rollout;
 mod weights;
 
@@ -47,7 +47,7 @@
 }
 
 /// The body, or 413 where it holds more than it may.
-pub async fn whole(
+pub async fn read_limited(
     body: dropshot::StreamingBody,
     most: usize,
 ) -> Result<bytes::Bytes, dropshot::HttpError> {
@@ -65,7 +65,7 @@
 
 /// Starts the server of all handlers.
 pub fn serve(
-    s: &Context,
+    controller: &Context,
     at: std::net::SocketAddr,
 ) -> Result<dropshot::HttpServer<Context>, std::io::Error> {
     let mut api = dropshot::ApiDescription::new();
@@ -75,9 +75,9 @@
         .and_then(|()| api.register(config::replace))
         .and_then(|()| api.register(config::fetch))
         .and_then(|()| api.register(weights::put))
-        .and_then(|()| api.register(fleet::look))
-        .and_then(|()| api.register(rollout::look))
-        .and_then(|()| api.register(members::look));
+        .and_then(|()| api.register(fleet::view))
+        .and_then(|()| api.register(rollout::view))
+        .and_then(|()| api.register(membership::view));
     registered.map_err(|e| std::io::Error::other(e.to_string()))?;
     let settings = dropshot::ConfigDropshot {
         bind_address: at,
@@ -86,7 +86,7 @@
         ..Default::default()
     };
     let quiet = slog::Logger::root(slog::Discard, slog::o!());
-    dropshot::ServerBuilder::new(api, s.clone(), quiet)
+    dropshot::ServerBuilder::new(api, controller.clone(), quiet)
         .config(settings)
         .start()
         .map_err(|e| std::io::Error::other(e.to_string()))
--- a/crates/control-plane/src/api/rollout.rs
+++ b/crates/control-plane/src/api/rollout.rs
@@ -4,8 +4,8 @@
 use http::StatusCode;
 
 #[dropshot::endpoint { method = GET, path = "/anisedyke/Rollout.Look" }]
-pub async fn look(
+pub async fn view(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    json(StatusCode::OK, crate::duties::rollout::look::look(rq.context()).to_string())
+    json(StatusCode::OK, crate::rollout::status::view(rq.context()).to_string())
 }
--- a/crates/control-plane/src/api/weights.rs
+++ b/crates/control-plane/src/api/weights.rs
@@ -1,6 +1,6 @@
 //! New weights are named.
 
-use super::{Context, json, whole};
+use super::{Context, json, read_limited};
 use crate::service::weights;
 use http::StatusCode;
 
@@ -9,7 +9,7 @@
     rq: dropshot::RequestContext<Context>,
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = whole(body, fleet_core::constants::BEAT_BYTES).await?;
+    let body = read_limited(body, fleet_core::constants::HEARTBEAT_MAX_BYTES).await?;
     weights::put(rq.context(), body).await?;
     json(StatusCode::OK, "{}")
 }
--- a/crates/control-plane/src/facts.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -4,7 +4,7 @@
 
 /// Something that this controller learned and routers may have to hear of.
 #[derive(Debug, Clone)]
-pub enum Fact {
+pub enum StateChange {
     /// A configuration was chosen.
     Config {
         /// its number
@@ -31,7 +31,7 @@
 
 /// All that this controller knows, folded from the facts.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct ClusterState {
     /// version and isolation generation of the configuration
     pub config: Option<(u64, u64)>,
     /// by model, the version named and when this controller heard of it
@@ -46,26 +46,28 @@
     pub routers: u32,
 }
 
-impl fleet_core::journal::Fold for Known {
-    type Event = Fact;
-    fn fold(&mut self, fact: &Fact) {
-        match fact {
-            Fact::Config { version, isolation } => self.config = Some((*version, *isolation)),
-            Fact::Weights { model, version } => {
+impl fleet_core::journal::Fold for ClusterState {
+    type Event = StateChange;
+    fn fold(&mut self, change: &StateChange) {
+        match change {
+            StateChange::Config { version, isolation } => {
+                self.config = Some((*version, *isolation))
+            }
+            StateChange::Weights { model, version } => {
                 let at = Some(tokio::time::Instant::now());
                 self.weights.insert(model.clone(), (*version, at));
             }
-            Fact::Membership(r) => self.membership = r.clone(),
-            Fact::Engine(e) => {
+            StateChange::Membership(r) => self.membership = r.clone(),
+            StateChange::Engine(e) => {
                 self.engines.insert(e.id.clone(), e.clone());
             }
-            Fact::Ring(h) => self.ring = Some(h.clone()),
-            Fact::Routers(n) => self.routers = *n,
+            StateChange::Ring(h) => self.ring = Some(h.clone()),
+            StateChange::Routers(n) => self.routers = *n,
         }
     }
 }
 
-impl Known {
+impl ClusterState {
     fn named(&self, model: &str) -> Option<TargetWeights> {
         let (version, at) = self.weights.get(model)?;
         let age_ms = at.map_or(0, |t| t.elapsed().as_millis() as u64);
@@ -73,7 +75,7 @@
     }
 
     /// Everything, for a router that has nothing yet.
-    pub fn whole(&self) -> FleetUpdate {
+    pub fn complete(&self) -> FleetUpdate {
         FleetUpdate {
             membership: Some(self.membership.clone()),
             config: self.config.map_or(0, |c| c.0),
@@ -86,22 +88,22 @@
     }
 
     /// The newest state of all that these events touched.
-    pub fn delta<'a>(&self, facts: impl Iterator<Item = &'a Fact>) -> FleetUpdate {
+    pub fn delta<'a>(&self, changes: impl Iterator<Item = &'a StateChange>) -> FleetUpdate {
         let mut v = FleetUpdate::default();
-        for f in facts {
+        for f in changes {
             match f {
-                Fact::Config { .. } => v.config = self.config.map_or(0, |c| c.0),
-                Fact::Weights { model, .. } => {
+                StateChange::Config { .. } => v.config = self.config.map_or(0, |c| c.0),
+                StateChange::Weights { model, .. } => {
                     v.weights.retain(|w| w.model != *model);
                     v.weights.extend(self.named(model));
                 }
-                Fact::Membership(_) => v.membership = Some(self.membership.clone()),
-                Fact::Engine(e) => {
+                StateChange::Membership(_) => v.membership = Some(self.membership.clone()),
+                StateChange::Engine(e) => {
                     v.engines.retain(|x| x.id != e.id);
                     v.engines.extend(self.engines.get(&e.id).cloned());
                 }
-                Fact::Ring(_) => v.ring = self.ring.clone(),
-                Fact::Routers(_) => v.routers = self.routers,
+                StateChange::Ring(_) => v.ring = self.ring.clone(),
+                StateChange::Routers(_) => v.routers = self.routers,
             }
         }
         v
@@ -109,14 +111,14 @@
 }
 
 impl crate::Controller {
-    /// What is new since `seen`; all of it when the journal no longer reaches back.
-    pub fn view_since(&self, seen: Option<u64>) -> (u64, Option<FleetUpdate>) {
-        let j = self.known.lock();
+    /// What is new since `position`; all of it when the journal no longer reaches back.
+    pub fn view_since(&self, position: Option<u64>) -> (u64, Option<FleetUpdate>) {
+        let j = self.cluster_state.lock();
         let head = j.head();
-        let view = match seen {
+        let view = match position {
             Some(s) if s == head => None,
-            Some(s) => Some(j.since(s).map_or_else(|| j.view().whole(), |f| j.view().delta(f))),
-            None => Some(j.view().whole()),
+            Some(s) => Some(j.since(s).map_or_else(|| j.view().complete(), |f| j.view().delta(f))),
+            None => Some(j.view().complete()),
         };
         (head, view)
     }
--- a/crates/control-plane/src/distribution/bodies.rs
+++ b/crates/control-plane/src/config_distribution/bodies.rs
@@ -8,13 +8,13 @@
 /// Bodies by their digests, bounded in number and in bytes; the oldest gives way.
 #[derive(Default)]
 pub struct Bodies {
-    kept: VecDeque<(BodyDigest, bytes::Bytes)>,
+    retained: VecDeque<(BodyDigest, bytes::Bytes)>,
     bytes: usize,
-    deltas: VecDeque<KeptDelta>,
+    deltas: VecDeque<RetainedDelta>,
 }
 
 /// A packed delta, for the next router that has the same body.
-struct KeptDelta {
+struct RetainedDelta {
     former: BodyDigest,
     new: BodyDigest,
     packed: bytes::Bytes,
@@ -27,16 +27,17 @@
             return;
         }
         self.bytes += packed.len();
-        self.kept.push_back((digest, packed));
-        while self.kept.len() > constants::BODIES_KEPT || self.bytes > constants::BODIES_KEPT_BYTES
+        self.retained.push_back((digest, packed));
+        while self.retained.len() > constants::BODIES_CAPACITY
+            || self.bytes > constants::BODIES_CAPACITY_BYTES
         {
-            let Some((_, oldest)) = self.kept.pop_front() else { return };
+            let Some((_, oldest)) = self.retained.pop_front() else { return };
             self.bytes -= oldest.len();
         }
     }
 
     fn packed(&self, digest: BodyDigest) -> Option<&bytes::Bytes> {
-        self.kept.iter().find(|(kept, _)| *kept == digest).map(|(_, packed)| packed)
+        self.retained.iter().find(|(retained, _)| *retained == digest).map(|(_, packed)| packed)
     }
 
     fn body(&self, digest: BodyDigest) -> Option<bytes::Bytes> {
@@ -45,14 +46,14 @@
 
     /// The packed delta between two bodies, if both are still kept; reckoned once for all routers.
     pub fn delta(&mut self, former: BodyDigest, new: BodyDigest) -> Option<bytes::Bytes> {
-        let known = self.deltas.iter().find(|delta| delta.former == former && delta.new == new);
-        if let Some(known) = known {
-            return Some(known.packed.clone());
+        let retained = self.deltas.iter().find(|delta| delta.former == former && delta.new == new);
+        if let Some(retained) = retained {
+            return Some(retained.packed.clone());
         }
         let delta = delta::between(&self.body(former)?, &self.body(new)?);
         let packed = packing::pack(&delta.encode_to_vec());
-        self.deltas.push_back(KeptDelta { former, new, packed: packed.clone() });
-        if self.deltas.len() > constants::DELTAS_KEPT {
+        self.deltas.push_back(RetainedDelta { former, new, packed: packed.clone() });
+        if self.deltas.len() > constants::DELTAS_CAPACITY {
             self.deltas.pop_front();
         }
         Some(packed)
--- a/crates/control-plane/src/distribution/distribution_tests.rs
+++ b/crates/control-plane/src/config_distribution/distribution_tests.rs
@@ -19,23 +19,25 @@
     }
 }
 
-fn ask(digest: &bytes::Bytes) -> ConfigRequest {
+fn request(digest: &bytes::Bytes) -> ConfigRequest {
     ConfigRequest { digest: digest.clone() }
 }
 
 #[test]
 fn a_router_gets_a_delta_for_a_kept_body_and_else_the_whole() {
-    let distribution = Distribution::default();
+    let config_distribution = ConfigDistribution::default();
     let (former, new) = (text(4), text(5));
     let (old, now) = (value(&former, 4), value(&new, 5));
-    distribution.remember(&old);
+    config_distribution.remember(&old);
     let unknown = bytes::Bytes::copy_from_slice(BodyDigest::of(b"?").as_bytes());
     for digest in [&unknown, &bytes::Bytes::new()] {
-        let give = distribution.give(&ask(digest), &now);
-        assert_eq!(give.form, Some(ConfigForm::Whole(now.packed.clone())));
-        assert_eq!((give.version, give.isolation, &give.digest), (5, 3, &now.digest));
+        let respond = config_distribution.respond(&request(digest), &now);
+        assert_eq!(respond.form, Some(ConfigForm::Full(now.packed.clone())));
+        assert_eq!((respond.version, respond.isolation, &respond.digest), (5, 3, &now.digest));
     }
-    let Some(ConfigForm::Delta(packed)) = distribution.give(&ask(&old.digest), &now).form else {
+    let Some(ConfigForm::Delta(packed)) =
+        config_distribution.respond(&request(&old.digest), &now).form
+    else {
         panic!("the former body is kept")
     };
     assert!(packed.len() * 5 < now.packed.len(), "{} bytes", packed.len());
@@ -46,31 +48,31 @@
 
 #[test]
 fn a_delta_larger_than_the_whole_is_not_given() {
-    let distribution = Distribution::default();
+    let config_distribution = ConfigDistribution::default();
     let old = value(&text(4), 4);
-    distribution.remember(&old);
+    config_distribution.remember(&old);
     let now = value("{}", 5);
-    let give = distribution.give(&ask(&old.digest), &now);
-    assert_eq!(give.form, Some(ConfigForm::Whole(now.packed.clone())));
+    let respond = config_distribution.respond(&request(&old.digest), &now);
+    assert_eq!(respond.form, Some(ConfigForm::Full(now.packed.clone())));
 }
 
 #[test]
 fn a_router_that_has_the_body_gets_none() {
     let now = value(&text(5), 5);
-    let give = Distribution::default().give(&ask(&now.digest), &now);
-    assert_eq!((give.version, give.form), (5, None));
+    let respond = ConfigDistribution::default().respond(&request(&now.digest), &now);
+    assert_eq!((respond.version, respond.form), (5, None));
 }
 
 #[test]
 fn stores_follow_the_configuration() {
-    let distribution = Distribution::default();
+    let config_distribution = ConfigDistribution::default();
     let body = |store: &str| {
         serde_json::json!({"revision": 1, "routes": [], "services": [{"name": "k", "kvStore": store}]})
             .to_string()
     };
     for (version, store) in [(1, "10.0.0.1:1"), (2, "10.0.0.1:1"), (3, "10.0.0.2:1")] {
         let value = value(&body(store), version);
-        assert_eq!(distribution.kv_stores(&value), [store.to_owned()]);
+        assert_eq!(config_distribution.kv_stores(&value), [store.to_owned()]);
     }
-    assert!(distribution.kv_stores(&value("{", 4)).is_empty());
+    assert!(config_distribution.kv_stores(&value("{", 4)).is_empty());
 }
--- a/crates/control-plane/src/distribution/mod.rs
+++ b/crates/control-plane/src/config_distribution/mod.rs
@@ -4,7 +4,7 @@
 mod shared_read;
 
 use crate::Controller;
-use crate::control::values;
+use crate::consensus::state_machine;
 use bodies::Bodies;
 use fleet_core::constants;
 use fleet_core::digest::BodyDigest;
@@ -15,7 +15,7 @@
 
 /// What a controller keeps for the routers that ask it.
 #[derive(Default)]
-pub struct Distribution {
+pub struct ConfigDistribution {
     bodies: parking_lot::Mutex<Bodies>,
     confirmed: SharedRead<ConfigValue>,
     kv_stores: parking_lot::Mutex<KvStores>,
@@ -28,7 +28,7 @@
     addresses: Vec<String>,
 }
 
-impl Distribution {
+impl ConfigDistribution {
     /// Keeps a committed body, so that routers that have it get only what changed since.
     pub fn remember(&self, value: &ConfigValue) {
         if let Some(digest) = BodyDigest::from_bytes(&value.digest) {
@@ -37,9 +37,10 @@
     }
 
     /// The answer to a router that tells which body it has.
-    pub fn give(&self, ask: &ConfigRequest, value: &ConfigValue) -> ConfigResponse {
+    pub fn respond(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigResponse {
         self.remember(value);
-        let form = if ask.digest == value.digest { None } else { Some(self.form(ask, value)) };
+        let form =
+            if request.digest == value.digest { None } else { Some(self.form(request, value)) };
         ConfigResponse {
             version: value.version,
             isolation: value.isolation,
@@ -49,51 +50,54 @@
     }
 
     /// A delta where the former body is still kept and the delta is smaller than the whole.
-    fn form(&self, ask: &ConfigRequest, value: &ConfigValue) -> ConfigForm {
-        let whole = ConfigForm::Whole(value.packed.clone());
+    fn form(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigForm {
+        let complete = ConfigForm::Full(value.packed.clone());
         let (Some(former), Some(new)) =
-            (BodyDigest::from_bytes(&ask.digest), BodyDigest::from_bytes(&value.digest))
+            (BodyDigest::from_bytes(&request.digest), BodyDigest::from_bytes(&value.digest))
         else {
-            return whole;
+            return complete;
         };
         match self.bodies.lock().delta(former, new) {
             Some(delta) if delta.len() < value.packed.len() => ConfigForm::Delta(delta),
-            _ => whole,
+            _ => complete,
         }
     }
 
     /// Addresses of the stores in the configuration that was learned last; it is read once.
     pub fn kv_stores(&self, value: &ConfigValue) -> Vec<String> {
-        let mut kept = self.kv_stores.lock();
-        if kept.digest != value.digest {
+        let mut retained = self.kv_stores.lock();
+        if retained.digest != value.digest {
             let body = value.body().unwrap_or_default();
             let services = fleet_core::configuration::Configuration::read(&body)
                 .map(|configuration| configuration.services)
                 .unwrap_or_default();
-            *kept = KvStores {
+            *retained = KvStores {
                 digest: value.digest.clone(),
                 addresses: services.into_iter().filter_map(|service| service.kv_store).collect(),
             };
         }
-        kept.addresses.clone()
+        retained.addresses.clone()
     }
 }
 
 /// The committed configuration, confirmed by a majority after this call; None if none is known.
-async fn confirmed(s: &Arc<Controller>) -> Option<Arc<ConfigValue>> {
+async fn confirmed(controller: &Arc<Controller>) -> Option<Arc<ConfigValue>> {
     let read = async {
-        let read = tokio::time::timeout(constants::CHANGE_LIMIT, s.read(values::CONFIG));
+        let read =
+            tokio::time::timeout(constants::CHANGE_TIMEOUT, controller.read(state_machine::CONFIG));
         let (_, value) = read.await.ok()??;
         ConfigValue::decode(value).ok().filter(|value| value.version > 0)
     };
-    s.distribution.confirmed.get(read).await
+    controller.config_distribution.confirmed.get(read).await
 }
 
 /// Answers a router that asks for the configuration in force; version 0 where no majority confirms
 /// one, so that the router goes on to another controller.
-pub async fn answer(s: &Arc<Controller>, ask: &ConfigRequest) -> ConfigResponse {
-    let value = confirmed(s).await;
-    value.map_or_else(ConfigResponse::default, |value| s.distribution.give(ask, &value))
+pub async fn answer(controller: &Arc<Controller>, request: &ConfigRequest) -> ConfigResponse {
+    let value = confirmed(controller).await;
+    value.map_or_else(ConfigResponse::default, |value| {
+        controller.config_distribution.respond(request, &value)
+    })
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/control/acceptor.rs
+++ b/crates/control-plane/src/consensus/acceptor.rs
@@ -1,6 +1,6 @@
 //! The part of a register that every member holds and votes with.
 
-use crate::disk::format::Record;
+use crate::storage::format::Record;
 use fleet_core::constants;
 use fleet_core::wire::{Accept, Ballot, BallotReport, Member, Membership, Prepare, Register, Vote};
 use prost::Message;
@@ -31,7 +31,7 @@
 
 impl Acceptor {
     /// The acceptor of the node with this address, with what its disk holds.
-    pub fn new(own: std::net::Ipv4Addr, state: crate::disk::format::State) -> Self {
+    pub fn new(own: std::net::Ipv4Addr, state: crate::storage::format::State) -> Self {
         let mut a = Acceptor {
             registers: std::collections::BTreeMap::default(),
             membership: Membership::default(),
@@ -147,7 +147,7 @@
         self.record(Vec::new())
     }
 
-    fn refuse(&self, key: &str) -> Step<Vote> {
+    fn reject(&self, key: &str) -> Step<Vote> {
         let answer = Vote {
             ok: false,
             register: self
@@ -166,12 +166,12 @@
 
     /// A vote of a later recovery_epoch takes its voter there.
     fn voted(&mut self, r: Register, recovery_epoch: u64) -> Record {
-        let mut kept = vec![r];
+        let mut registers = vec![r];
         if recovery_epoch > self.recovery_epoch {
             self.recovery_epoch = recovery_epoch;
-            kept.push(self.recovery_epoch_register());
+            registers.push(self.recovery_epoch_register());
         }
-        self.record(kept)
+        self.record(registers)
     }
 
     /// Promises a ballot, if no higher one was promised and its scope is the own one.
@@ -180,23 +180,23 @@
         let is_late = p.ballot.epoch() <= promised.epoch();
         let is_absurd = !self.is_plausible(&p.key, p.ballot);
         if !self.may_vote(p.membership, p.recovery_epoch) || is_late || is_absurd {
-            return self.refuse(&p.key);
+            return self.reject(&p.key);
         }
         let r = self
             .registers
             .entry(p.key.clone())
             .or_insert_with(|| Register { key: p.key.clone(), ..Default::default() });
         r.promised = p.ballot;
-        let mut told = r.clone();
-        let record = self.voted(told.clone(), p.recovery_epoch);
-        if told.accepted <= p.known {
-            told.value = bytes::Bytes::new();
+        let mut reported = r.clone();
+        let record = self.voted(reported.clone(), p.recovery_epoch);
+        if reported.accepted <= p.own_accepted {
+            reported.value = bytes::Bytes::new();
         }
         Step {
             record,
             answer: Vote {
                 ok: true,
-                register: Some(told),
+                register: Some(reported),
                 membership: None,
                 recovery_epoch: self.recovery_epoch,
             },
@@ -211,7 +211,7 @@
         let lacks_value = a.same_as.is_some_and(|same| same != accepted);
         let is_absurd = !self.is_plausible(&a.key, a.ballot);
         if !self.may_vote(a.membership, a.recovery_epoch) || late || lacks_value || is_absurd {
-            return self.refuse(&a.key);
+            return self.reject(&a.key);
         }
         let value = match a.same_as {
             Some(_) => self.registers.get(&a.key).map(|r| r.value.clone()).unwrap_or_default(),
@@ -237,7 +237,7 @@
     }
 
     /// What is held, with or without the values.
-    pub fn peek(&self, values: bool) -> Step<BallotReport> {
+    pub fn read_ballots(&self, values: bool) -> Step<BallotReport> {
         let registers = self
             .registers
             .values()
@@ -256,9 +256,9 @@
 
     /// All ballots that are held here, for a member that reads its state back; from now on in its
     /// recovery epoch. The values follow by key.
-    pub fn hand_over(&mut self, recovery_epoch: u64) -> Step<BallotReport> {
+    pub fn begin_state_transfer(&mut self, recovery_epoch: u64) -> Step<BallotReport> {
         let record = self.advance(recovery_epoch).unwrap_or_else(|| self.barrier());
-        Step { record, answer: self.peek(false).answer }
+        Step { record, answer: self.read_ballots(false).answer }
     }
 
     /// A membership that was decided: one member at a time is exchanged. Who was not a member all the
@@ -267,9 +267,10 @@
         if membership.epoch <= self.membership.epoch {
             return None;
         }
-        let known = self.membership.epoch;
+        let previous = self.membership.epoch;
         self.membership = membership.clone();
-        let stayed = membership.members.iter().any(|m| self.is_own(m) && m.joined_epoch <= known);
+        let stayed =
+            membership.members.iter().any(|m| self.is_own(m) && m.joined_epoch <= previous);
         let mut registers = vec![self.membership_register()];
         if !stayed {
             self.forget();
@@ -287,7 +288,7 @@
     }
 
     /// The first start of all, on empty disks.
-    pub fn found(&mut self, membership: &Membership) -> Option<Record> {
+    pub fn bootstrap(&mut self, membership: &Membership) -> Option<Record> {
         if self.membership.epoch != 0 || !self.registers.is_empty() {
             return None;
         }
--- a/crates/control-plane/src/control/history.rs
+++ b/crates/control-plane/src/consensus/config_history.rs
@@ -8,7 +8,7 @@
 
 /// One configuration of the chain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TakenConfig {
+pub struct CommittedConfig {
     /// its number
     pub version: u64,
     /// the digest of its body
@@ -17,11 +17,11 @@
 
 /// What the history can say about a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Finding {
+pub enum Lookup {
     /// it is in the chain
-    Taken,
+    Committed,
     /// it is not in the chain: all numbers from its own upwards are known
-    NotTaken,
+    NotCommitted,
     /// its number lies before what the history still covers
     BeforeHistory,
 }
@@ -32,29 +32,29 @@
 /// It is kept as one block of bytes: the floor, then for each entry the step from the number
 /// before it (a varint) and the digest, 17 to 26 bytes in all.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TakenHistory {
+pub struct CommittedHistory {
     floor: u64,
-    entries: VecDeque<TakenConfig>,
+    entries: VecDeque<CommittedConfig>,
 }
 
-impl TakenHistory {
+impl CommittedHistory {
     /// Reads a block; one that is missing or damaged covers nothing up to `current`.
-    pub fn decode(block: &[u8], current: u64) -> TakenHistory {
-        let whole = Self::read(block).filter(|history| history.newest() == current);
-        whole.unwrap_or(TakenHistory { floor: current, entries: VecDeque::new() })
+    pub fn decode(block: &[u8], current: u64) -> CommittedHistory {
+        let complete = Self::read(block).filter(|history| history.newest() == current);
+        complete.unwrap_or(CommittedHistory { floor: current, entries: VecDeque::new() })
     }
 
-    fn read(mut block: &[u8]) -> Option<TakenHistory> {
+    fn read(mut block: &[u8]) -> Option<CommittedHistory> {
         let floor = decode_varint(&mut block).ok()?;
-        let mut history = TakenHistory { floor, entries: VecDeque::new() };
+        let mut history = CommittedHistory { floor, entries: VecDeque::new() };
         while block.has_remaining() {
             let step = decode_varint(&mut block).ok().filter(|step| *step > 0)?;
             let version = history.newest().checked_add(step)?;
-            let (digest, rest) = block.split_at_checked(BodyDigest::BYTES)?;
-            block = rest;
+            let (digest, tail) = block.split_at_checked(BodyDigest::BYTES)?;
+            block = tail;
             history
                 .entries
-                .push_back(TakenConfig { version, digest: BodyDigest::from_bytes(digest)? });
+                .push_back(CommittedConfig { version, digest: BodyDigest::from_bytes(digest)? });
         }
         Some(history)
     }
@@ -78,12 +78,12 @@
     }
 
     /// Appends the configuration that comes into force; the oldest gives way beyond the bound.
-    pub fn push(&mut self, taken: TakenConfig) {
-        self.push_within(taken, constants::TAKEN_KEPT);
+    pub fn push(&mut self, committed: CommittedConfig) {
+        self.push_within(committed, constants::COMMITTED_CONFIGS_CAPACITY);
     }
 
-    fn push_within(&mut self, taken: TakenConfig, most: usize) {
-        self.entries.push_back(taken);
+    fn push_within(&mut self, committed: CommittedConfig, most: usize) {
+        self.entries.push_back(committed);
         if self.entries.len() <= most {
             return;
         }
@@ -93,18 +93,18 @@
     }
 
     /// Whether this very change is in the chain.
-    pub fn find(&self, change: &TakenConfig) -> Finding {
+    pub fn find(&self, change: &CommittedConfig) -> Lookup {
         if self.floor > 0 && change.version <= self.floor {
-            return Finding::BeforeHistory;
+            return Lookup::BeforeHistory;
         }
         let at = self.entries.binary_search_by_key(&change.version, |entry| entry.version);
         match at {
-            Ok(at) if self.entries[at] == *change => Finding::Taken,
-            _ => Finding::NotTaken,
+            Ok(at) if self.entries[at] == *change => Lookup::Committed,
+            _ => Lookup::NotCommitted,
         }
     }
 }
 
 #[cfg(test)]
-#[path = "history_tests.rs"]
+#[path = "config_history_tests.rs"]
 mod tests;
--- a/crates/control-plane/src/control/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -14,7 +14,7 @@
 
 impl Elections {
     /// The voter has promised or accepted something for the key.
-    pub fn saw_progress(&mut self, key: &str, now: Instant) {
+    pub fn record_progress(&mut self, key: &str, now: Instant) {
         self.progress.insert(key.to_owned(), now);
     }
 
--- a/crates/control-plane/src/control/submit.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -1,8 +1,8 @@
 //! Bringing a change to the owner of its key, wherever it comes in.
 
-use super::owner::settle;
+use super::key_owner::propose_and_commit;
 use super::proposer::ProposalError;
-use super::values;
+use super::state_machine;
 use crate::Controller;
 use fleet_core::constants;
 use fleet_core::wire::{Body, ChangeKind, ChangeRequest, ChangeResponse, Outcome};
@@ -21,56 +21,67 @@
 fn believed_owner(controller: &Controller, key: &str) -> Option<u64> {
     let promised = controller.acceptor.lock().promised(key);
     let learned = controller.learned.lock().get(key).map(|(b, _)| *b).unwrap_or_default();
-    let highest = promised.max(learned).max(controller.owners.heard(key));
-    (highest.node != 0 && !controller.owners.has_left(key, highest)).then_some(highest.node)
+    let highest = promised.max(learned).max(controller.key_owners.observed_ballot(key));
+    (highest.node != 0 && !controller.key_owners.has_resigned(key, highest)).then_some(highest.node)
 }
 
 /// Has a change decided by the owner of its key, which is elected anew if it is silent.
 ///
 /// An outcome of `Unknown` says that the change may yet be chosen.
 pub async fn submit(controller: &Arc<Controller>, change: ChangeKind) -> ChangeResponse {
-    let limit = constants::change_limit(value_bytes(&change));
-    let run = bring(controller, &change, 0);
-    tokio::time::timeout(limit, run).await.unwrap_or_else(|_| values::unknown())
+    let limit = constants::change_timeout(value_bytes(&change));
+    let run = forward_or_decide(controller, &change, 0);
+    tokio::time::timeout(limit, run).await.unwrap_or_else(|_| state_machine::unknown())
 }
 
 /// A change that another controller passed here.
-pub async fn submit_passed(controller: &Arc<Controller>, change: &ChangeRequest) -> ChangeResponse {
-    let Some(kind) = &change.kind else { return values::unknown() };
-    let limit = constants::change_limit(value_bytes(kind));
-    let run = bring(controller, kind, change.hops);
-    tokio::time::timeout(limit, run).await.unwrap_or_else(|_| values::unknown())
+pub async fn submit_forwarded(
+    controller: &Arc<Controller>,
+    change: &ChangeRequest,
+) -> ChangeResponse {
+    let Some(kind) = &change.kind else { return state_machine::unknown() };
+    let limit = constants::change_timeout(value_bytes(kind));
+    let run = forward_or_decide(controller, kind, change.hops);
+    tokio::time::timeout(limit, run).await.unwrap_or_else(|_| state_machine::unknown())
 }
 
 /// Passes the change to the owner or decides it here, and goes on to a new owner when one was elected.
-async fn bring(controller: &Arc<Controller>, change: &ChangeKind, hops: u32) -> ChangeResponse {
-    let key = values::key_of(change);
+async fn forward_or_decide(
+    controller: &Arc<Controller>,
+    change: &ChangeKind,
+    hops: u32,
+) -> ChangeResponse {
+    let key = state_machine::key_of(change);
     let own = controller.node.id();
-    let until = Instant::now() + constants::change_limit(value_bytes(change));
-    let mut asked = None;
+    let until = Instant::now() + constants::change_timeout(value_bytes(change));
+    let mut forwarded_to = None;
     loop {
         let owner = believed_owner(controller, &key).filter(|o| *o != own);
-        if let Some(owner) = owner.filter(|o| asked != Some(*o) && hops < constants::CHANGE_HOPS) {
-            asked = Some(owner);
-            if let Some(changed) = pass(controller, change, owner, hops).await {
+        if let Some(owner) =
+            owner.filter(|o| forwarded_to != Some(*o) && hops < constants::CHANGE_HOPS)
+        {
+            forwarded_to = Some(owner);
+            if let Some(changed) = forward_to(controller, change, owner, hops).await {
                 return changed;
             }
         }
         if !can_decide(controller) {
-            return pass_to_any(controller, change, asked, hops).await;
+            return forward_to_any(controller, change, forwarded_to, hops).await;
         }
-        let settled = settle(controller, &key, |now| values::decide(change, now)).await;
-        match settled {
+        let proposed =
+            propose_and_commit(controller, &key, |now| state_machine::decide(change, now)).await;
+        match proposed {
             Ok(changed) => return changed,
             Err(ProposalError::NoOwnVote) => {
-                return pass_to_any(controller, change, asked, hops).await;
+                return forward_to_any(controller, change, forwarded_to, hops).await;
             }
-            Err(ProposalError::Overtaken(_) | ProposalError::OwnerActive) => asked = None,
-            Err(ProposalError::NoQuorum) => return values::unknown(),
+            Err(ProposalError::Preempted(_) | ProposalError::OwnerActive) => forwarded_to = None,
+            Err(ProposalError::NoQuorum) => return state_machine::unknown(),
         }
-        let wait = Duration::from_millis(1 + controller.chance(constants::ELECTION_PAUSE_MS));
+        let wait =
+            Duration::from_millis(1 + controller.random_below(constants::ELECTION_BACKOFF_MS));
         if Instant::now() + wait >= until {
-            return values::unknown();
+            return state_machine::unknown();
         }
         tokio::time::sleep(wait).await;
     }
@@ -81,39 +92,39 @@
 }
 
 /// For a node without a vote: one member after the other brings the change to its owner.
-async fn pass_to_any(
+async fn forward_to_any(
     controller: &Arc<Controller>,
     change: &ChangeKind,
-    asked: Option<u64>,
+    forwarded_to: Option<u64>,
     hops: u32,
 ) -> ChangeResponse {
     if hops >= constants::CHANGE_HOPS {
-        return values::unknown();
+        return state_machine::unknown();
     }
     let members = controller.acceptor.lock().membership().members.clone();
     for member in &members {
         let Some(id) = member.addr().map(|a| u64::from(u32::from(a))) else { continue };
-        if id == controller.node.id() || asked == Some(id) {
+        if id == controller.node.id() || forwarded_to == Some(id) {
             continue;
         }
-        if let Some(changed) = pass(controller, change, id, hops).await {
+        if let Some(changed) = forward_to(controller, change, id, hops).await {
             return changed;
         }
     }
-    values::unknown()
+    state_machine::unknown()
 }
 
 /// The answer of the node that the change was passed to, unless it is unknown there.
-async fn pass(
+async fn forward_to(
     controller: &Arc<Controller>,
     change: &ChangeKind,
     to: u64,
     hops: u32,
 ) -> Option<ChangeResponse> {
     let members = controller.acceptor.lock().membership().members.clone();
-    let (_, link) = controller.peers(&members).into_iter().find(|(id, _)| *id == to)?;
+    let (_, link) = controller.links_to(&members).into_iter().find(|(id, _)| *id == to)?;
     let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
-    match link.call(body, constants::owner_limit(value_bytes(change))).await {
+    match link.call(body, constants::owner_timeout(value_bytes(change))).await {
         Ok(Body::ChangeResponse(changed)) if changed.outcome() != Outcome::Unknown => Some(changed),
         _ => None,
     }
--- a/crates/control-plane/src/control/owner.rs
+++ b/crates/control-plane/src/consensus/key_owner.rs
@@ -1,9 +1,9 @@
 //! Owning keys: drives a [`Proposer`] for each key that this node owns or takes over.
 
 use super::election::Elections;
-use super::leaving::LeftBallots;
 use super::proposer::{Action, ProposalError, Proposer, Request, Scope};
-use super::values::Decision;
+use super::resignation::ResignedBallots;
+use super::state_machine::Decision;
 use crate::Controller;
 use fleet_core::constants;
 use fleet_core::link::Link;
@@ -18,53 +18,54 @@
 
 /// The keys that this node owns, each under a lock that one change holds at a time.
 #[derive(Default)]
-pub struct Owners {
+pub struct KeyOwners {
     slots: parking_lot::Mutex<hashbrown::HashMap<String, Slot>>,
     elections: parking_lot::Mutex<Elections>,
     /// highest promised ballot heard of in refusals, by key: who owns it now
-    heard: parking_lot::Mutex<hashbrown::HashMap<String, Ballot>>,
-    left: parking_lot::Mutex<LeftBallots>,
+    observed_ballots: parking_lot::Mutex<hashbrown::HashMap<String, Ballot>>,
+    resigned: parking_lot::Mutex<ResignedBallots>,
 }
 
-impl Owners {
+impl KeyOwners {
     fn slot(&self, key: &str) -> Slot {
         self.slots.lock().entry_ref(key).or_default().clone()
     }
 
     /// The own acceptor has voted for another node's request, or this node begins a round as the owner.
-    pub fn saw_progress(&self, key: &str) {
-        self.elections.lock().saw_progress(key, Instant::now());
+    pub fn record_progress(&self, key: &str) {
+        self.elections.lock().record_progress(key, Instant::now());
     }
 
     /// Another voter has promised this ballot.
-    pub fn heard_promise(&self, key: &str, promised: Ballot) {
-        let mut heard = self.heard.lock();
-        let highest = heard.entry_ref(key).or_default();
+    pub fn observe_ballot(&self, key: &str, promised: Ballot) {
+        let mut observed_ballots = self.observed_ballots.lock();
+        let highest = observed_ballots.entry_ref(key).or_default();
         *highest = promised.max(*highest);
     }
 
     /// Highest promised ballot heard of.
-    pub fn heard(&self, key: &str) -> Ballot {
-        self.heard.lock().get(key).copied().unwrap_or_default()
+    pub fn observed_ballot(&self, key: &str) -> Ballot {
+        self.observed_ballots.lock().get(key).copied().unwrap_or_default()
     }
 
     /// The owner of this ballot has left.
-    pub fn owner_left(&self, key: &str, promised: Ballot) {
-        self.left.lock().insert(key, promised);
+    pub fn owner_resigned(&self, key: &str, promised: Ballot) {
+        self.resigned.lock().insert(key, promised);
     }
 
     /// Whether the owner of this ballot has left.
-    pub fn has_left(&self, key: &str, promised: Ballot) -> bool {
-        self.left.lock().contains(key, promised)
+    pub fn has_resigned(&self, key: &str, promised: Ballot) -> bool {
+        self.resigned.lock().contains(key, promised)
     }
 
     /// Waits for the rounds under way, and owns nothing from then on unless a key is taken over again.
-    pub async fn release_all(&self) {
+    pub async fn release_keys(&self) {
         let mut slots: Vec<(String, Slot)> =
             self.slots.lock().iter().map(|(key, slot)| (key.clone(), slot.clone())).collect();
         slots.sort_by(|a, b| a.0.cmp(&b.0));
         let releases = slots.iter().map(|(_, slot)| async move {
-            if let Ok(mut slot) = tokio::time::timeout(constants::PHASE_LIMIT, slot.lock()).await {
+            if let Ok(mut slot) = tokio::time::timeout(constants::PHASE_TIMEOUT, slot.lock()).await
+            {
                 *slot = None;
             }
         });
@@ -72,23 +73,24 @@
     }
 
     fn is_quiet(&self, key: &str, value_bytes: usize) -> bool {
-        let span = constants::ELECTION_QUIET + constants::phase_limit(value_bytes)
-            - constants::PHASE_LIMIT;
+        let span = constants::ELECTION_TIMEOUT + constants::phase_timeout(value_bytes)
+            - constants::PHASE_TIMEOUT;
         self.elections.lock().is_quiet(key, Instant::now(), span)
     }
 }
 
 /// Answers whether this voter would take part in electing another owner for the key.
-pub fn pre_vote(controller: &Controller, ask: &PreVoteRequest) -> PreVoteResponse {
+pub fn pre_vote(controller: &Controller, request: &PreVoteRequest) -> PreVoteResponse {
     let (eligible, promised, bytes) = {
         let acceptor = controller.acceptor.lock();
         let votes = acceptor.votes() && !controller.disk_broken();
-        let eligible = votes && acceptor.membership().epoch == ask.membership;
-        let bytes = acceptor.register(&ask.key).map_or(0, |r| r.value.len());
-        (eligible, acceptor.promised(&ask.key), bytes)
+        let eligible = votes && acceptor.membership().epoch == request.membership;
+        let bytes = acceptor.register(&request.key).map_or(0, |r| r.value.len());
+        (eligible, acceptor.promised(&request.key), bytes)
     };
-    let owners = &controller.owners;
-    let free = owners.has_left(&ask.key, promised) || owners.is_quiet(&ask.key, bytes);
+    let key_owners = &controller.key_owners;
+    let free =
+        key_owners.has_resigned(&request.key, promised) || key_owners.is_quiet(&request.key, bytes);
     PreVoteResponse { ok: eligible && free, promised }
 }
 
@@ -121,11 +123,11 @@
 }
 
 /// Sends the round's request to all other voters; their votes come in as they answer.
-fn ask_others(controller: &Arc<Controller>, proposer: &Proposer) -> Votes {
+fn broadcast(controller: &Arc<Controller>, proposer: &Proposer) -> Votes {
     let members = controller.acceptor.lock().membership().members.clone();
-    let limit = constants::phase_limit(proposer.value().len());
+    let limit = constants::phase_timeout(proposer.value().len());
     let (votes, inbox) = mpsc::channel(members.len().max(1));
-    for (id, link) in controller.peers(&members) {
+    for (id, link) in controller.links_to(&members) {
         let request = proposer.request_for(id);
         let (controller, votes) = (controller.clone(), votes.clone());
         tokio::spawn(async move {
@@ -149,14 +151,14 @@
         action = match action {
             Action::Chosen => return Ok(()),
             Action::Failed(error) => return Err(error),
-            Action::AskSelf(request) => {
-                let limit = constants::phase_limit(proposer.value().len());
+            Action::SendToSelf(request) => {
+                let limit = constants::phase_timeout(proposer.value().len());
                 let vote = tokio::time::timeout(limit, own_vote(controller, &request)).await;
                 let vote = vote.ok().flatten();
                 proposer.on_vote(step, controller.node.id(), vote.as_ref())
             }
-            Action::AskOthers => {
-                inbox = Some(ask_others(controller, proposer));
+            Action::Broadcast => {
+                inbox = Some(broadcast(controller, proposer));
                 Action::Wait
             }
             Action::Wait => match next_vote(&mut inbox).await {
@@ -183,8 +185,8 @@
     first: Action,
 ) -> Result<(), ProposalError> {
     let done = drive(controller, proposer, first).await;
-    if let Err(ProposalError::Overtaken(promised)) = &done {
-        controller.owners.heard_promise(key, *promised);
+    if let Err(ProposalError::Preempted(promised)) = &done {
+        controller.key_owners.observe_ballot(key, *promised);
     }
     done?;
     controller.committed(key, proposer.ballot(), proposer.value()).await;
@@ -192,47 +194,50 @@
 }
 
 /// Whether a quorum has seen nothing of the key's owner for a while.
-async fn owner_is_silent(controller: &Arc<Controller>, key: &str) -> bool {
+async fn owner_timed_out(controller: &Arc<Controller>, key: &str) -> bool {
     let membership = controller.acceptor.lock().membership().clone();
-    let ask = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
+    let request = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
     let quorum = membership.members.len() / 2 + 1;
     let (answers, mut inbox) = mpsc::channel(membership.members.len().max(1));
-    for (_, link) in controller.peers(&membership.members) {
-        let (answers, ask) = (answers.clone(), ask.clone());
+    for (_, link) in controller.links_to(&membership.members) {
+        let (answers, request) = (answers.clone(), request.clone());
         tokio::spawn(async move {
             if let Ok(Body::PreVoteResponse(answer)) =
-                link.call(Body::PreVoteRequest(ask), constants::PHASE_LIMIT).await
+                link.call(Body::PreVoteRequest(request), constants::PHASE_TIMEOUT).await
             {
                 let _ = answers.send(answer).await;
             }
         });
     }
     drop(answers);
-    let mut willing = usize::from(pre_vote(controller, &ask).ok);
+    let mut willing = usize::from(pre_vote(controller, &request).ok);
     while willing < quorum {
         let Some(answer) = inbox.recv().await else { return false };
-        controller.owners.heard_promise(key, answer.promised);
+        controller.key_owners.observe_ballot(key, answer.promised);
         willing += usize::from(answer.ok);
     }
     true
 }
 
 /// Takes a key over: once its owner is silent, prepares above all that was seen and completes what was open.
-async fn take_over(controller: &Arc<Controller>, key: &str) -> Result<Proposer, ProposalError> {
-    let until = Instant::now() + constants::CHANGE_LIMIT;
-    let mut pause = constants::ELECTION_PAUSE_MS;
+async fn acquire_ownership(
+    controller: &Arc<Controller>,
+    key: &str,
+) -> Result<Proposer, ProposalError> {
+    let until = Instant::now() + constants::CHANGE_TIMEOUT;
+    let mut backoff_ms = constants::ELECTION_BACKOFF_MS;
     loop {
         let error = match elect(controller, key).await {
             Ok(proposer) => return Ok(proposer),
             Err(error) => error,
         };
-        let wait = Duration::from_millis(1 + controller.chance(pause));
-        let hopeless = matches!(error, ProposalError::NoOwnVote | ProposalError::Overtaken(_));
+        let wait = Duration::from_millis(1 + controller.random_below(backoff_ms));
+        let hopeless = matches!(error, ProposalError::NoOwnVote | ProposalError::Preempted(_));
         if hopeless || Instant::now() + wait >= until {
             return Err(error);
         }
         tokio::time::sleep(wait).await;
-        pause *= 2;
+        backoff_ms *= 2;
     }
 }
 
@@ -249,15 +254,15 @@
         };
         (scope, acceptor.highest(key))
     };
-    if !owner_is_silent(controller, key).await {
+    if !owner_timed_out(controller, key).await {
         return Err(ProposalError::OwnerActive);
     }
-    let heard = controller.owners.heard(key);
-    let is_plausible = controller.acceptor.lock().is_plausible(key, heard);
-    let above = if is_plausible { above.max(heard.n) } else { above };
+    let observed_ballots = controller.key_owners.observed_ballot(key);
+    let is_plausible = controller.acceptor.lock().is_plausible(key, observed_ballots);
+    let above = if is_plausible { above.max(observed_ballots.n) } else { above };
     let (mut proposer, first) = Proposer::prepare(controller.node.id(), key, scope, above);
     run_round(controller, key, &mut proposer, first).await?;
-    fleet_core::log_event!(controller.log, fleet_core::log::Event::OwnerTaken,
+    fleet_core::log_event!(controller.log, fleet_core::log::Event::KeyOwnershipAcquired,
         "key" => key, "epoch" => proposer.ballot().n);
     Ok(proposer)
 }
@@ -276,12 +281,12 @@
 ///
 /// # Errors
 /// The change may have been chosen all the same, except after [`ProposalError::NoOwnVote`] of a take-over.
-pub async fn settle(
+pub async fn propose_and_commit(
     controller: &Arc<Controller>,
     key: &str,
     decide: impl Fn(&[u8]) -> Decision,
 ) -> Result<ChangeResponse, ProposalError> {
-    let slot = controller.owners.slot(key);
+    let slot = controller.key_owners.slot(key);
     let mut slot = slot.lock().await;
     if !controller.may_own() {
         return Err(ProposalError::NoOwnVote);
@@ -289,10 +294,10 @@
     let owned = slot.take().filter(|proposer| stands(controller, key, proposer));
     let mut owned = match owned {
         Some(proposer) => {
-            controller.owners.saw_progress(key);
+            controller.key_owners.record_progress(key);
             proposer
         }
-        None => take_over(controller, key).await?,
+        None => acquire_ownership(controller, key).await?,
     };
     let answer = match decide(owned.value()) {
         Decision::Answer(answer) => {
--- a/crates/control-plane/src/control/moves_tests.rs
+++ b/crates/control-plane/src/consensus/membership_change_tests.rs
@@ -4,8 +4,8 @@
 use super::acceptor::Acceptor;
 use super::proposer::{Action, Proposer, Request, Scope};
 use super::schedules::with_values;
-use super::values::{CONFIG, MEMBERSHIP};
-use crate::disk::format::State;
+use super::state_machine::{CONFIG, MEMBERSHIP};
+use crate::storage::format::State;
 use fleet_core::wire::{BallotReport, Member, Membership, Vote};
 use hashbrown::HashSet;
 use prost::Message;
@@ -21,7 +21,7 @@
     Member { ip: ip(i).to_string(), joined_epoch, ..Default::default() }
 }
 
-fn founding(n: usize) -> Membership {
+fn initial_membership(n: usize) -> Membership {
     Membership { epoch: 1, members: (0..n).map(|i| member(i, 0)).collect() }
 }
 
@@ -94,7 +94,7 @@
             })
             .collect();
         for machine in machines.iter_mut().take(n) {
-            let record = machine.acceptor.found(&founding(n)).unwrap();
+            let record = machine.acceptor.bootstrap(&initial_membership(n)).unwrap();
             machine.state.apply(&record);
         }
         World {
@@ -102,7 +102,7 @@
             attempts: vec![],
             wires: vec![],
             chosen: vec![],
-            memberships: vec![founding(n)],
+            memberships: vec![initial_membership(n)],
             next: 1,
         }
     }
@@ -134,16 +134,16 @@
         };
         let above = acceptor.highest(key);
         let (mut proposer, first) = Proposer::prepare(id(owner), key, scope, above);
-        let Action::AskSelf(request) = first else { return };
+        let Action::SendToSelf(request) = first else { return };
         let own = self.vote(owner, &request);
-        if proposer.on_vote(proposer.step(), id(owner), Some(&own)) != Action::AskOthers {
+        if proposer.on_vote(proposer.step(), id(owner), Some(&own)) != Action::Broadcast {
             return;
         }
         let voters = reached.iter().copied().filter(|v| *v != owner && holds(&membership, *v));
-        let asked: Vec<(usize, Request)> =
+        let requests: Vec<(usize, Request)> =
             voters.map(|v| (v, proposer.request_for(id(v)))).collect();
         let votes: Vec<(usize, Vote)> =
-            asked.iter().map(|(voter, request)| (*voter, self.vote(*voter, request))).collect();
+            requests.iter().map(|(voter, request)| (*voter, self.vote(*voter, request))).collect();
         let step = proposer.step();
         let next = votes
             .iter()
@@ -161,8 +161,8 @@
             let owner = self.attempts[attempt].owner;
             action = match action {
                 Action::Wait | Action::Failed(_) => return,
-                Action::AskOthers => return self.broadcast(attempt),
-                Action::AskSelf(request) => {
+                Action::Broadcast => return self.broadcast(attempt),
+                Action::SendToSelf(request) => {
                     let vote = self.vote(owner, &request);
                     let proposer = &mut self.attempts[attempt].proposer;
                     proposer.on_vote(proposer.step(), id(owner), Some(&vote))
@@ -265,7 +265,7 @@
         let recovery_epoch = latest.unwrap_or(0) + 1;
         let mut got: Vec<BallotReport> = Vec::new();
         for o in from {
-            let step = self.machines[o].acceptor.hand_over(recovery_epoch);
+            let step = self.machines[o].acceptor.begin_state_transfer(recovery_epoch);
             self.machines[o].state.apply(&step.record);
             got.push(with_values(step.answer, &self.machines[o].acceptor));
         }
@@ -288,8 +288,8 @@
     }
 
     fn hear(&mut self, i: usize, from: usize) {
-        let known = self.machines[from].acceptor.membership().clone();
-        self.machines[i].adopt(&known);
+        let membership = self.machines[from].acceptor.membership().clone();
+        self.machines[i].adopt(&membership);
     }
 
     fn step(&mut self, what: u8, mask: u8, a: usize) {
@@ -315,9 +315,9 @@
         if let Some(w) = chains.windows(2).find(|w| !w[1].starts_with(w[0])) {
             return Err(format!("{:?} and {:?} were both chosen", w[0], w[1]));
         }
-        let mut seen: hashbrown::HashMap<u64, &Membership> = hashbrown::HashMap::new();
+        let mut memberships: hashbrown::HashMap<u64, &Membership> = hashbrown::HashMap::new();
         for membership in &self.memberships {
-            if *seen.entry(membership.epoch).or_insert(membership) != membership {
+            if *memberships.entry(membership.epoch).or_insert(membership) != membership {
                 return Err(format!("two memberships of epoch {}", membership.epoch));
             }
         }
--- a/crates/control-plane/src/control/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -33,9 +33,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Give this to the own acceptor, wait until its record is on disk, and hand the vote back.
-    AskSelf(Request),
+    SendToSelf(Request),
     /// Send each other voter its [`Proposer::request_for`] and hand the votes back.
-    AskOthers,
+    Broadcast,
     /// Nothing until the next vote.
     Wait,
     /// [`Proposer::value`] is chosen under [`Proposer::ballot`]; the key is owned.
@@ -50,7 +50,7 @@
     /// no quorum of votes in time
     NoQuorum,
     /// a voter has promised the higher ballot {0:?}
-    Overtaken(Ballot),
+    Preempted(Ballot),
     /// the own acceptor gives no vote
     NoOwnVote,
     /// voters still follow an owner that makes progress
@@ -76,11 +76,11 @@
     /// ballot under which `value` is already held by some voters, while it is accepted anew
     source: Option<Ballot>,
     /// what each voter is known to have accepted last
-    held: std::collections::BTreeMap<u64, Ballot>,
+    accepted_ballots: std::collections::BTreeMap<u64, Ballot>,
     phase: Phase,
     step: u64,
     /// accepted ballot of the own acceptor: other voters leave out values that are not newer
-    known: Ballot,
+    own_accepted: Ballot,
 }
 
 impl Proposer {
@@ -94,13 +94,13 @@
             ballot,
             value: bytes::Bytes::new(),
             source: None,
-            held: std::collections::BTreeMap::new(),
+            accepted_ballots: std::collections::BTreeMap::new(),
             phase: Phase::Preparing(Round::new(scope.voters)),
             step: 1,
-            known: Ballot::default(),
+            own_accepted: Ballot::default(),
         };
         let request = proposer.prepare_request();
-        (proposer, Action::AskSelf(Request::Prepare(request)))
+        (proposer, Action::SendToSelf(Request::Prepare(request)))
     }
 
     fn prepare_request(&self) -> Prepare {
@@ -109,7 +109,7 @@
             membership: self.scope.membership,
             ballot: self.ballot,
             recovery_epoch: self.scope.recovery_epoch,
-            known: self.known,
+            own_accepted: self.own_accepted,
         }
     }
 
@@ -168,7 +168,7 @@
         self.source = source;
         self.step += 1;
         self.phase = Phase::Accepting(Round::new(self.scope.voters));
-        Action::AskSelf(Request::Accept(self.accept_request(None)))
+        Action::SendToSelf(Request::Accept(self.accept_request(None)))
     }
 
     fn accept_request(&self, same_as: Option<Ballot>) -> Accept {
@@ -188,7 +188,7 @@
         if let Phase::Preparing(_) = self.phase {
             return Request::Prepare(self.prepare_request());
         }
-        let same_as = self.source.filter(|s| self.held.get(&voter) == Some(s));
+        let same_as = self.source.filter(|s| self.accepted_ballots.get(&voter) == Some(s));
         Request::Accept(self.accept_request(same_as))
     }
 
@@ -205,10 +205,10 @@
             return self.fail(ProposalError::NoOwnVote);
         }
         if let (true, Some(register)) = (from == self.own, vote.and_then(|v| v.register.as_ref())) {
-            self.known = register.accepted;
+            self.own_accepted = register.accepted;
         }
         match verdict {
-            Verdict::Open if from == self.own => Action::AskOthers,
+            Verdict::Open if from == self.own => Action::Broadcast,
             Verdict::Open => Action::Wait,
             Verdict::Lost => self.fail(ProposalError::NoQuorum),
             Verdict::Won => self.won(),
@@ -227,7 +227,7 @@
         };
         self.phase = Phase::Over;
         if highest.epoch() > self.ballot.epoch() {
-            return Action::Failed(ProposalError::Overtaken(highest));
+            return Action::Failed(ProposalError::Preempted(highest));
         }
         Action::Failed(error)
     }
@@ -235,13 +235,14 @@
     fn won(&mut self) -> Action {
         match std::mem::replace(&mut self.phase, Phase::Over) {
             Phase::Preparing(round) => {
-                self.held = round.accepted();
+                self.accepted_ballots = round.accepted();
                 let best = round.into_best();
                 let source = best.as_ref().map(|r| r.accepted);
                 self.accept(best.map(|r| r.value).unwrap_or_default(), source)
             }
             Phase::Accepting(round) => {
-                self.held = round.voters_for().map(|voter| (voter, self.ballot)).collect();
+                self.accepted_ballots =
+                    round.voters_for().map(|voter| (voter, self.ballot)).collect();
                 self.phase = Phase::Owning;
                 Action::Chosen
             }
--- a/crates/control-plane/src/control/proposer_tests.rs
+++ b/crates/control-plane/src/consensus/proposer_tests.rs
@@ -32,12 +32,12 @@
 /// An owner among three voters, with `b"old"` accepted before at voter 2 only.
 fn owner() -> Proposer {
     let (mut p, first) = Proposer::prepare(OWN, KEY, scope(3), 4);
-    assert!(matches!(first, Action::AskSelf(Request::Prepare(_))));
-    assert_eq!(p.on_vote(1, OWN, Some(&yes(Ballot::default(), b""))), Action::AskOthers);
+    assert!(matches!(first, Action::SendToSelf(Request::Prepare(_))));
+    assert_eq!(p.on_vote(1, OWN, Some(&yes(Ballot::default(), b""))), Action::Broadcast);
     let completes = p.on_vote(1, 2, Some(&yes(ballot(4, 2, 7), b"old")));
-    let Action::AskSelf(Request::Accept(a)) = completes else { panic!("{completes:?}") };
+    let Action::SendToSelf(Request::Accept(a)) = completes else { panic!("{completes:?}") };
     assert_eq!((a.value.as_ref(), a.ballot), (&b"old"[..], ballot(5, 1, 1)));
-    assert_eq!(p.on_vote(2, OWN, Some(&yes(Ballot::default(), b""))), Action::AskOthers);
+    assert_eq!(p.on_vote(2, OWN, Some(&yes(Ballot::default(), b""))), Action::Broadcast);
     assert_eq!(p.on_vote(2, 2, Some(&yes(Ballot::default(), b""))), Action::Chosen);
     p
 }
@@ -47,7 +47,8 @@
     let mut p = owner();
     assert!(p.is_owner());
     assert_eq!(p.value().as_ref(), b"old");
-    let Action::AskSelf(Request::Accept(a)) = p.propose(bytes::Bytes::from_static(b"new")) else {
+    let Action::SendToSelf(Request::Accept(a)) = p.propose(bytes::Bytes::from_static(b"new"))
+    else {
         panic!("no round");
     };
     assert_eq!((a.value.as_ref(), a.ballot, a.same_as), (&b"new"[..], ballot(5, 1, 2), None));
@@ -77,7 +78,7 @@
     p.on_vote(1, OWN, Some(&yes(Ballot::default(), b"")));
     assert_eq!(p.on_vote(1, 2, Some(&no(ballot(9, 2, 0)))), Action::Wait);
     let lost = p.on_vote(1, 3, Some(&no(ballot(8, 3, 0))));
-    assert_eq!(lost, Action::Failed(ProposalError::Overtaken(ballot(9, 2, 0))));
+    assert_eq!(lost, Action::Failed(ProposalError::Preempted(ballot(9, 2, 0))));
 }
 
 #[test]
@@ -86,7 +87,7 @@
     p.on_vote(1, OWN, Some(&yes(Ballot::default(), b"")));
     assert_eq!(p.on_vote(1, 2, Some(&yes(Ballot::default(), b""))), Action::Wait);
     assert_eq!(p.on_vote(1, 2, Some(&yes(Ballot::default(), b""))), Action::Wait);
-    assert!(matches!(p.on_vote(1, 3, Some(&yes(Ballot::default(), b""))), Action::AskSelf(_)));
+    assert!(matches!(p.on_vote(1, 3, Some(&yes(Ballot::default(), b""))), Action::SendToSelf(_)));
     assert_eq!(p.on_vote(1, 4, Some(&yes(Ballot::default(), b""))), Action::Wait);
     assert!(!p.is_owner());
 }
--- a/crates/control-plane/src/control/look.rs
+++ b/crates/control-plane/src/consensus/quorum_status.rs
@@ -5,7 +5,7 @@
 
 /// Whether a key's newest value is known to be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum KeyStatus {
     /// a quorum has accepted under just this ballot
     Chosen(Ballot),
     /// the highest ballot that a voter has accepted under; a round may be under way
@@ -14,16 +14,16 @@
 
 /// Answers of voters to [`fleet_core::wire::ReadBallots`]. They count only within the membership that was asked.
 #[derive(Debug)]
-pub struct Look {
+pub struct QuorumStatus {
     membership: u64,
     voters: usize,
     accepted: BTreeMap<String, BTreeMap<u64, Ballot>>,
 }
 
-impl Look {
+impl QuorumStatus {
     /// A round of questions to the voters of this membership.
-    pub fn new(membership: &Membership) -> Look {
-        Look {
+    pub fn new(membership: &Membership) -> QuorumStatus {
+        QuorumStatus {
             membership: membership.epoch,
             voters: membership.members.len(),
             accepted: BTreeMap::new(),
@@ -55,12 +55,12 @@
     }
 
     /// How a key stands; none if no voter that answered holds it.
-    pub fn standing(&self, key: &str) -> Option<Standing> {
+    pub fn key_status(&self, key: &str) -> Option<KeyStatus> {
         let top = self.accepted.get(key)?.values().max().copied()?;
         if self.count_at(key, top) >= self.quorum() {
-            return Some(Standing::Chosen(top));
+            return Some(KeyStatus::Chosen(top));
         }
-        Some(Standing::Open(top))
+        Some(KeyStatus::Open(top))
     }
 
     /// Whether a quorum has accepted the key under just this ballot.
@@ -74,7 +74,7 @@
     }
 
     /// Whether this voter has accepted the key under just this ballot.
-    pub fn is_held_by(&self, key: &str, voter: u64, ballot: Ballot) -> bool {
+    pub fn is_accepted_by(&self, key: &str, voter: u64, ballot: Ballot) -> bool {
         self.accepted.get(key).is_some_and(|ballots| ballots.get(&voter) == Some(&ballot))
     }
 
@@ -85,5 +85,5 @@
 }
 
 #[cfg(test)]
-#[path = "look_tests.rs"]
+#[path = "quorum_status_tests.rs"]
 mod tests;
--- a/crates/control-plane/src/control/schedules_tests.rs
+++ b/crates/control-plane/src/consensus/schedules_tests.rs
@@ -4,7 +4,7 @@
 
 use super::acceptor::Acceptor;
 use super::proposer::{Action, Proposer, Request, Scope};
-use crate::disk::format::{Record, State};
+use crate::storage::format::{Record, State};
 use fleet_core::wire::{Accept, Ballot, BallotReport, Member, Membership, Prepare, Register, Vote};
 use std::net::Ipv4Addr;
 
@@ -60,7 +60,7 @@
     fn founded(i: usize, n: usize) -> Node {
         let mut disk = Disk { state: State::default() };
         let mut acceptor = Acceptor::new(ip(i), State::default());
-        disk.keep(&acceptor.found(&membership(n)).unwrap());
+        disk.keep(&acceptor.bootstrap(&membership(n)).unwrap());
         Node { incarnation: 1, up: true, disk, acceptor, proposer: None, attempt: 0, adds: None }
     }
 
@@ -152,12 +152,12 @@
             let node = &mut self.nodes[i];
             action = match action {
                 Action::Wait => return,
-                Action::AskOthers => return self.broadcast(i),
+                Action::Broadcast => return self.broadcast(i),
                 Action::Failed(_) => {
                     node.proposer = None;
                     return;
                 }
-                Action::AskSelf(request) => {
+                Action::SendToSelf(request) => {
                     let vote = node.vote(&request);
                     let Some(proposer) = &mut node.proposer else { return };
                     proposer.on_vote(proposer.step(), i as u64, Some(&vote))
@@ -219,7 +219,7 @@
         }
         let others: Vec<usize> = (0..self.n).filter(|o| *o != i && self.nodes[*o].up).collect();
         let before: Vec<BallotReport> =
-            others.iter().map(|o| self.nodes[*o].acceptor.peek(false).answer).collect();
+            others.iter().map(|o| self.nodes[*o].acceptor.read_ballots(false).answer).collect();
         if before.iter().filter(|p| p.votes).count() <= self.n / 2 {
             return;
         }
@@ -230,7 +230,7 @@
         for o in others {
             let n = &mut self.nodes[o];
             if n.acceptor.votes() && got.len() < most && Some(o) != skipped {
-                let step = n.acceptor.hand_over(recovery_epoch);
+                let step = n.acceptor.begin_state_transfer(recovery_epoch);
                 n.disk.keep(&step.record);
                 got.push(with_values(step.answer, &n.acceptor));
             }
@@ -377,10 +377,10 @@
         membership: 1,
         ballot,
         recovery_epoch: 4,
-        known: Ballot::default(),
+        own_accepted: Ballot::default(),
     };
     assert!(!a.prepare(&p).answer.ok);
-    let held = |n| BallotReport {
+    let report = |n| BallotReport {
         votes: true,
         registers: vec![Register {
             key: KEY.into(),
@@ -391,12 +391,12 @@
         recovery_epoch: 4,
     };
     let elsewhere = Membership { epoch: 2, ..membership(3) };
-    assert!(a.recover(4, &[held(1)]).is_none());
-    let moved = BallotReport { membership: Some(elsewhere), ..held(7) };
-    assert!(a.recover(4, &[held(1), moved]).is_none(), "of another membership");
-    assert!(a.recover(4, &[held(1), BallotReport { votes: false, ..held(7) }]).is_none());
-    assert!(a.recover(4, &[held(1), BallotReport { recovery_epoch: 3, ..held(7) }]).is_none());
-    assert!(a.recover(4, &[held(1), held(5)]).is_some());
+    assert!(a.recover(4, &[report(1)]).is_none());
+    let moved = BallotReport { membership: Some(elsewhere), ..report(7) };
+    assert!(a.recover(4, &[report(1), moved]).is_none(), "of another membership");
+    assert!(a.recover(4, &[report(1), BallotReport { votes: false, ..report(7) }]).is_none());
+    assert!(a.recover(4, &[report(1), BallotReport { recovery_epoch: 3, ..report(7) }]).is_none());
+    assert!(a.recover(4, &[report(1), report(5)]).is_some());
     assert!(
         !a.prepare(&Prepare { ballot: Ballot { n: 9, ..ballot }, recovery_epoch: 3, ..p.clone() })
             .answer
@@ -415,7 +415,7 @@
         membership,
         ballot: Ballot { n, node: 2, seq: 0 },
         recovery_epoch: 0,
-        known: Ballot::default(),
+        own_accepted: Ballot::default(),
     };
     assert!(!n.acceptor.prepare(&p(2, 1)).answer.ok);
     assert!(n.acceptor.prepare(&p(1, 1)).answer.ok);
@@ -432,15 +432,15 @@
 #[test]
 fn ballots_of_the_future_are_refused_and_change_nothing() {
     let mut n = Node::founded(0, 3);
-    let ask = |n| Prepare {
+    let request = |n| Prepare {
         key: KEY.into(),
         membership: 1,
         ballot: Ballot { n, node: 2, seq: 0 },
         recovery_epoch: 0,
-        known: Ballot::default(),
+        own_accepted: Ballot::default(),
     };
     for future in [u64::MAX, fleet_core::constants::EPOCH_LEAD_MAX + 1] {
-        assert!(!n.acceptor.prepare(&ask(future)).answer.ok);
+        assert!(!n.acceptor.prepare(&request(future)).answer.ok);
         let value = Accept {
             key: KEY.into(),
             membership: 1,
@@ -452,5 +452,5 @@
         assert!(!n.acceptor.accept(&value).answer.ok);
     }
     assert!(n.acceptor.register(KEY).is_none());
-    assert!(n.acceptor.prepare(&ask(1)).answer.ok);
+    assert!(n.acceptor.prepare(&request(1)).answer.ok);
 }
--- a/crates/control-plane/src/control/values.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -1,6 +1,6 @@
 //! What each key holds, and the rules of changing it.
 
-use super::history::{Finding, TakenConfig, TakenHistory};
+use super::config_history::{CommittedConfig, CommittedHistory, Lookup};
 use fleet_core::configuration::{ConfigError, Configuration};
 use fleet_core::constants;
 use fleet_core::digest::BodyDigest;
@@ -27,8 +27,8 @@
 }
 
 /// The key that holds a duty's fencing token.
-pub fn duty_key(duty: &str) -> String {
-    format!("duty/{duty}")
+pub fn lease_key(lease_name: &str) -> String {
+    format!("duty/{lease_name}")
 }
 
 /// The key that a change is about.
@@ -36,7 +36,7 @@
     match change {
         ChangeKind::Replace(_) => CONFIG.to_owned(),
         ChangeKind::Name(n) => weights_key(&n.model),
-        ChangeKind::Raise(r) => duty_key(&r.duty),
+        ChangeKind::Raise(r) => lease_key(&r.lease_name),
         ChangeKind::Confirm(key) => key.clone(),
     }
 }
@@ -86,16 +86,20 @@
     };
     let decided = now.raise == Some(r.id);
     if r.acts && !decided {
-        return Decision::Answer(answer(Outcome::Stale, now.fence));
+        return Decision::Answer(answer(Outcome::Stale, now.fencing_token));
     }
     if decided && (!r.acts || now.acting == r.holder) {
-        return Decision::Answer(done(now.fence, &now.acting));
+        return Decision::Answer(done(now.fencing_token, &now.acting));
     }
-    let first = now.fence == 0;
+    let first = now.fencing_token == 0;
     let acting = if r.acts || first { r.holder.clone() } else { now.acting };
-    let changed = done(now.fence + u64::from(!decided), &acting);
-    let v =
-        LeaseValue { fence: changed.number, holder: r.holder.clone(), acting, raise: Some(r.id) };
+    let changed = done(now.fencing_token + u64::from(!decided), &acting);
+    let v = LeaseValue {
+        fencing_token: changed.number,
+        holder: r.holder.clone(),
+        acting,
+        raise: Some(r.id),
+    };
     Decision::Write(v.encode_to_vec().into(), changed)
 }
 
@@ -109,16 +113,16 @@
     let Ok(body) = unpack(&r.packed, constants::CONFIG_BYTES) else {
         return Decision::Answer(answer(Outcome::Invalid, now.version));
     };
-    let own = TakenConfig { version: r.version, digest: BodyDigest::of(&body) };
-    let mut history = TakenHistory::decode(&now.history, now.version);
-    let finding = history.find(&own);
-    if finding == Finding::Taken {
+    let own = CommittedConfig { version: r.version, digest: BodyDigest::of(&body) };
+    let mut history = CommittedHistory::decode(&now.history, now.version);
+    let lookup = history.find(&own);
+    if lookup == Lookup::Committed {
         return Decision::Answer(answer(Outcome::Done, r.version));
     }
     if r.version <= r.base {
         return Decision::Answer(answer(Outcome::Invalid, r.base));
     }
-    if finding == Finding::BeforeHistory || r.base > now.version {
+    if lookup == Lookup::BeforeHistory || r.base > now.version {
         return Decision::Answer(answer(Outcome::Unproven, now.version));
     }
     if r.base < now.version {
@@ -136,10 +140,10 @@
 /// that becomes isolated.
 fn next_value(
     r: &ReplaceConfig,
-    own: &TakenConfig,
+    own: &CommittedConfig,
     c: &Configuration,
     now: &ConfigValue,
-    history: &TakenHistory,
+    history: &CommittedHistory,
 ) -> ConfigValue {
     let isolated: Vec<String> =
         c.tenants.iter().filter(|tenant| tenant.isolated).map(|t| t.name.clone()).collect();
@@ -161,5 +165,5 @@
 }
 
 #[cfg(test)]
-#[path = "values_tests.rs"]
+#[path = "state_machine_tests.rs"]
 mod tests;
--- a/crates/control-plane/src/control/values_tests.rs
+++ b/crates/control-plane/src/consensus/state_machine_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `values`.
+//! Tests of `state_machine`.
 
 use super::*;
 
@@ -72,7 +72,7 @@
 
 fn raise(holder: &str, attempt: u64, acts: bool) -> ChangeKind {
     let id = fleet_core::wire::RaiseId { incarnation: u64::from(holder.as_bytes()[0]), attempt };
-    ChangeKind::Raise(RaiseFencingToken { duty: "d".into(), holder: holder.into(), id, acts })
+    ChangeKind::Raise(RaiseFencingToken { lease_name: "d".into(), holder: holder.into(), id, acts })
 }
 
 #[test]
@@ -119,8 +119,8 @@
 #[test]
 fn an_order_that_the_history_no_longer_covers_is_neither_refused_nor_acknowledged() {
     let mut now = bytes::Bytes::new();
-    let kept = fleet_core::constants::TAKEN_KEPT as u64;
-    chain(&mut now, kept + 1);
+    let retained = fleet_core::constants::COMMITTED_CONFIGS_CAPACITY as u64;
+    chain(&mut now, retained + 1);
     assert_eq!(step(&mut now, &put(0, 1, &[])).0, Outcome::Unproven, "taken, and forgotten");
     assert_eq!(step(&mut now, &put(0, 1, &["a"])).0, Outcome::Unproven, "lost, and forgotten");
     assert_eq!(step(&mut now, &put(1, 2, &[])), (Outcome::Done, 2), "the oldest that is kept");
--- a/crates/control-plane/src/engines/outside.rs
+++ b/crates/control-plane/src/engines/client.rs
@@ -10,13 +10,13 @@
 
 /// Why a call got no answer.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub enum OutsideError {
+pub enum CallError {
     /// cannot connect: {0}
     Connect(TransportError),
     /// the call broke off
     Broken,
     /// no answer in time
-    Late,
+    Timeout,
     /// the answer can't be read
     Unreadable,
 }
@@ -41,17 +41,17 @@
         transport: &dyn Transport,
         own: Ipv4Addr,
         to: SocketAddr,
-    ) -> Result<Connection, OutsideError> {
+    ) -> Result<Connection, CallError> {
         let io = transport
-            .connect(own, to, constants::CONNECT_LIMIT)
+            .connect(own, to, constants::CONNECT_TIMEOUT)
             .await
-            .map_err(OutsideError::Connect)?;
-        io.reset_on_close().map_err(|_| OutsideError::Broken)?;
+            .map_err(CallError::Connect)?;
+        io.reset_on_close().map_err(|_| CallError::Broken)?;
         let (sender, conn) = hyper::client::conn::http1::Builder::new()
             .max_buf_size(64 << 10)
             .handshake(hyper_util::rt::TokioIo::new(io))
             .await
-            .map_err(|_| OutsideError::Broken)?;
+            .map_err(|_| CallError::Broken)?;
         let task = tokio::spawn(async move {
             let _ = conn.await;
         });
@@ -60,7 +60,7 @@
 }
 
 /// A way to one engine or store, or to a controller; one call at a time.
-pub struct Line {
+pub struct EngineClient {
     transport: Arc<dyn Transport>,
     own: Ipv4Addr,
     to: SocketAddr,
@@ -78,7 +78,7 @@
     pub location: Option<String>,
 }
 
-impl Line {
+impl EngineClient {
     /// To this address over TCP, from the machine's own; connects with the first call.
     pub fn new(own: Ipv4Addr, to: SocketAddr) -> Self {
         Self::over(Tcp::shared(), own, to)
@@ -86,16 +86,16 @@
 
     /// As `new`, over any transport.
     pub fn over(transport: Arc<dyn Transport>, own: Ipv4Addr, to: SocketAddr) -> Self {
-        Line { transport, own, to, connection: None, most: constants::FRAME_MAX }
+        EngineClient { transport, own, to, connection: None, most: constants::FRAME_MAX }
     }
 
     /// Reads no answer of more bytes than this.
     pub fn with_most(self, most: usize) -> Self {
-        Line { most, ..self }
+        EngineClient { most, ..self }
     }
 
-    /// Has a connection ready for [`Line::send`].
-    pub async fn open(&mut self) -> Result<(), OutsideError> {
+    /// Has a connection ready for [`EngineClient::send`].
+    pub async fn open(&mut self) -> Result<(), CallError> {
         if let Some(mut c) = self.connection.take()
             && c.sender.ready().await.is_ok()
         {
@@ -114,12 +114,12 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
         limit: Duration,
-    ) -> Result<Answer, OutsideError> {
+    ) -> Result<Answer, CallError> {
         let done = async {
             self.open().await?;
             self.exchange(method, path, headers, body).await
         };
-        tokio::time::timeout(limit, done).await.map_err(|_| OutsideError::Late)?
+        tokio::time::timeout(limit, done).await.map_err(|_| CallError::Timeout)?
     }
 
     /// Calls over the connection that was opened, and never over another: what was found to hold before
@@ -131,10 +131,10 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
         limit: Duration,
-    ) -> Result<Answer, OutsideError> {
+    ) -> Result<Answer, CallError> {
         tokio::time::timeout(limit, self.exchange(method, path, headers, body))
             .await
-            .map_err(|_| OutsideError::Late)?
+            .map_err(|_| CallError::Timeout)?
     }
 
     async fn exchange(
@@ -143,8 +143,8 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Vec<u8>,
-    ) -> Result<Answer, OutsideError> {
-        let mut connection = self.connection.take().ok_or(OutsideError::Broken)?;
+    ) -> Result<Answer, CallError> {
+        let mut connection = self.connection.take().ok_or(CallError::Broken)?;
         let mut request = http::Request::builder()
             .method(method)
             .uri(path)
@@ -155,16 +155,16 @@
         if !body.is_empty() {
             request = request.header(http::header::CONTENT_TYPE, "application/json");
         }
-        let request = request.body(Body::new(body.into())).map_err(|_| OutsideError::Unreadable)?;
+        let request = request.body(Body::new(body.into())).map_err(|_| CallError::Unreadable)?;
         let answer =
-            connection.sender.send_request(request).await.map_err(|_| OutsideError::Broken)?;
+            connection.sender.send_request(request).await.map_err(|_| CallError::Broken)?;
         let status = answer.status();
         let location = answer.headers().get(http::header::LOCATION);
         let location = location.and_then(|v| v.to_str().ok()).map(str::to_owned);
         let body = http_body_util::Limited::new(answer.into_body(), self.most);
         let body = body.collect().await.map_err(|error| {
             let too_long = error.is::<http_body_util::LengthLimitError>();
-            if too_long { OutsideError::Unreadable } else { OutsideError::Broken }
+            if too_long { CallError::Unreadable } else { CallError::Broken }
         })?;
         self.connection = Some(connection);
         Ok(Answer { status, body: body.to_bytes(), location })
@@ -172,5 +172,5 @@
 }
 
 #[cfg(test)]
-#[path = "outside_tests.rs"]
+#[path = "client_tests.rs"]
 mod tests;
--- a/crates/control-plane/src/engines/outside_tests.rs
+++ b/crates/control-plane/src/engines/client_tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-async fn listener() -> (tokio::net::TcpListener, Line) {
+async fn listener() -> (tokio::net::TcpListener, EngineClient) {
     let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
-    let line = Line::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap());
-    (listener, line)
+    let client = EngineClient::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap());
+    (listener, client)
 }
 
 /// More than the buffers of both ends hold, so that some of it waits to be sent.
@@ -16,8 +16,8 @@
 
 #[tokio::test]
 async fn a_call_given_up_takes_back_what_was_not_sent() {
-    let (listener, mut line) = listener().await;
-    let call = line.call(http::Method::POST, "/o", &[], vec![b'x'; BODY], LIMIT);
+    let (listener, mut client) = listener().await;
+    let call = client.call(http::Method::POST, "/o", &[], vec![b'x'; BODY], LIMIT);
     let begun = async {
         let (mut peer, _) = listener.accept().await.unwrap();
         peer.read_exact(&mut [0; 64]).await.unwrap();
@@ -35,12 +35,12 @@
 
 #[tokio::test]
 async fn a_send_connects_nowhere() {
-    let (listener, mut line) = listener().await;
-    let sent = line.send(http::Method::GET, "/o", &[], Vec::new(), LIMIT).await;
-    assert!(matches!(sent, Err(OutsideError::Broken)), "nothing was opened");
-    line.open().await.unwrap();
+    let (listener, mut client) = listener().await;
+    let sent = client.send(http::Method::GET, "/o", &[], Vec::new(), LIMIT).await;
+    assert!(matches!(sent, Err(CallError::Broken)), "nothing was opened");
+    client.open().await.unwrap();
     drop(listener.accept().await.unwrap());
-    let sent = line.send(http::Method::GET, "/o", &[], Vec::new(), LIMIT).await;
+    let sent = client.send(http::Method::GET, "/o", &[], Vec::new(), LIMIT).await;
     assert!(sent.is_err(), "what was opened is closed");
     for _ in 0..100 {
         tokio::task::yield_now().await;
@@ -51,8 +51,8 @@
 
 #[tokio::test]
 async fn an_answer_of_more_bytes_than_bounded_is_not_read() {
-    let (listener, line) = listener().await;
-    let mut line = line.with_most(100);
+    let (listener, client) = listener().await;
+    let mut client = client.with_most(100);
     let answer = async {
         let (mut peer, _) = listener.accept().await.unwrap();
         for length in [100, 101] {
@@ -65,11 +65,11 @@
         peer
     };
     let calls = async {
-        let first = line.call(http::Method::GET, "/e", &[], Vec::new(), LIMIT).await;
+        let first = client.call(http::Method::GET, "/e", &[], Vec::new(), LIMIT).await;
         assert_eq!(first.map(|a| a.body.len()).ok(), Some(100));
-        line.call(http::Method::GET, "/e", &[], Vec::new(), LIMIT).await
+        client.call(http::Method::GET, "/e", &[], Vec::new(), LIMIT).await
     };
     let (_peer, second) = tokio::join!(answer, calls);
     let second = second.map(|a| a.body.len());
-    assert!(matches!(second, Err(OutsideError::Unreadable)), "{second:?}");
+    assert!(matches!(second, Err(CallError::Unreadable)), "{second:?}");
 }
--- a/crates/control-plane/src/engines/mod.rs
+++ b/crates/control-plane/src/engines/mod.rs
@@ -1,4 +1,4 @@
 //! The engines: who they are, and calls to them.
 
-pub mod outside;
+pub mod client;
 pub mod registry;
--- a/crates/control-plane/src/duties/keeper/tail.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -1,9 +1,9 @@
 //! Follows what one engine or store tells of its parts.
 
-use super::Keeper;
+use super::IndexOwner;
 use super::index::Events;
 use crate::Controller;
-use crate::engines::outside::Line;
+use crate::engines::client::EngineClient;
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{Engine, EngineState, Invalidation};
@@ -23,9 +23,9 @@
 
 /// Engines to follow, by id. Where two are heard of at one address, one of them is gone and not yet known
 /// to be: neither is followed, since an answer doesn't tell whose it is.
-pub fn engines<'a>(known: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, Source> {
+pub fn engines<'a>(engines: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, Source> {
     let mut by_address: BTreeMap<&str, Option<&Engine>> = BTreeMap::new();
-    for e in known.filter(|e| e.state() != EngineState::Deregistered && !e.silent) {
+    for e in engines.filter(|e| e.state() != EngineState::Deregistered && !e.heartbeat_missed) {
         by_address.entry(e.address.as_str()).and_modify(|at| *at = None).or_insert(Some(e));
     }
     let source = |e: &Engine| Source { address: e.address.clone(), engine: true };
@@ -41,74 +41,83 @@
 
 /// What an answer means for what was known before it.
 #[derive(Debug, PartialEq, Eq)]
-struct Verdict {
+struct PositionUpdate {
     at: Position,
     /// all that was told of the holder is void
     void: bool,
     /// its events can be taken in
-    take: bool,
+    accept: bool,
 }
 
-fn judge(before: Option<Position>, e: &Events) -> Verdict {
+fn advance(before: Option<Position>, e: &Events) -> PositionUpdate {
     let other_incarnation = before.is_some_and(|b| b.epoch != e.epoch);
     let gap = before.is_some() && e.lost;
     let next = if other_incarnation { 0 } else { e.next_token };
-    Verdict {
+    PositionUpdate {
         at: Position { epoch: e.epoch, next },
         void: other_incarnation || gap,
-        take: !other_incarnation,
+        accept: !other_incarnation,
     }
 }
 
 /// Follows one holder until the task is ended.
-pub async fn tail(s: Arc<Controller>, keeper: Arc<Keeper>, holder: String, source: Source) {
+pub async fn follow(
+    controller: Arc<Controller>,
+    index_owner: Arc<IndexOwner>,
+    holder: String,
+    source: Source,
+) {
     let Ok(to) = source.address.parse::<SocketAddr>() else { return };
-    let mut line =
-        Line::over(s.transport.clone(), s.node.ip, to).with_most(constants::EVENTS_BYTES);
+    let mut client = EngineClient::over(controller.transport.clone(), controller.node.ip, to)
+        .with_most(constants::EVENTS_BYTES);
     let mut at: Option<Position> = None;
     let void = || {
-        fleet_core::log_event!(s.log, Event::HolderReset, "holder" => &holder);
-        keeper.commit(&s, [Invalidation::Holder(holder.clone())]);
+        fleet_core::log_event!(controller.log, Event::HolderReset, "holder" => &holder);
+        index_owner.commit(&controller, [Invalidation::Holder(holder.clone())]);
     };
     loop {
         // what a holder has gathered by the first call can be much: few of these at a time
         let first = match at {
-            None => keeper.first_reads.acquire().await.ok(),
+            None => index_owner.first_reads.acquire().await.ok(),
             Some(_) => None,
         };
         let target = source.engine.then_some(holder.as_str());
-        let Some(e) = ask(&mut line, target, at).await else {
+        let Some(e) = request(&mut client, target, at).await else {
             drop(first);
             if at.take().is_some() {
                 void();
             }
-            tokio::time::sleep(constants::ENGINE_CALL_LIMIT).await;
+            tokio::time::sleep(constants::ENGINE_CALL_TIMEOUT).await;
             continue;
         };
-        let verdict = judge(at, &e);
-        at = Some(verdict.at);
-        if verdict.void {
+        let update = advance(at, &e);
+        at = Some(update.at);
+        if update.void {
             void();
         }
-        if verdict.take {
-            let purges = keeper.index.lock().take_events(&holder, &e);
-            keeper.commit(&s, purges);
+        if update.accept {
+            let invalidations = index_owner.index.lock().apply_events(&holder, &e);
+            index_owner.commit(&controller, invalidations);
         }
         drop((e, first));
-        tokio::time::sleep(constants::EVENTS_PAUSE).await;
+        tokio::time::sleep(constants::EVENTS_INTERVAL).await;
     }
 }
 
 /// Events behind a position. The first call hardly waits for some, so as not to hold others up.
-async fn ask(line: &mut Line, target: Option<&str>, at: Option<Position>) -> Option<Events> {
+async fn request(
+    client: &mut EngineClient,
+    target: Option<&str>,
+    at: Option<Position>,
+) -> Option<Events> {
     let wait = at.map_or(constants::EVENTS_FIRST_WAIT_MS, |_| constants::EVENTS_WAIT_MS);
     let since = at.map_or(0, |a| a.next);
-    let limit = Duration::from_millis(wait) + constants::ENGINE_CALL_LIMIT;
+    let limit = Duration::from_millis(wait) + constants::ENGINE_CALL_TIMEOUT;
     let path = format!("/anisedyke/kv-events?since={since}");
     let wait = wait.to_string();
     let mut headers = vec![("Wait-Ms", wait.as_str())];
     headers.extend(target.map(|id| ("X-Target-Instance", id)));
-    let answer = line.call(http::Method::GET, &path, &headers, Vec::new(), limit).await.ok()?;
+    let answer = client.call(http::Method::GET, &path, &headers, Vec::new(), limit).await.ok()?;
     if answer.status != http::StatusCode::OK {
         return None;
     }
@@ -116,5 +125,5 @@
 }
 
 #[cfg(test)]
-#[path = "tail_tests.rs"]
+#[path = "follower_tests.rs"]
 mod tests;
--- a/crates/control-plane/src/duties/keeper/index.rs
+++ b/crates/control-plane/src/index_owner/index.rs
@@ -8,8 +8,8 @@
 use std::sync::Arc;
 
 type Parts = hashbrown::HashMap<u64, u64, ahash::RandomState>;
-type Held = (Arc<str>, Arc<str>, u64);
-type Unshared = hashbrown::HashMap<u64, Vec<Held>, ahash::RandomState>;
+type UnsharedPart = (Arc<str>, Arc<str>, u64);
+type Unshared = hashbrown::HashMap<u64, Vec<UnsharedPart>, ahash::RandomState>;
 
 /// What a holder answers of the parts that it took in and dropped.
 #[derive(serde::Deserialize)]
@@ -33,7 +33,7 @@
     holders: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Parts>>,
     shared: hashbrown::HashSet<u64, ahash::RandomState>,
     /// so many shared parts were kept by some holder when that was last looked at
-    kept: usize,
+    cached: usize,
     unshared: [Unshared; 2],
     fresh: std::collections::VecDeque<(Arc<str>, Arc<str>, u64, u64)>,
     found: u64,
@@ -55,21 +55,21 @@
     fn meet(&mut self, holder: &str) {
         if !self.holders.contains_key(holder) {
             let (holder, _) = self.place(holder, None);
-            self.find(holder, Arc::from(""), 0, 0);
+            self.add_finding(holder, Arc::from(""), 0, 0);
         }
     }
 
-    fn found(&mut self, holder: &str, salt: &str, part: u64, kept: Option<u64>) {
-        let kept = kept.unwrap_or(0);
+    fn found(&mut self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
+        let cached = cached.unwrap_or(0);
         if !self.shared.contains(&part) {
-            let held = (Arc::from(holder), Arc::from(salt), kept);
-            return self.put_aside(part, held);
+            let unshared_part = (Arc::from(holder), Arc::from(salt), cached);
+            return self.put_aside(part, unshared_part);
         }
         let (holder, salt) = self.place(holder, Some(salt));
         let parts = self.holders.get_mut(&holder).and_then(|h| h.get_mut(&salt));
         let Some(parts) = parts else { return };
-        if parts.insert(part, kept) != Some(kept) {
-            self.find(holder, salt, part, kept);
+        if parts.insert(part, cached) != Some(cached) {
+            self.add_finding(holder, salt, part, cached);
         }
     }
 
@@ -120,55 +120,55 @@
         };
         let salts = self.holders.entry(name.clone()).or_default();
         let Some(salt) = salt else { return (name, Arc::from("")) };
-        let kept = match salts.get_key_value(salt) {
+        let cached = match salts.get_key_value(salt) {
             Some((s, _)) => s.clone(),
             None => Arc::from(salt),
         };
-        salts.entry(kept.clone()).or_default();
-        (name, kept)
+        salts.entry(cached.clone()).or_default();
+        (name, cached)
     }
 
-    fn put_aside(&mut self, part: u64, held: Held) {
-        if self.unshared[0].len() >= constants::UNSHARED_KEPT {
+    fn put_aside(&mut self, part: u64, unshared_part: UnsharedPart) {
+        if self.unshared[0].len() >= constants::UNSHARED_PARTS_CAPACITY {
             self.unshared.swap(0, 1);
             self.unshared[0].clear();
         }
         let v = self.unshared[0].entry(part).or_default();
-        v.retain(|(h, s, _)| *h != held.0 || *s != held.1);
-        v.push(held);
+        v.retain(|(h, s, _)| *h != unshared_part.0 || *s != unshared_part.1);
+        v.push(unshared_part);
     }
 
     /// Parts that no holder keeps are shared no longer; a router that sends them again says so again.
-    fn forget_unkept(&mut self) {
-        if self.shared.len() < constants::SHARED_KEPT.max(self.kept * 2) {
+    fn drop_uncached(&mut self) {
+        if self.shared.len() < constants::SHARED_PARTS_CAPACITY.max(self.cached * 2) {
             return;
         }
         let parts = self.holders.values().flat_map(|salts| salts.values()).flat_map(Parts::keys);
-        let kept: hashbrown::HashSet<u64, ahash::RandomState> = parts.copied().collect();
-        self.shared.retain(|part| kept.contains(part));
-        self.kept = self.shared.len();
+        let cached: hashbrown::HashSet<u64, ahash::RandomState> = parts.copied().collect();
+        self.shared.retain(|part| cached.contains(part));
+        self.cached = self.shared.len();
     }
 
     /// What a router's own sends leave: it also names these parts as shared.
-    pub fn hear(&mut self, found: &[CachedParts]) {
-        self.forget_unkept();
+    pub fn record_found(&mut self, found: &[CachedParts]) {
+        self.drop_uncached();
         for part in found.iter().flat_map(|h| &h.parts) {
             if !self.shared.insert(*part) {
                 continue;
             }
-            let known: Vec<Held> =
+            let unshared: Vec<UnsharedPart> =
                 self.unshared.iter_mut().filter_map(|u| u.remove(part)).flatten().collect();
-            for (holder, salt, kept) in known {
-                self.found(&holder, &salt, *part, Some(kept).filter(|k| *k > 0));
+            for (holder, salt, cached) in unshared {
+                self.found(&holder, &salt, *part, Some(cached).filter(|k| *k > 0));
             }
         }
         invalidation::cache::refill(self, found);
     }
 
-    fn find(&mut self, holder: Arc<str>, salt: Arc<str>, part: u64, kept: u64) {
+    fn add_finding(&mut self, holder: Arc<str>, salt: Arc<str>, part: u64, cached: u64) {
         self.found += 1;
-        self.fresh.push_back((holder, salt, part, kept));
-        if self.fresh.len() > constants::FINDINGS_KEPT {
+        self.fresh.push_back((holder, salt, part, cached));
+        if self.fresh.len() > constants::FINDINGS_CAPACITY {
             self.fresh.pop_front();
         }
     }
@@ -179,12 +179,12 @@
     }
 
     /// What was found behind a position; what is no longer remembered is only slower to come by.
-    pub fn since(&self, seen: u64) -> Vec<CachedParts> {
-        let behind = self.found.saturating_sub(seen) as usize;
+    pub fn since(&self, position: u64) -> Vec<CachedParts> {
+        let behind = self.found.saturating_sub(position) as usize;
         let skip = self.fresh.len().saturating_sub(behind);
         let mut at = hashbrown::HashMap::<(&str, &str), usize>::new();
         let mut out: Vec<CachedParts> = Vec::new();
-        for (holder, salt, part, kept) in self.fresh.iter().skip(skip) {
+        for (holder, salt, part, cached) in self.fresh.iter().skip(skip) {
             let n = *at.entry((&**holder, &**salt)).or_insert_with(|| {
                 out.push(CachedParts {
                     holder: holder.to_string(),
@@ -195,51 +195,51 @@
             });
             if !salt.is_empty() {
                 out[n].parts.push(*part);
-                out[n].kept.push(*kept);
+                out[n].cached_tokens.push(*cached);
             }
         }
         out
     }
 
     /// How many bytes a digest takes on the wire, about; known without making one.
-    pub fn digest_bytes(&self) -> usize {
+    pub fn snapshot_bytes(&self) -> usize {
         let salts = self.holders.values().flatten();
         let named = self.holders.len() + salts.clone().count();
         let parts: usize = salts.map(|(_, parts)| parts.len()).sum();
-        named * constants::DIGEST_NAME_BYTES + parts * constants::DIGEST_PART_BYTES
+        named * constants::SNAPSHOT_NAME_BYTES + parts * constants::SNAPSHOT_PART_BYTES
     }
 
     /// All that holders are believed to keep of shared parts.
-    pub fn digest(&self) -> Vec<CachedParts> {
+    pub fn snapshot(&self) -> Vec<CachedParts> {
         let mut out = Vec::new();
         for (holder, salts) in &self.holders {
             out.push(CachedParts { holder: holder.to_string(), ..Default::default() });
             for (salt, parts) in salts.iter().filter(|(_, p)| !p.is_empty()) {
-                let (parts, kept) = parts.iter().unzip();
+                let (parts, cached_tokens) = parts.iter().unzip();
                 let (holder, salt) = (holder.to_string(), salt.to_string());
-                out.push(CachedParts { holder, salt, parts, kept });
+                out.push(CachedParts { holder, salt, parts, cached_tokens });
             }
         }
         out
     }
 
     /// A batch of events of one holder; gives the purges that follow from it.
-    pub fn take_events(&mut self, holder: &str, e: &Events) -> Vec<Invalidation> {
+    pub fn apply_events(&mut self, holder: &str, e: &Events) -> Vec<Invalidation> {
         let mut out = Vec::new();
         self.meet(holder);
-        for (_, sign, salt, id, kept, _) in &e.events {
+        for (_, sign, salt, id, cached, _) in &e.events {
             let Ok(part) = u64::from_str_radix(id, 16) else { continue };
             if sign == "+" {
-                self.found(holder, salt, part, Some(*kept));
+                self.found(holder, salt, part, Some(*cached));
             } else if self.shared.contains(&part) {
                 out.push(Invalidation::Part(PartLocation {
                     holder: holder.to_owned(),
                     salt: salt.clone(),
                     part,
-                    kept: *kept,
+                    cached_tokens: *cached,
                 }));
             } else {
-                self.evict(holder, salt, part, *kept);
+                self.evict(holder, salt, part, *cached);
             }
         }
         out
--- a/crates/control-plane/src/duties/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -8,14 +8,14 @@
 
 /// How a duty is leased.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct LeasePolicy {
     /// length of the lease
     pub lease: Duration,
     /// its holder gives orders to engines, which must never come from two nodes within one lease
-    pub orders: bool,
+    pub commands_engines: bool,
 }
 
-impl Terms {
+impl LeasePolicy {
     /// What the holder leaves unused at the end.
     pub fn margin(&self) -> Duration {
         self.lease.mul_f64(constants::LEASE_MARGIN)
@@ -56,49 +56,50 @@
     }
 
     /// Grants or takes back. A message that is older than another of its sender changes nothing.
-    pub fn answer(&mut self, l: &LeaseRequest, now: Instant, terms: Terms) -> bool {
-        let grants = self.table.entry_ref(l.duty.as_str()).or_default();
-        grants.retain(|g| now < g.until + terms.lease);
+    pub fn answer(&mut self, l: &LeaseRequest, now: Instant, policy: LeasePolicy) -> bool {
+        let grants = self.table.entry_ref(l.lease_name.as_str()).or_default();
+        grants.retain(|g| now < g.until + policy.lease);
         let own = grants.iter().position(|g| g.incarnation == l.incarnation);
         if own.is_some_and(|i| grants[i].number >= l.number) {
             return false;
         }
-        let closed = terms.orders && self.closed_until.is_some_and(|t| now < t);
-        let taken = grants.iter().any(|g| g.node != l.node && now < g.until);
-        if !l.leave && (closed || taken) {
+        let closed = policy.commands_engines && self.closed_until.is_some_and(|t| now < t);
+        let granted_elsewhere = grants.iter().any(|g| g.node != l.node && now < g.until);
+        if !l.release && (closed || granted_elsewhere) {
             return false;
         }
         // orders that were on their way when it was given back have ended by then
         let acted = l.ms > 0;
-        let rest = if terms.orders && acted { terms.margin() } else { Duration::ZERO };
+        let cool_down =
+            if policy.commands_engines && acted { policy.margin() } else { Duration::ZERO };
         let before = own.map_or(now, |i| grants.swap_remove(i).until);
-        let until = if l.leave { before.min(now + rest) } else { now + terms.lease };
+        let until = if l.release { before.min(now + cool_down) } else { now + policy.lease };
         let (node, incarnation, number) = (l.node.clone(), l.incarnation, l.number);
         grants.push(Grant { node, incarnation, number, until });
         true
     }
 
     /// Which node has the lease by these grants, and until when.
-    pub fn granted(&self, duty: &str, now: Instant) -> Option<(&str, Instant)> {
-        let running = self.table.get(duty)?.iter().filter(|grant| now < grant.until);
+    pub fn granted(&self, lease_name: &str, now: Instant) -> Option<(&str, Instant)> {
+        let running = self.table.get(lease_name)?.iter().filter(|grant| now < grant.until);
         let latest = running.max_by_key(|grant| grant.until)?;
         Some((&latest.node, latest.until))
     }
 
     /// Nobody of another node is known to hold it.
-    pub fn is_free(&self, duty: &str, node: &str, now: Instant) -> bool {
-        let grants = self.table.get(duty);
+    pub fn is_free(&self, lease_name: &str, node: &str, now: Instant) -> bool {
+        let grants = self.table.get(lease_name);
         grants.is_none_or(|g| g.iter().all(|g| g.node == node || now >= g.until))
     }
 }
 
 /// A lease that this node holds, and the fence that it raised under it.
 #[derive(Debug, Clone, Copy)]
-struct Holding {
+struct HeldLease {
     until: Instant,
     /// former holders' leases have ended by then
     from: Instant,
-    fence: u64,
+    fencing_token: u64,
     raise: RaiseId,
     /// it is on record that this node may act
     acts: bool,
@@ -108,44 +109,44 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// ask for a lease, if it looks free
-    Ask,
+    Acquire,
     /// ask again, well before the end
     Renew,
     /// put on record that this node acts from now on
     Record(RaiseId),
     /// the lease ran out
-    Lapsed,
+    Expired,
     /// nothing before this
-    Rest(Option<Instant>),
+    Idle(Option<Instant>),
 }
 
 /// One duty, as a node holds it or doesn't.
 #[derive(Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     incarnation: u64,
     attempt: u64,
-    held: Option<Holding>,
+    lease: Option<HeldLease>,
 }
 
-impl Holder {
+impl LeaseHolder {
     /// Of one incarnation of a node; it holds nothing.
     pub fn new(incarnation: u64) -> Self {
-        Holder { incarnation, attempt: 1, held: None }
+        LeaseHolder { incarnation, attempt: 1, lease: None }
     }
 
     /// What to do at this time.
-    pub fn step(&self, now: Instant, terms: Terms) -> Step {
-        let Some(h) = &self.held else { return Step::Ask };
+    pub fn step(&self, now: Instant, policy: LeasePolicy) -> Step {
+        let Some(h) = &self.lease else { return Step::Acquire };
         if now >= h.until {
-            return Step::Lapsed;
+            return Step::Expired;
         }
-        if h.until - now <= terms.usable().mul_f64(1.0 - constants::LEASE_RENEW) {
+        if h.until - now <= policy.usable().mul_f64(1.0 - constants::LEASE_RENEW) {
             return Step::Renew;
         }
         if !h.acts && now >= h.from {
             return Step::Record(h.raise);
         }
-        Step::Rest((!h.acts).then_some(h.from))
+        Step::Idle((!h.acts).then_some(h.from))
     }
 
     /// Names the raise to make: the last one again while it got no answer.
@@ -153,57 +154,65 @@
         RaiseId { incarnation: self.incarnation, attempt: self.attempt }
     }
 
-    /// A majority granted what was asked for at `asked`, all of it by `granted`, and the raise gave this
+    /// A majority granted what was asked for at `requested_at`, all of it by `granted`, and the raise gave this
     /// fence; `alone`: nobody but this node can have acted within a lease.
     pub fn acquired(
         &mut self,
-        asked: Instant,
+        requested_at: Instant,
         granted: Instant,
-        fence: u64,
+        fencing_token: u64,
         alone: bool,
-        terms: Terms,
+        policy: LeasePolicy,
     ) {
         let raise = self.raise();
         self.attempt += 1;
-        let acts = alone || !terms.orders;
-        let from = if acts { granted } else { granted + terms.usable() };
-        self.held = Some(Holding { until: asked + terms.usable(), from, fence, raise, acts });
+        let acts = alone || !policy.commands_engines;
+        let from = if acts { granted } else { granted + policy.usable() };
+        self.lease = Some(HeldLease {
+            until: requested_at + policy.usable(),
+            from,
+            fencing_token,
+            raise,
+            acts,
+        });
     }
 
     /// A majority granted it again. An answer that comes after the end is none: others may have held it.
-    pub fn renewed(&mut self, asked: Instant, now: Instant, terms: Terms) {
-        if let Some(h) = &mut self.held
+    pub fn renewed(&mut self, requested_at: Instant, now: Instant, policy: LeasePolicy) {
+        if let Some(h) = &mut self.lease
             && now < h.until
         {
-            h.until = h.until.max(asked + terms.usable());
+            h.until = h.until.max(requested_at + policy.usable());
         }
     }
 
     /// It is on record that this node acts under this raise.
     pub fn recorded(&mut self, raise: RaiseId) {
-        if let Some(h) = self.held.as_mut().filter(|h| h.raise == raise) {
+        if let Some(h) = self.lease.as_mut().filter(|h| h.raise == raise) {
             h.acts = true;
         }
     }
 
     /// Holds it no longer; whether it did.
     pub fn drop_lease(&mut self) -> bool {
-        self.held.take().is_some()
+        self.lease.take().is_some()
     }
 
     /// The fence to act under and until when, if the lease surely stands and a former holder's has
     /// surely ended.
-    pub fn mandate(&self, now: Instant) -> Option<Mandate> {
-        let h = self.held.filter(|h| h.acts && h.fence > 0 && now >= h.from && now < h.until)?;
-        Some(Mandate { fence: h.fence, until: h.until })
+    pub fn fenced_lease(&self, now: Instant) -> Option<FencedLease> {
+        let h = self
+            .lease
+            .filter(|h| h.acts && h.fencing_token > 0 && now >= h.from && now < h.until)?;
+        Some(FencedLease { fencing_token: h.fencing_token, until: h.until })
     }
 }
 
 /// The right to act, until its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mandate {
+pub struct FencedLease {
     /// to be told with each order
-    pub fence: u64,
+    pub fencing_token: u64,
     /// nothing may reach an engine from here on
     pub until: Instant,
 }
--- a/crates/control-plane/src/duties/lease_tests.rs
+++ b/crates/control-plane/src/leases/lease_tests.rs
@@ -1,21 +1,21 @@
 //! Tests of `lease`.
 
 use super::*;
-use crate::control::values::{Decision, decide};
+use crate::consensus::state_machine::{Decision, decide};
 use fleet_core::wire::{ChangeKind, ChangeResponse, Outcome, RaiseFencingToken};
 
 const L: Duration = Duration::from_secs(3);
-const ORDERS: Terms = Terms { lease: L, orders: true };
-const OTHER: Terms = Terms { lease: L, orders: false };
+const ORDERS: LeasePolicy = LeasePolicy { lease: L, commands_engines: true };
+const OTHER: LeasePolicy = LeasePolicy { lease: L, commands_engines: false };
 
 fn lease(incarnation: u64, number: u64) -> LeaseRequest {
     let node = format!("n{incarnation}");
-    LeaseRequest { duty: "d".into(), incarnation, number, node, ..Default::default() }
+    LeaseRequest { lease_name: "d".into(), incarnation, number, node, ..Default::default() }
 }
 
 /// Of a holder that has acted.
-fn leave(incarnation: u64, number: u64) -> LeaseRequest {
-    LeaseRequest { leave: true, ms: L.as_millis() as u64, ..lease(incarnation, number) }
+fn release(incarnation: u64, number: u64) -> LeaseRequest {
+    LeaseRequest { release: true, ms: L.as_millis() as u64, ..lease(incarnation, number) }
 }
 
 /// Candidates that fail must not keep each other out: with a rest for each of them, several could go on for ever.
@@ -24,7 +24,7 @@
     let t = Instant::now();
     let mut g = Grantor::new(None);
     assert!(g.answer(&lease(1, 1), t, ORDERS));
-    assert!(g.answer(&LeaseRequest { ms: 0, ..leave(1, 2) }, t, ORDERS));
+    assert!(g.answer(&LeaseRequest { ms: 0, ..release(1, 2) }, t, ORDERS));
     assert!(g.answer(&lease(2, 1), t, ORDERS));
 }
 
@@ -33,20 +33,23 @@
     let t = Instant::now();
     let mut g = Grantor::new(Some(t + L));
     assert!(!g.answer(&lease(1, 1), t, ORDERS));
-    let other_duty = LeaseRequest { duty: "e".into(), ..lease(1, 1) };
-    assert!(g.answer(&other_duty, t, OTHER), "no orders are given under it");
+    let other_lease = LeaseRequest { lease_name: "e".into(), ..lease(1, 1) };
+    assert!(g.answer(&other_lease, t, OTHER), "no orders are given under it");
     assert!(g.answer(&lease(1, 2), t + L, ORDERS));
     assert!(!g.answer(&lease(2, 1), t + L, ORDERS));
     assert!(g.answer(&lease(1, 3), t + L * 3 / 2, ORDERS));
     assert!(!g.answer(&lease(2, 2), t + L * 2, ORDERS));
     assert!(g.answer(&lease(2, 3), t + L * 5 / 2, ORDERS));
-    assert!(g.answer(&leave(2, 4), t + L * 5 / 2, ORDERS));
-    let rest = ORDERS.margin();
+    assert!(g.answer(&release(2, 4), t + L * 5 / 2, ORDERS));
+    let cool_down = ORDERS.margin();
     assert!(!g.answer(&lease(3, 1), t + L * 5 / 2, ORDERS), "orders may be on their way");
-    assert!(g.answer(&lease(3, 2), t + L * 5 / 2 + rest, ORDERS));
+    assert!(g.answer(&lease(3, 2), t + L * 5 / 2 + cool_down, ORDERS));
     let again = LeaseRequest { incarnation: 9, ..lease(3, 1) };
-    assert!(g.answer(&again, t + L * 5 / 2 + rest, ORDERS), "the holder's own node, restarted");
-    assert!(!g.answer(&lease(2, 5), t + L * 5 / 2 + rest, ORDERS));
+    assert!(
+        g.answer(&again, t + L * 5 / 2 + cool_down, ORDERS),
+        "the holder's own node, restarted"
+    );
+    assert!(!g.answer(&lease(2, 5), t + L * 5 / 2 + cool_down, ORDERS));
 }
 
 #[test]
@@ -55,7 +58,7 @@
     let mut g = Grantor::new(None);
     assert!(g.answer(&lease(1, 1), t, OTHER));
     assert!(g.answer(&lease(1, 3), t, OTHER), "the second try overtakes the leave of the first");
-    assert!(!g.answer(&leave(1, 2), t, OTHER));
+    assert!(!g.answer(&release(1, 2), t, OTHER));
     assert!(!g.answer(&lease(2, 1), t, OTHER));
 }
 
@@ -66,7 +69,7 @@
     let second = |l| LeaseRequest { node: "n1".into(), ..l };
     assert!(g.answer(&second(lease(2, 1)), t, OTHER));
     assert!(g.answer(&lease(1, 7), t, OTHER), "late, of the same node");
-    assert!(g.answer(&leave(1, 8), t, OTHER));
+    assert!(g.answer(&release(1, 8), t, OTHER));
     assert!(!g.answer(&lease(3, 1), t, OTHER));
 }
 
@@ -75,8 +78,8 @@
 fn a_newcomer_grants_nothing_while_a_lease_of_former_members_may_run() {
     let t = Instant::now();
     let mut g = Grantor::new(None);
-    let keeper = LeaseRequest { duty: "e".into(), ..lease(2, 1) };
-    assert!(g.answer(&keeper, t, OTHER));
+    let index_owner = LeaseRequest { lease_name: "e".into(), ..lease(2, 1) };
+    assert!(g.answer(&index_owner, t, OTHER));
     g.close_until(t + L);
     g.close_until(t + L / 2);
     assert!(!g.answer(&lease(2, 2), t + L * 3 / 4, ORDERS));
@@ -86,28 +89,28 @@
 #[test]
 fn a_pause_ends_the_mandate_before_any_order() {
     let t = Instant::now();
-    let mut h = Holder::new(1);
+    let mut h = LeaseHolder::new(1);
     h.acquired(t, t, 5, true, ORDERS);
     let until = t + ORDERS.usable();
-    assert_eq!(h.mandate(t), Some(Mandate { fence: 5, until }));
-    assert_eq!(h.mandate(until), None);
+    assert_eq!(h.fenced_lease(t), Some(FencedLease { fencing_token: 5, until }));
+    assert_eq!(h.fenced_lease(until), None);
     h.renewed(t + L / 2, until, ORDERS);
-    assert_eq!(h.step(until, ORDERS), Step::Lapsed, "an answer after the end is none");
+    assert_eq!(h.step(until, ORDERS), Step::Expired, "an answer after the end is none");
 }
 
 #[test]
 fn a_new_holder_acts_a_lease_after_the_former_one_and_once_that_is_on_record() {
     let t = Instant::now();
-    let mut h = Holder::new(1);
+    let mut h = LeaseHolder::new(1);
     let id = h.raise();
     h.acquired(t, t, 6, false, ORDERS);
     let from = t + ORDERS.usable();
-    assert_eq!(h.step(t, ORDERS), Step::Rest(Some(from)));
+    assert_eq!(h.step(t, ORDERS), Step::Idle(Some(from)));
     h.renewed(t + L * 2 / 3, t + L * 2 / 3, ORDERS);
     assert_eq!(h.step(from, ORDERS), Step::Record(id));
-    assert_eq!(h.mandate(from), None);
+    assert_eq!(h.fenced_lease(from), None);
     h.recorded(id);
-    assert_eq!(h.mandate(from).map(|m| m.fence), Some(6));
+    assert_eq!(h.fenced_lease(from).map(|m| m.fencing_token), Some(6));
     assert_ne!(h.raise(), id, "the next raise is another one");
 }
 
@@ -116,24 +119,26 @@
 #[test]
 fn the_shortest_lease_outlasts_two_failed_renewals() {
     let t = Instant::now();
-    for terms in [Terms { lease: constants::KEEPER_LEASE, orders: false }, ORDERS] {
-        let mut h = Holder::new(1);
-        h.acquired(t, t, 1, true, terms);
+    for policy in
+        [LeasePolicy { lease: constants::INDEX_LEASE_DURATION, commands_engines: false }, ORDERS]
+    {
+        let mut h = LeaseHolder::new(1);
+        h.acquired(t, t, 1, true, policy);
         let mut now = t;
         let mut failed = 0;
         while failed < 2 {
-            assert_ne!(h.step(now, terms), Step::Lapsed);
-            if h.step(now, terms) == Step::Renew {
-                now += constants::RENEW_LIMIT + constants::RENEW_TICK;
+            assert_ne!(h.step(now, policy), Step::Expired);
+            if h.step(now, policy) == Step::Renew {
+                now += constants::LEASE_RENEWAL_TIMEOUT + constants::LEASE_RENEWAL_INTERVAL;
                 failed += 1;
             } else {
-                now += constants::DUTY_TICK;
+                now += constants::LEASE_CHECK_INTERVAL;
             }
         }
-        assert_eq!(h.step(now, terms), Step::Renew);
-        let answered = now + constants::RENEW_LIMIT / 2;
-        h.renewed(now, answered, terms);
-        assert_eq!(h.mandate(answered).map(|m| m.until), Some(now + terms.usable()));
+        assert_eq!(h.step(now, policy), Step::Renew);
+        let answered = now + constants::LEASE_RENEWAL_TIMEOUT / 2;
+        h.renewed(now, answered, policy);
+        assert_eq!(h.fenced_lease(answered).map(|m| m.until), Some(now + policy.usable()));
     }
 }
 
@@ -146,7 +151,7 @@
 /// What a node waits for.
 #[derive(Debug, Clone)]
 struct Pending {
-    asked: Instant,
+    requested_at: Instant,
     number: u64,
     have: usize,
     goal: Goal,
@@ -154,7 +159,7 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    Ask(usize, LeaseRequest),
+    Acquire(usize, LeaseRequest),
     Granted(usize, u64, u64),
     Raise(Raising),
     Raised(Raising, ChangeResponse),
@@ -166,7 +171,7 @@
     who: usize,
     id: RaiseId,
     acts: bool,
-    asked: Instant,
+    requested_at: Instant,
     granted: Instant,
 }
 
@@ -174,13 +179,13 @@
     fn change(&self) -> ChangeKind {
         let (id, acts) = (self.id, self.acts);
         let holder = format!("n{}", self.who);
-        ChangeKind::Raise(RaiseFencingToken { duty: "d".into(), holder, id, acts })
+        ChangeKind::Raise(RaiseFencingToken { lease_name: "d".into(), holder, id, acts })
     }
 }
 
 struct SimNode {
     grantor: Grantor,
-    holder: Holder,
+    holder: LeaseHolder,
     incarnation: u64,
     number: u64,
     pending: Option<Pending>,
@@ -192,7 +197,7 @@
     nodes: Vec<SimNode>,
     wire: Vec<Message>,
     register: bytes::Bytes,
-    orders: Vec<(Instant, usize, u64)>,
+    commands_engines: Vec<(Instant, usize, u64)>,
     restarts: u64,
 }
 
@@ -200,7 +205,7 @@
     fn new() -> World {
         let node = |i: u64| SimNode {
             grantor: Grantor::new(None),
-            holder: Holder::new(i + 1),
+            holder: LeaseHolder::new(i + 1),
             incarnation: i + 1,
             number: 0,
             pending: None,
@@ -210,39 +215,39 @@
             nodes: (0..3).map(node).collect(),
             wire: Vec::new(),
             register: bytes::Bytes::new(),
-            orders: Vec::new(),
+            commands_engines: Vec::new(),
             restarts: 3,
         }
     }
 
     /// `acted`: the sender may have given orders under the lease.
-    fn send(&mut self, who: usize, leave: bool, acted: bool) -> u64 {
+    fn send(&mut self, who: usize, release: bool, acted: bool) -> u64 {
         let n = &mut self.nodes[who];
         n.number += 1;
         let l = LeaseRequest {
-            duty: "d".into(),
+            lease_name: "d".into(),
             incarnation: n.incarnation,
             node: format!("n{who}"),
             number: n.number,
-            leave,
+            release,
             ms: if acted { L.as_millis() as u64 } else { 0 },
             ..Default::default()
         };
         let number = n.number;
-        self.wire.extend((0..3).map(|to| Message::Ask(to, l.clone())));
+        self.wire.extend((0..3).map(|to| Message::Acquire(to, l.clone())));
         number
     }
 
     fn begin(&mut self, who: usize, goal: Goal) {
         let number = self.send(who, false, true);
-        let asked = self.now;
-        self.nodes[who].pending = Some(Pending { asked, number, have: 0, goal });
+        let requested_at = self.now;
+        self.nodes[who].pending = Some(Pending { requested_at, number, have: 0, goal });
     }
 
     fn tick(&mut self, who: usize) {
         let now = self.now;
         if let Some(p) = self.nodes[who].pending.clone() {
-            if now - p.asked > Duration::from_millis(1300) {
+            if now - p.requested_at > Duration::from_millis(1300) {
                 self.nodes[who].pending = None;
                 if p.goal == Goal::Take {
                     self.send(who, true, false);
@@ -252,28 +257,28 @@
         }
         let node = &mut self.nodes[who];
         match node.holder.step(now, ORDERS) {
-            Step::Ask if node.grantor.is_free("d", &format!("n{who}"), now) => {
+            Step::Acquire if node.grantor.is_free("d", &format!("n{who}"), now) => {
                 self.begin(who, Goal::Take);
             }
             Step::Renew => self.begin(who, Goal::Renew),
             Step::Record(id) => self.raise(who, id, true, now),
-            Step::Lapsed => {
+            Step::Expired => {
                 node.holder.drop_lease();
             }
-            Step::Ask | Step::Rest(_) => {}
+            Step::Acquire | Step::Idle(_) => {}
         }
     }
 
-    fn raise(&mut self, who: usize, id: RaiseId, acts: bool, asked: Instant) {
+    fn raise(&mut self, who: usize, id: RaiseId, acts: bool, requested_at: Instant) {
         let granted = self.now;
-        self.wire.push(Message::Raise(Raising { who, id, acts, asked, granted }));
+        self.wire.push(Message::Raise(Raising { who, id, acts, requested_at, granted }));
     }
 
     fn deliver(&mut self, m: Message) {
         match m {
-            Message::Ask(to, l) => {
+            Message::Acquire(to, l) => {
                 let g = &mut self.nodes[to].grantor;
-                if g.answer(&l, self.now, ORDERS) && !l.leave {
+                if g.answer(&l, self.now, ORDERS) && !l.release {
                     let who = l.node[1..].parse().unwrap();
                     self.wire.push(Message::Granted(who, l.incarnation, l.number));
                 }
@@ -305,10 +310,10 @@
         match (p.have, p.goal) {
             (2, Goal::Take) => {
                 let id = node.holder.raise();
-                self.raise(who, id, false, p.asked);
+                self.raise(who, id, false, p.requested_at);
             }
             (2, Goal::Renew) => {
-                node.holder.renewed(p.asked, now, ORDERS);
+                node.holder.renewed(p.requested_at, now, ORDERS);
                 node.pending = None;
             }
             _ => {}
@@ -327,11 +332,11 @@
             }
             return;
         }
-        let waits = pending.as_ref().is_some_and(|p| p.asked == r.asked);
+        let waits = pending.as_ref().is_some_and(|p| p.requested_at == r.requested_at);
         if waits && holder.raise() == r.id {
             *pending = None;
             let alone = c.holder == format!("n{}", r.who);
-            holder.acquired(r.asked, r.granted, c.number, alone, ORDERS);
+            holder.acquired(r.requested_at, r.granted, c.number, alone, ORDERS);
         }
     }
 
@@ -340,7 +345,7 @@
         let incarnation = self.restarts;
         self.nodes[who] = SimNode {
             grantor: Grantor::new(Some(self.now + L)),
-            holder: Holder::new(incarnation),
+            holder: LeaseHolder::new(incarnation),
             incarnation,
             number: 0,
             pending: None,
@@ -354,7 +359,7 @@
             5..=9 => self.tick(arg % 3),
             10 if arg.is_multiple_of(3) => {
                 let now = self.now;
-                let holds = self.nodes.iter().position(|n| n.holder.mandate(now).is_some());
+                let holds = self.nodes.iter().position(|n| n.holder.fenced_lease(now).is_some());
                 if let Some(who) = holds.filter(|who| self.nodes[*who].holder.drop_lease()) {
                     self.send(who, true, true);
                 }
@@ -383,16 +388,21 @@
     /// Every node that may act does so.
     fn act(&mut self) -> Result<(), String> {
         for (who, n) in self.nodes.iter().enumerate() {
-            let Some(m) = n.holder.mandate(self.now) else { continue };
-            for (at, other, fence) in &self.orders {
+            let Some(m) = n.holder.fenced_lease(self.now) else { continue };
+            for (at, other, fencing_token) in &self.commands_engines {
                 if *other != who && self.now - *at < L {
                     return Err(format!("n{who} {:?} after n{other}", self.now - *at));
                 }
-                if *fence > m.fence || (*fence == m.fence && *other != who) {
-                    return Err(format!("n{who} under {} after n{other} under {fence}", m.fence));
+                if *fencing_token > m.fencing_token
+                    || (*fencing_token == m.fencing_token && *other != who)
+                {
+                    return Err(format!(
+                        "n{who} under {} after n{other} under {fencing_token}",
+                        m.fencing_token
+                    ));
                 }
             }
-            self.orders.push((self.now, who, m.fence));
+            self.commands_engines.push((self.now, who, m.fencing_token));
         }
         Ok(())
     }
@@ -405,7 +415,7 @@
         w.step(*op, *arg);
         w.act()?;
     }
-    Ok(w.orders.len())
+    Ok(w.commands_engines.len())
 }
 
 /// A node that is let alone gets to act, and so does the next one after it.
@@ -425,7 +435,7 @@
         w.now += Duration::from_millis(20);
         w.act().unwrap();
     }
-    let by = |n: usize| w.orders.iter().filter(|o| o.1 == n).count();
+    let by = |n: usize| w.commands_engines.iter().filter(|o| o.1 == n).count();
     assert!(by(0) > 900 && by(1) > 500, "{} {}", by(0), by(1));
 }
 
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,19 +1,19 @@
 //! The control plane: what the controller program is made of.
 
 pub mod api;
-pub mod contact;
-pub mod control;
-pub mod disk;
-pub mod distribution;
-pub mod duties;
+pub mod cluster_state;
+pub mod config_distribution;
+pub mod consensus;
 pub mod engines;
-pub mod facts;
-pub mod learner;
-pub mod members;
-pub mod running;
+pub mod index_owner;
+pub mod leases;
+pub mod membership;
+pub mod rollout;
+pub mod runtime;
 pub mod service;
+pub mod storage;
 
-pub use running::{Environment, Running, run};
+pub use runtime::{Environment, RunningController, run};
 
 use fleet_core::log::Event;
 use fleet_core::wire::{Ballot, Membership};
@@ -27,7 +27,7 @@
     /// {0}: not in the settings, which a controller needs
     ParamMissing(&'static str),
     /// the disk can't be used: {0}
-    Disk(disk::DiskError),
+    Disk(storage::DiskError),
     /// cannot listen at {0}: {1}
     Listen(std::net::SocketAddr, std::io::ErrorKind),
     /// cannot serve control: {0}
@@ -42,27 +42,27 @@
     pub log: slog::Logger,
     settings: parking_lot::RwLock<Arc<fleet_core::settings::Settings>>,
     /// its vote, and what it voted for
-    pub acceptor: parking_lot::Mutex<control::acceptor::Acceptor>,
-    disk: disk::monitor::MonitoredDisk,
+    pub acceptor: parking_lot::Mutex<consensus::acceptor::Acceptor>,
+    disk: storage::monitor::MonitoredDisk,
     /// where links, engines and stores are reached
     pub transport: Arc<dyn fleet_core::transport::Transport>,
     /// keys that it owns
-    pub owners: control::owner::Owners,
+    pub key_owners: consensus::key_owner::KeyOwners,
     learned: parking_lot::Mutex<BTreeMap<String, (Ballot, bytes::Bytes)>>,
-    known: parking_lot::Mutex<fleet_core::journal::ChangeLog<facts::Known>>,
-    head: tokio::sync::watch::Sender<u64>,
+    cluster_state: parking_lot::Mutex<fleet_core::journal::ChangeLog<cluster_state::ClusterState>>,
+    latest_change: tokio::sync::watch::Sender<u64>,
     /// engines as they were heard of
     pub engines: engines::registry::Registry,
     /// the other controllers, and the routers
-    pub members: members::Members,
+    pub peers: membership::Peers,
     /// leases granted and held
-    pub duties: duties::Duties,
-    contact: parking_lot::Mutex<contact::Contact>,
+    pub leases: leases::Leases,
+    contact: parking_lot::Mutex<membership::quorum_contact::Contact>,
     /// what routers are given of the configuration
-    pub distribution: distribution::Distribution,
+    pub config_distribution: config_distribution::ConfigDistribution,
     /// when it started
     pub started: tokio::time::Instant,
-    leaving: tokio::sync::watch::Sender<bool>,
+    shutting_down: tokio::sync::watch::Sender<bool>,
     rng_state: AtomicU64,
 }
 
@@ -73,14 +73,14 @@
     }
 
     /// The next pseudo-random number of this process; the same after the same seed.
-    pub fn draw(&self) -> u64 {
+    pub fn random(&self) -> u64 {
         let x = self.rng_state.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
         fleet_core::node::stable_hash(&[&x.to_le_bytes()])
     }
 
     /// A pseudo-random number below a bound.
-    pub fn chance(&self, below: u64) -> u64 {
-        self.draw() % below.max(1)
+    pub fn random_below(&self, below: u64) -> u64 {
+        self.random() % below.max(1)
     }
 
     /// Whether the disk refused the last write, or one hangs: this controller can't vote then.
@@ -95,38 +95,38 @@
 
     /// Whether this controller may own keys: not without a disk that works, nor once it leaves.
     pub fn may_own(&self) -> bool {
-        !self.disk_broken() && !*self.leaving.borrow()
+        !self.disk_broken() && !*self.shutting_down.borrow()
     }
 
     /// Turns true when this controller is told to stop.
-    pub fn leaving(&self) -> tokio::sync::watch::Receiver<bool> {
-        self.leaving.subscribe()
+    pub fn shutting_down(&self) -> tokio::sync::watch::Receiver<bool> {
+        self.shutting_down.subscribe()
     }
 
     /// A step of the own vote; its answer may be told once it is on the disk.
     pub async fn vote<T>(
         &self,
-        f: impl FnOnce(&mut control::acceptor::Acceptor) -> control::acceptor::Step<T>,
+        f: impl FnOnce(&mut consensus::acceptor::Acceptor) -> consensus::acceptor::Step<T>,
     ) -> Option<T> {
-        let (kept, answer) = {
-            let mut a = self.acceptor.lock();
-            let step = f(&mut a);
-            (self.disk.keep(step.record), step.answer)
+        let (stored, answer) = {
+            let mut acceptor = self.acceptor.lock();
+            let step = f(&mut acceptor);
+            (self.disk.append(step.record), step.answer)
         };
-        kept.await.ok()?;
+        stored.await.ok()?;
         Some(answer)
     }
 
     async fn persist(
         &self,
-        f: impl FnOnce(&mut control::acceptor::Acceptor) -> Option<disk::format::Record>,
+        f: impl FnOnce(&mut consensus::acceptor::Acceptor) -> Option<storage::format::Record>,
     ) -> bool {
-        let kept = {
-            let mut a = self.acceptor.lock();
-            let Some(r) = f(&mut a) else { return false };
-            self.disk.keep(r)
+        let stored = {
+            let mut acceptor = self.acceptor.lock();
+            let Some(r) = f(&mut acceptor) else { return false };
+            self.disk.append(r)
         };
-        kept.await.is_ok()
+        stored.await.is_ok()
     }
 
     /// Takes a later membership into force, on the disk first.
@@ -134,26 +134,26 @@
         if membership.epoch <= self.acceptor.lock().membership().epoch {
             return;
         }
-        if self.persist(|a| a.adopt(membership)).await {
-            fleet_core::log_event!(self.log, Event::MembershipMoved, "epoch" => membership.epoch);
+        if self.persist(|acceptor| acceptor.adopt(membership)).await {
+            fleet_core::log_event!(self.log, Event::MembershipChanged, "epoch" => membership.epoch);
         }
-        self.members.relink(self);
-        self.append(facts::Fact::Membership(membership.clone()));
+        self.peers.relink(self);
+        self.append(cluster_state::StateChange::Membership(membership.clone()));
     }
 
     /// Adds a fact to what is known, and wakes who follows it.
-    pub fn append(&self, fact: facts::Fact) {
-        let head = self.known.lock().append(fact);
-        self.head.send_replace(head);
+    pub fn append(&self, change: cluster_state::StateChange) {
+        let latest_change = self.cluster_state.lock().append(change);
+        self.latest_change.send_replace(latest_change);
     }
 
     /// Reads what is known.
-    pub fn look<T>(&self, f: impl FnOnce(&facts::Known) -> T) -> T {
-        f(self.known.lock().view())
+    pub fn read_state<T>(&self, f: impl FnOnce(&cluster_state::ClusterState) -> T) -> T {
+        f(self.cluster_state.lock().view())
     }
 
     /// Moves with each fact that is added.
-    pub fn news(&self) -> tokio::sync::watch::Receiver<u64> {
-        self.head.subscribe()
+    pub fn subscribe(&self) -> tokio::sync::watch::Receiver<u64> {
+        self.latest_change.subscribe()
     }
 }
--- a/crates/control-plane/src/members/joiners_tests.rs
+++ b/crates/control-plane/src/membership/candidates_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `joiners`.
+//! Tests of `candidates`.
 
 use super::*;
 use fleet_core::wire::Member;
@@ -10,16 +10,20 @@
 
 #[tokio::test(start_paused = true)]
 async fn who_asks_no_more_or_is_a_member_does_not_wait() {
-    let (mut joiners, begun) = (Joiners::default(), Instant::now());
+    let (mut candidates, begun) = (Candidates::default(), Instant::now());
     let members = vec![Member { ip: "b".into(), ..Default::default() }];
     let membership = Membership { epoch: 1, members };
     for ip in ["a", "b", "c"] {
-        joiners.hear(join(ip, 100), begun);
+        candidates.record(join(ip, 100), begun);
     }
-    let later = begun + constants::JOIN_PAUSE * 6;
-    joiners.hear(join("c", 100 + 2400), later);
+    let later = begun + constants::JOIN_INTERVAL * 6;
+    candidates.record(join("c", 100 + 2400), later);
     let mut at = |now| -> Vec<String> {
-        joiners.waiting(&membership, now).into_iter().map(|joiner| joiner.member.ip).collect()
+        candidates
+            .waiting(&membership, now)
+            .into_iter()
+            .map(|candidate| candidate.member.ip)
+            .collect()
     };
     assert_eq!(at(later - Duration::from_millis(1)), ["a", "c"]);
     assert_eq!(at(later), ["c"]);
@@ -27,8 +31,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_joiner_has_run_since_it_said_so_for_longer() {
-    let (mut joiners, begun) = (Joiners::default(), Instant::now());
-    joiners.hear(join("a", 1000), begun);
-    let waiting = joiners.waiting(&Membership::default(), begun + Duration::from_millis(300));
+    let (mut candidates, begun) = (Candidates::default(), Instant::now());
+    candidates.record(join("a", 1000), begun);
+    let waiting = candidates.waiting(&Membership::default(), begun + Duration::from_millis(300));
     assert_eq!(waiting[0].running, Duration::from_millis(1300));
 }
--- a/crates/control-plane/src/members/spread.rs
+++ b/crates/control-plane/src/membership/failure_domains.rs
@@ -1,7 +1,7 @@
 //! How members are spread over zones and regions: as many of these as may be lost together should
 //! leave a quorum.
 
-use super::exchange::Tolerance;
+use super::replacement::Tolerance;
 use fleet_core::wire::Member;
 use std::collections::BTreeMap;
 
--- a/crates/control-plane/src/members/loads.rs
+++ b/crates/control-plane/src/membership/load_reports.rs
@@ -11,18 +11,18 @@
 use tokio::time::Instant;
 
 #[derive(Default)]
-pub struct PeerService {
+pub struct LoadReports {
     routers: parking_lot::Mutex<LoadTable>,
     peers: parking_lot::Mutex<LoadTable>,
     /// by engine, recent runs and those that somebody waits for
     mix: parking_lot::Mutex<hashbrown::HashMap<u32, (f32, f32), ahash::RandomState>>,
 }
 
-impl PeerService {
-    pub fn hear(&self, peer: &Peer, l: LoadReport) {
-        let from_peer = peer.hello.role == fleet_core::node::Role::Controller as u32;
+impl LoadReports {
+    pub fn record(&self, peer: &Peer, l: LoadReport) {
+        let from_peer = peer.handshake.role == fleet_core::node::Role::Controller as u32;
         let table = if from_peer { &self.peers } else { &self.routers };
-        table.lock().record(peer.hello.incarnation, Instant::now(), l);
+        table.lock().record(peer.handshake.incarnation, Instant::now(), l);
     }
 
     fn remember(&self, all: &ByEngine) {
@@ -59,28 +59,28 @@
     }
 }
 
-pub async fn sharing(s: Arc<Controller>) {
+pub async fn run_load_sharing(controller: Arc<Controller>) {
     let (mut to_peers, mut to_routers) = (ReportSchedule::default(), ReportSchedule::default());
     loop {
         tokio::time::sleep(constants::LOAD_REPORT_INTERVAL).await;
         let now = Instant::now();
-        let peer_service = &s.members.loads;
-        let sum = peer_service.routers.lock().sum(now);
+        let load_reports = &controller.peers.load_reports;
+        let sum = load_reports.routers.lock().sum(now);
         let own = load::pack(&sum);
         if to_peers.is_due(now, &own) {
-            let members = s.acceptor.lock().membership().members.clone();
-            for (_, link) in s.peers(&members) {
+            let members = controller.acceptor.lock().membership().members.clone();
+            for (_, link) in controller.links_to(&members) {
                 let _ = link.notify(Body::LoadReport(own.clone()));
             }
         }
-        let total = peer_service.with_peers(sum, now);
-        peer_service.remember(&total);
+        let total = load_reports.with_peers(sum, now);
+        load_reports.remember(&total);
         let all = load::pack(&total);
         if !to_routers.is_due(now, &all) {
             continue;
         }
-        let router_links = s.members.router_links.lock();
-        for incarnation in peer_service.routers.lock().reporters() {
+        let router_links = controller.peers.router_links.lock();
+        for incarnation in load_reports.routers.lock().reporters() {
             // a slow reader gets the newest sum later
             let link = router_links.get(&incarnation);
             if let Some(o) = link.filter(|o| o.backlog() < constants::SLOW_READER_BACKLOG) {
--- a/crates/control-plane/src/contact.rs
+++ b/crates/control-plane/src/membership/quorum_contact.rs
@@ -72,23 +72,26 @@
 
 /// Looks whether contact stands. The learner's rounds keep it up; only where these are late does this
 /// task ask the voters itself.
-pub async fn keeping(s: Arc<Controller>) {
-    let mut was = false;
+pub async fn run_contact_check(controller: Arc<Controller>) {
+    let mut was_in_contact = false;
     loop {
-        tokio::time::sleep(constants::CONTACT_TICK).await;
-        let left = s.contact_until().map(|t| t.saturating_duration_since(Instant::now()));
-        if left.is_some_and(|l| l < s.contact_span().mul_f64(constants::CONTACT_RENEW)) {
-            s.hear_majority().await;
+        tokio::time::sleep(constants::CONTACT_CHECK_INTERVAL).await;
+        let remaining =
+            controller.contact_until().map(|t| t.saturating_duration_since(Instant::now()));
+        if remaining
+            .is_some_and(|l| l < controller.contact_span().mul_f64(constants::CONTACT_RENEW))
+        {
+            controller.contact_majority().await;
         }
-        let is = s.in_contact();
-        if is != was {
-            let event = if is { Event::ContactGained } else { Event::ContactLost };
-            fleet_core::log_event!(s.log, event);
+        let is_in_contact = controller.in_contact();
+        if is_in_contact != was_in_contact {
+            let event = if is_in_contact { Event::ContactGained } else { Event::ContactLost };
+            fleet_core::log_event!(controller.log, event);
         }
-        was = is;
+        was_in_contact = is_in_contact;
     }
 }
 
 #[cfg(test)]
-#[path = "contact_tests.rs"]
+#[path = "quorum_contact_tests.rs"]
 mod tests;
--- a/crates/control-plane/src/members/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -16,15 +16,15 @@
 use std::sync::Arc;
 
 /// One that values can be read from.
-pub trait Holder {
+pub trait ChunkSource {
     /// The asked part of a value, or nothing where no answer comes in time.
-    fn piece(&self, ask: ValueChunkRequest) -> impl Future<Output = Option<ValueChunk>> + Send;
+    fn chunk(&self, request: ValueChunkRequest) -> impl Future<Output = Option<ValueChunk>> + Send;
 }
 
-impl Holder for Arc<Link> {
-    async fn piece(&self, ask: ValueChunkRequest) -> Option<ValueChunk> {
-        match self.call(Body::ValueChunkRequest(ask), constants::PIECE_LIMIT).await {
-            Ok(Body::ValueChunk(piece)) => Some(piece),
+impl ChunkSource for Arc<Link> {
+    async fn chunk(&self, request: ValueChunkRequest) -> Option<ValueChunk> {
+        match self.call(Body::ValueChunkRequest(request), constants::CHUNK_TIMEOUT).await {
+            Ok(Body::ValueChunk(chunk)) => Some(chunk),
             _ => None,
         }
     }
@@ -49,24 +49,24 @@
         Partial { ballot, ..Default::default() }
     }
 
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.total == Some(self.bytes.len())
     }
 
     /// False if the piece brings nothing on.
-    fn take(&mut self, piece: &ValueChunk) -> bool {
-        if piece.ballot < self.ballot || piece.ballot == Ballot::default() {
+    fn append(&mut self, chunk: &ValueChunk) -> bool {
+        if chunk.ballot < self.ballot || chunk.ballot == Ballot::default() {
             return false;
         }
-        if piece.ballot > self.ballot {
-            *self = Partial::of(piece.ballot);
+        if chunk.ballot > self.ballot {
+            *self = Partial::of(chunk.ballot);
         }
-        if piece.offset != self.bytes.len() as u64 {
+        if chunk.offset != self.bytes.len() as u64 {
             return false;
         }
-        self.total = Some(piece.total as usize);
-        self.bytes.extend_from_slice(&piece.bytes);
-        self.is_whole() || !piece.bytes.is_empty()
+        self.total = Some(chunk.total as usize);
+        self.bytes.extend_from_slice(&chunk.bytes);
+        self.is_complete() || !chunk.bytes.is_empty()
     }
 }
 
@@ -74,22 +74,29 @@
     /// Reads one value to its end, at the wanted ballot or one that a holder has gone on to; false
     /// if no holder has it now. What was read before at any other ballot is dropped: a voter of an
     /// earlier recovery epoch may have accepted it that no majority knows of.
-    pub async fn fetch<H: Holder>(&mut self, key: &str, wanted: Ballot, holders: &[H]) -> bool {
-        let partial = self.values.entry(key.to_owned()).or_insert_with(|| Partial::of(wanted));
-        if partial.ballot != wanted {
-            *partial = Partial::of(wanted);
+    pub async fn fetch<H: ChunkSource>(
+        &mut self,
+        key: &str,
+        latest_ballots: Ballot,
+        sources: &[H],
+    ) -> bool {
+        let partial =
+            self.values.entry(key.to_owned()).or_insert_with(|| Partial::of(latest_ballots));
+        if partial.ballot != latest_ballots {
+            *partial = Partial::of(latest_ballots);
         }
-        for holder in holders {
-            while !partial.is_whole() {
+        for source in sources {
+            while !partial.is_complete() {
                 let offset = partial.bytes.len() as u64;
-                let ask = ValueChunkRequest { key: key.to_owned(), ballot: partial.ballot, offset };
-                let Some(piece) = holder.piece(ask).await else { break };
-                if !partial.take(&piece) {
+                let request =
+                    ValueChunkRequest { key: key.to_owned(), ballot: partial.ballot, offset };
+                let Some(chunk) = source.chunk(request).await else { break };
+                if !partial.append(&chunk) {
                     break;
                 }
             }
         }
-        partial.is_whole()
+        partial.is_complete()
     }
 
     /// Puts the values read into the answers, which came with ballots only.
@@ -110,7 +117,7 @@
 }
 
 /// Highest accepted ballot of each key, and who has it.
-fn wanted(
+fn latest_ballots(
     answers: &[(u64, BallotReport)],
 ) -> std::collections::BTreeMap<String, (Ballot, Vec<u64>)> {
     let mut out: std::collections::BTreeMap<String, (Ballot, Vec<u64>)> =
@@ -118,13 +125,13 @@
     let accepted = |r: &&Register| r.accepted != Ballot::default();
     for (id, answer) in answers {
         for register in answer.registers.iter().filter(accepted) {
-            let (highest, holders) = out.entry(register.key.clone()).or_default();
+            let (highest, sources) = out.entry(register.key.clone()).or_default();
             if register.accepted > *highest {
                 *highest = register.accepted;
-                holders.clear();
+                sources.clear();
             }
             if register.accepted == *highest {
-                holders.push(*id);
+                sources.push(*id);
             }
         }
     }
@@ -133,49 +140,50 @@
 
 /// Learns the latest recovery epoch of a majority and reads the values, takes a majority to a later
 /// epoch with its ballots, and reads what is new; the member votes then, if the membership has not moved meanwhile.
-pub async fn recover(s: &Arc<Controller>, membership: u64, catch_up: &mut CatchUp) {
-    let before = ask_all(s, Body::ReadBallots(ReadBallots { membership, values: false })).await;
+pub async fn recover(controller: &Arc<Controller>, membership: u64, catch_up: &mut CatchUp) {
+    let before =
+        query_all(controller, Body::ReadBallots(ReadBallots { membership, values: false })).await;
     let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
-    let quorum = s.acceptor.lock().membership().members.len() / 2 + 1;
+    let quorum = controller.acceptor.lock().membership().members.len() / 2 + 1;
     let mut voters = before.clone();
     voters.retain(|(_, p)| p.votes && in_force(p));
-    if voters.len() < quorum || !fetch_all(s, &voters, catch_up).await {
+    if voters.len() < quorum || !fetch_all(controller, &voters, catch_up).await {
         return;
     }
     let recovery_epoch = before.iter().map(|(_, p)| p.recovery_epoch).max().unwrap_or(0) + 1;
-    let ask = Body::RecoverRequest(RecoverRequest {
+    let request = Body::RecoverRequest(RecoverRequest {
         membership,
-        incarnation: s.node.incarnation,
+        incarnation: controller.node.incarnation,
         recovery_epoch,
     });
-    let mut answers = ask_all(s, ask).await;
+    let mut answers = query_all(controller, request).await;
     answers.retain(|(_, p)| p.votes && in_force(p) && p.recovery_epoch >= recovery_epoch);
-    if answers.len() < quorum || !fetch_all(s, &answers, catch_up).await {
+    if answers.len() < quorum || !fetch_all(controller, &answers, catch_up).await {
         return;
     }
     let mut answers: Vec<BallotReport> = answers.into_iter().map(|(_, p)| p).collect();
     catch_up.fill(&mut answers);
-    s.duties.close_for(s.settings().bounds.lease);
-    if s.persist(|a| a.recover(recovery_epoch, &answers)).await {
-        fleet_core::log_event!(s.log, Event::Voting, "recovery_epoch" => recovery_epoch);
-        s.members.relink(s);
+    controller.leases.close_for(controller.settings().bounds.lease);
+    if controller.persist(|a| a.recover(recovery_epoch, &answers)).await {
+        fleet_core::log_event!(controller.log, Event::Voting, "recovery_epoch" => recovery_epoch);
+        controller.peers.relink(controller);
     }
 }
 
 /// Each value from one of its holders; others than the first take turns.
 async fn fetch_all(
-    s: &Arc<Controller>,
+    controller: &Arc<Controller>,
     answers: &[(u64, BallotReport)],
     catch_up: &mut CatchUp,
 ) -> bool {
-    let members = s.acceptor.lock().membership().members.clone();
-    let links = s.peers(&members);
-    for (turn, (key, (ballot, mut ids))) in wanted(answers).into_iter().enumerate() {
-        let first = turn % ids.len();
+    let members = controller.acceptor.lock().membership().members.clone();
+    let links = controller.links_to(&members);
+    for (offset, (key, (ballot, mut ids))) in latest_ballots(answers).into_iter().enumerate() {
+        let first = offset % ids.len();
         ids.rotate_left(first);
         let link = |id: &u64| links.iter().find(|(at, _)| at == id).map(|(_, link)| link.clone());
-        let holders: Vec<Arc<Link>> = ids.iter().filter_map(link).collect();
-        if !catch_up.fetch(&key, ballot, &holders).await {
+        let sources: Vec<Arc<Link>> = ids.iter().filter_map(link).collect();
+        if !catch_up.fetch(&key, ballot, &sources).await {
             return false;
         }
     }
@@ -183,17 +191,17 @@
 }
 
 /// Asks all other members at once; a later membership among the answers is taken up.
-pub async fn ask_all(s: &Arc<Controller>, ask: Body) -> Vec<(u64, BallotReport)> {
-    let members = s.acceptor.lock().membership().members.clone();
-    let calls = s.peers(&members).into_iter().map(|(id, link)| {
-        let ask = ask.clone();
-        async move { (id, link.call(ask, constants::PHASE_LIMIT * 2).await) }
+pub async fn query_all(controller: &Arc<Controller>, request: Body) -> Vec<(u64, BallotReport)> {
+    let members = controller.acceptor.lock().membership().members.clone();
+    let calls = controller.links_to(&members).into_iter().map(|(id, link)| {
+        let request = request.clone();
+        async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
     });
     let mut out = Vec::new();
     for (id, answer) in futures_util::future::join_all(calls).await {
         let Ok(Body::BallotReport(report)) = answer else { continue };
         if let Some(membership) = &report.membership {
-            s.adopt(membership).await;
+            controller.adopt(membership).await;
         }
         out.push((id, report));
     }
--- a/crates/control-plane/src/members/recovery_tests.rs
+++ b/crates/control-plane/src/membership/recovery_tests.rs
@@ -1,9 +1,9 @@
 //! Tests of `recovery`: holders behind a line of 10 Mbit/s, time paused.
 
-use super::super::handover::Handovers;
+use super::super::state_transfer::StateTransfers;
 use super::*;
-use crate::control::acceptor::Acceptor;
-use crate::disk::format::State;
+use crate::consensus::acceptor::Acceptor;
+use crate::storage::format::State;
 use fleet_core::wire::{Accept, Member, Membership};
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 fn voter(i: u8) -> Acceptor {
     let mut acceptor = Acceptor::new(ip(i), State::default());
-    acceptor.found(&membership()).unwrap();
+    acceptor.bootstrap(&membership()).unwrap();
     acceptor
 }
 
@@ -41,21 +41,21 @@
     assert!(acceptor.accept(&accept).answer.ok);
 }
 
-/// Gives `left` pieces, then is gone.
+/// Gives `remaining` pieces, then is gone.
 struct Slow<'a> {
     acceptor: &'a parking_lot::Mutex<Acceptor>,
-    handovers: Handovers,
-    left: std::sync::atomic::AtomicUsize,
+    state_transfers: StateTransfers,
+    remaining: std::sync::atomic::AtomicUsize,
     sent: std::sync::atomic::AtomicU64,
     rewrites: bool,
 }
 
 impl Slow<'_> {
-    fn of(acceptor: &parking_lot::Mutex<Acceptor>, left: usize, rewrites: bool) -> Slow<'_> {
+    fn of(acceptor: &parking_lot::Mutex<Acceptor>, remaining: usize, rewrites: bool) -> Slow<'_> {
         Slow {
             acceptor,
-            handovers: Handovers::default(),
-            left: left.into(),
+            state_transfers: StateTransfers::default(),
+            remaining: remaining.into(),
             sent: 0.into(),
             rewrites,
         }
@@ -66,42 +66,46 @@
     }
 }
 
-impl Holder for Slow<'_> {
-    async fn piece(&self, ask: ValueChunkRequest) -> Option<ValueChunk> {
+impl ChunkSource for Slow<'_> {
+    async fn chunk(&self, request: ValueChunkRequest) -> Option<ValueChunk> {
         use std::sync::atomic::Ordering::Relaxed;
-        self.left.fetch_update(Relaxed, Relaxed, |left| left.checked_sub(1)).ok()?;
-        let piece = {
+        self.remaining.fetch_update(Relaxed, Relaxed, |remaining| remaining.checked_sub(1)).ok()?;
+        let chunk = {
             let mut acceptor = self.acceptor.lock();
-            let piece = self.handovers.piece("reader", &ask, acceptor.register(&ask.key));
+            let chunk =
+                self.state_transfers.chunk("reader", &request, acceptor.register(&request.key));
             if self.rewrites {
                 let seq = acceptor.register("config").map_or(0, |r| r.accepted.seq);
-                write(&mut acceptor, seq + 1, piece.total as usize);
+                write(&mut acceptor, seq + 1, chunk.total as usize);
             }
-            piece
+            chunk
         };
-        self.sent.fetch_add(piece.bytes.len() as u64, Relaxed);
-        let line = Duration::from_millis(piece.bytes.len() as u64 / LINE_BYTES);
-        assert!(line + ROUND_TRIP < constants::PIECE_LIMIT);
+        self.sent.fetch_add(chunk.bytes.len() as u64, Relaxed);
+        let line = Duration::from_millis(chunk.bytes.len() as u64 / LINE_BYTES);
+        assert!(line + ROUND_TRIP < constants::CHUNK_TIMEOUT);
         tokio::time::sleep(ROUND_TRIP + line).await;
-        Some(piece)
+        Some(chunk)
     }
 }
 
 /// A member without a disk reads back from two; how long it took, and how many bytes came.
-async fn read_back(size: usize, changes: u64, rewrites: bool) -> (Duration, u64) {
+async fn begin_recovery(size: usize, changes: u64, rewrites: bool) -> (Duration, u64) {
     let mut holders = [voter(1), voter(2)];
     for seq in 1..=changes {
         holders.iter_mut().for_each(|holder| write(holder, seq, size));
     }
-    let mut answers: Vec<(u64, BallotReport)> =
-        holders.iter_mut().zip([1, 2]).map(|(h, id)| (id, h.hand_over(10).answer)).collect();
+    let mut answers: Vec<(u64, BallotReport)> = holders
+        .iter_mut()
+        .zip([1, 2])
+        .map(|(h, id)| (id, h.begin_state_transfer(10).answer))
+        .collect();
     let ballots: usize = answers.iter().map(|(_, p)| prost::Message::encoded_len(p)).sum();
     assert!(ballots < 1000, "ballots come without the values");
     let [first, _] = holders.map(parking_lot::Mutex::new);
     let slow = Slow::of(&first, usize::MAX, rewrites);
     let mut catch_up = CatchUp::default();
     let began = tokio::time::Instant::now();
-    for (key, (ballot, _)) in wanted(&answers) {
+    for (key, (ballot, _)) in latest_ballots(&answers) {
         assert!(catch_up.fetch(&key, ballot, std::slice::from_ref(&slow)).await);
     }
     let took = began.elapsed();
@@ -121,7 +125,7 @@
 async fn time_follows_the_size_and_not_the_number_of_changes() {
     for (size, most) in [(10_000, 20), (1_000_000, 900), (6_000_000, 5_200)] {
         for changes in [1, 100, 1_000] {
-            let (took, bytes) = read_back(size, changes, false).await;
+            let (took, bytes) = begin_recovery(size, changes, false).await;
             println!("{size} bytes, {changes} changes: {took:?}");
             assert_eq!(bytes, size as u64, "each value once");
             assert!(took <= Duration::from_millis(most), "{size} {changes} {took:?}");
@@ -131,24 +135,24 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_value_that_is_replaced_with_each_piece_is_read_all_the_same() {
-    let (took, bytes) = read_back(1_000_000, 5, true).await;
+    let (took, bytes) = begin_recovery(1_000_000, 5, true).await;
     assert_eq!(bytes, 1_000_000);
     assert!(took <= Duration::from_millis(900));
 }
 
 #[tokio::test(start_paused = true)]
 async fn reading_goes_on_at_another_holder_where_the_first_broke_off() {
-    let held = parking_lot::Mutex::new(voter(1));
-    write(&mut held.lock(), 1, 1_000_000);
-    let (gone, other) = (Slow::of(&held, 3, false), Slow::of(&held, usize::MAX, false));
+    let source = parking_lot::Mutex::new(voter(1));
+    write(&mut source.lock(), 1, 1_000_000);
+    let (lost_source, other) = (Slow::of(&source, 3, false), Slow::of(&source, usize::MAX, false));
     let mut catch_up = CatchUp::default();
     let ballot = Ballot { n: 1, node: 1, seq: 1 };
-    assert!(!catch_up.fetch("config", ballot, std::slice::from_ref(&gone)).await);
-    assert_eq!(gone.sent(), 3 * constants::PIECE_BYTES as u64);
-    assert!(catch_up.fetch("config", ballot, &[gone, other]).await);
+    assert!(!catch_up.fetch("config", ballot, std::slice::from_ref(&lost_source)).await);
+    assert_eq!(lost_source.sent(), 3 * constants::CHUNK_BYTES as u64);
+    assert!(catch_up.fetch("config", ballot, &[lost_source, other]).await);
     let partial = &catch_up.values["config"];
     assert_eq!(partial.bytes.len(), 1_000_000);
     let later = Ballot { seq: 2, ..ballot };
-    assert!(!catch_up.fetch("config", later, &[Slow::of(&held, 9, false)]).await, "older one");
+    assert!(!catch_up.fetch("config", later, &[Slow::of(&source, 9, false)]).await, "older one");
     assert!(catch_up.values["config"].bytes.is_empty(), "nothing of another ballot is kept");
 }
--- a/crates/control-plane/src/members/handover.rs
+++ b/crates/control-plane/src/membership/state_transfer.rs
@@ -10,47 +10,48 @@
 /// Values that members are reading; one that is replaced midway is kept for its reader, so that
 /// a key that changes often can be read to its end.
 #[derive(Default)]
-pub struct Handovers {
-    open: parking_lot::Mutex<hashbrown::HashMap<Reader, Handover>>,
+pub struct StateTransfers {
+    open: parking_lot::Mutex<hashbrown::HashMap<Reader, StateTransfer>>,
 }
 
-struct Handover {
+struct StateTransfer {
     register: Register,
     asked: Instant,
 }
 
-impl Handovers {
+impl StateTransfers {
     /// The next piece for the member at `peer`; `current` is what is held of the key now.
-    pub fn piece(
+    pub fn chunk(
         &self,
         peer: &str,
-        ask: &ValueChunkRequest,
+        request: &ValueChunkRequest,
         current: Option<&Register>,
     ) -> ValueChunk {
         let mut open = self.open.lock();
-        open.retain(|_, handover| handover.asked.elapsed() < constants::HANDOVER_KEPT);
-        let reader = (peer.to_owned(), ask.key.clone());
-        let begun = open.get(&reader).filter(|handover| handover.register.accepted == ask.ballot);
-        let Some(register) = begun.map(|handover| &handover.register).or(current) else {
+        open.retain(|_, transfer| transfer.asked.elapsed() < constants::STATE_TRANSFER_RETENTION);
+        let reader = (peer.to_owned(), request.key.clone());
+        let begun =
+            open.get(&reader).filter(|transfer| transfer.register.accepted == request.ballot);
+        let Some(register) = begun.map(|transfer| &transfer.register).or(current) else {
             return ValueChunk::default();
         };
         let register = register.clone();
-        let piece = cut(&register, ask);
-        if piece.offset + (piece.bytes.len() as u64) < piece.total {
-            open.insert(reader, Handover { register, asked: Instant::now() });
+        let chunk = chunk_at(&register, request);
+        if chunk.offset + (chunk.bytes.len() as u64) < chunk.total {
+            open.insert(reader, StateTransfer { register, asked: Instant::now() });
         } else {
             open.remove(&reader);
         }
-        piece
+        chunk
     }
 }
 
 /// A value of another ballot than the one asked for begins at its start.
-fn cut(register: &Register, ask: &ValueChunkRequest) -> ValueChunk {
+fn chunk_at(register: &Register, request: &ValueChunkRequest) -> ValueChunk {
     let total = register.value.len();
-    let same = register.accepted == ask.ballot;
-    let from = if same { total.min(ask.offset as usize) } else { 0 };
-    let to = total.min(from + constants::PIECE_BYTES);
+    let same = register.accepted == request.ballot;
+    let from = if same { total.min(request.offset as usize) } else { 0 };
+    let to = total.min(from + constants::CHUNK_BYTES);
     ValueChunk {
         ballot: register.accepted,
         offset: from as u64,
@@ -60,5 +61,5 @@
 }
 
 #[cfg(test)]
-#[path = "handover_tests.rs"]
+#[path = "state_transfer_tests.rs"]
 mod tests;
--- /dev/null
+++ b/crates/control-plane/src/membership/state_transfer_tests.rs
@@ -0,0 +1,32 @@
+//! Tests of `transfer`.
+
+use super::*;
+use fleet_core::wire::Ballot;
+use std::time::Duration;
+
+fn register(n: u64, size: usize) -> Register {
+    let accepted = Ballot { n, node: 1, seq: 0 };
+    Register { key: "k".into(), accepted, value: vec![n as u8; size].into(), ..Default::default() }
+}
+
+fn request(n: u64, offset: u64) -> ValueChunkRequest {
+    ValueChunkRequest { key: "k".into(), ballot: Ballot { n, node: 1, seq: 0 }, offset }
+}
+
+#[tokio::test(start_paused = true)]
+async fn a_value_replaced_midway_is_read_to_its_end() {
+    let state_transfers = StateTransfers::default();
+    let size = constants::CHUNK_BYTES + 10;
+    let first = state_transfers.chunk("a", &request(1, 0), Some(&register(1, size)));
+    assert_eq!((first.total, first.bytes.len()), (size as u64, constants::CHUNK_BYTES));
+    let newer = register(2, 7);
+    let second = state_transfers.chunk("a", &request(1, first.bytes.len() as u64), Some(&newer));
+    assert_eq!((second.ballot.n, second.bytes.len()), (1, 10));
+    let other = state_transfers.chunk("b", &request(1, 5), Some(&newer));
+    assert_eq!((other.ballot.n, other.offset, other.total), (2, 0, 7), "began later");
+    state_transfers.chunk("a", &request(1, 0), Some(&register(1, size)));
+    tokio::time::advance(constants::STATE_TRANSFER_RETENTION + Duration::from_millis(1)).await;
+    let late = state_transfers.chunk("a", &request(1, constants::CHUNK_BYTES as u64), Some(&newer));
+    assert_eq!((late.ballot.n, late.offset), (2, 0), "not kept for ever");
+    assert_eq!(state_transfers.chunk("a", &request(1, 0), None), ValueChunk::default());
+}
--- a/crates/control-plane/src/duties/rollout/order.rs
+++ b/crates/control-plane/src/rollout/order.rs
@@ -1,9 +1,9 @@
 //! One order to one engine, and what its reports say of it.
 
-use super::super::ROLL_OUT;
-use super::super::lease::Mandate;
 use crate::Controller;
-use crate::engines::outside::{Answer, Line, OutsideError};
+use crate::engines::client::{Answer, CallError, EngineClient};
+use crate::leases::ROLLOUT_LEASE;
+use crate::leases::lease::FencedLease;
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{Engine, EngineState};
@@ -15,15 +15,15 @@
 #[derive(Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum OrderError {
     /// the duty is no longer held
-    NoDuty,
+    LeaseLost,
     /// a higher fence was seen
     Fenced,
     /// no end of the order in time
-    Late,
+    Timeout,
     /// the engine is no longer known
     Unknown,
     /// another engine answers at its address
-    Stranger,
+    WrongEngine,
 }
 
 /// What an engine reports of itself. It bears no id.
@@ -77,11 +77,13 @@
     /// Takes a report. Within one engine's incarnation neither the number of its orders nor its version
     /// of the weights falls, and the model stays: what says otherwise comes from another one that was given
     /// the address.
-    pub fn take(&mut self, r: &Report, now: Instant) -> Result<Next, OrderError> {
+    pub fn on_report(&mut self, r: &Report, now: Instant) -> Result<Next, OrderError> {
         let loaded = r.models.iter().find(|m| m.name == self.model);
-        let Some(revision) = loaded.map(|m| m.revision) else { return Err(OrderError::Stranger) };
+        let Some(revision) = loaded.map(|m| m.revision) else {
+            return Err(OrderError::WrongEngine);
+        };
         if r.call_seq < self.call_seq || revision < self.revision {
-            return Err(OrderError::Stranger);
+            return Err(OrderError::WrongEngine);
         }
         (self.call_seq, self.revision) = (r.call_seq, revision);
         if revision >= self.version {
@@ -102,106 +104,112 @@
 }
 
 /// How long an order may be under way: it has reached the engine before the lease ends, or never does.
-pub fn order_limit(m: Mandate, now: Instant) -> Option<Duration> {
-    let left = m.until.saturating_duration_since(now).saturating_sub(constants::ORDER_TRAVEL);
-    (left >= constants::ORDER_LEAST).then(|| left.min(constants::ENGINE_CALL_LIMIT))
+pub fn order_timeout(m: FencedLease, now: Instant) -> Option<Duration> {
+    let remaining = m.until.saturating_duration_since(now).saturating_sub(constants::ORDER_TRAVEL);
+    (remaining >= constants::ORDER_LEAST).then(|| remaining.min(constants::ENGINE_CALL_TIMEOUT))
 }
 
 /// The engine is still known at its address, and none that came after it is.
-pub fn is_at_its_address<'a>(e: &Engine, mut known: impl Iterator<Item = &'a Engine>) -> bool {
+pub fn is_at_its_address<'a>(e: &Engine, mut engines: impl Iterator<Item = &'a Engine>) -> bool {
     let mut there = false;
-    let another = known.any(|k| {
-        let lives = k.state() != EngineState::Deregistered && !k.silent && k.address == e.address;
-        there |= lives && k.id == e.id;
-        lives && k.id != e.id
+    let another = engines.any(|k| {
+        let is_alive =
+            k.state() != EngineState::Deregistered && !k.heartbeat_missed && k.address == e.address;
+        there |= is_alive && k.id == e.id;
+        is_alive && k.id != e.id
     });
     there && !another
 }
 
 /// Orders, and waits until the engine shows the weights.
 pub async fn order(
-    s: &Arc<Controller>,
-    line: &mut Line,
+    controller: &Arc<Controller>,
+    client: &mut EngineClient,
     e: &Engine,
     model: &str,
     version: u64,
 ) -> Result<Duration, OrderError> {
-    let until = Instant::now() + constants::ORDER_LIMIT;
+    let until = Instant::now() + constants::ORDER_TIMEOUT;
     let mut progress = Progress::new(model, version);
     while Instant::now() < until {
-        if !s.look(|n| is_at_its_address(e, n.engines.values())) {
+        if !controller.read_state(|n| is_at_its_address(e, n.engines.values())) {
             return Err(OrderError::Unknown);
         }
-        if let Some(r) = report(line, e).await? {
-            match progress.take(&r, Instant::now())? {
+        if let Some(r) = report(client, e).await? {
+            match progress.on_report(&r, Instant::now())? {
                 Next::Done(took) => return Ok(took),
                 Next::Wait => {}
-                Next::Order(expected) => match give(s, line, &progress, e, expected).await? {
-                    Given::Taken => {
-                        fleet_core::log_event!(s.log, Event::RollOrdered, "id" => &e.id, "version" => version);
-                        progress.ordered(r.active, Instant::now());
+                Next::Order(expected) => {
+                    match send_order(controller, client, &progress, e, expected).await? {
+                        OrderOutcome::Accepted => {
+                            fleet_core::log_event!(controller.log, Event::WeightUpdateOrdered, "id" => &e.id, "version" => version);
+                            progress.ordered(r.active, Instant::now());
+                        }
+                        OrderOutcome::AlreadyApplied => return Ok(Duration::ZERO),
+                        OrderOutcome::Unclear => {}
                     }
-                    Given::Holds => return Ok(Duration::ZERO),
-                    Given::Unclear => {}
-                },
+                }
             }
         }
-        tokio::time::sleep(constants::REPORT_PAUSE).await;
+        tokio::time::sleep(constants::REPORT_INTERVAL).await;
     }
-    Err(OrderError::Late)
+    Err(OrderError::Timeout)
 }
 
-enum Given {
-    Taken,
+enum OrderOutcome {
+    Accepted,
     /// the engine has the weights already
-    Holds,
+    AlreadyApplied,
     /// not taken, or no answer: the next report tells
     Unclear,
 }
 
-async fn give(
-    s: &Arc<Controller>,
-    line: &mut Line,
+async fn send_order(
+    controller: &Arc<Controller>,
+    client: &mut EngineClient,
     p: &Progress<'_>,
     e: &Engine,
     expected: u64,
-) -> Result<Given, OrderError> {
-    if line.open().await.is_err() {
-        return Ok(Given::Unclear);
+) -> Result<OrderOutcome, OrderError> {
+    if client.open().await.is_err() {
+        return Ok(OrderOutcome::Unclear);
     }
-    let mandate = s.duties.mandate(ROLL_OUT).ok_or(OrderError::NoDuty)?;
-    let Some(limit) = order_limit(mandate, Instant::now()) else { return Ok(Given::Unclear) };
+    let fenced_lease =
+        controller.leases.fenced_lease(ROLLOUT_LEASE).ok_or(OrderError::LeaseLost)?;
+    let Some(limit) = order_timeout(fenced_lease, Instant::now()) else {
+        return Ok(OrderOutcome::Unclear);
+    };
     let body = serde_json::json!({
         "operation": "revision", "model": p.model, "revision": p.version, "method": "defer",
-        "holder": s.node.name, "fence": mandate.fence, "expected": expected,
+        "holder": controller.node.name, "fence": fenced_lease.fencing_token, "expected": expected,
     });
     let target = [("X-Target-Instance", e.id.as_str())];
     let body = body.to_string().into_bytes();
-    let sent = line.send(http::Method::POST, "/anisedyke/order", &target, body, limit);
-    let mut leaving = s.leaving();
+    let sent = client.send(http::Method::POST, "/anisedyke/order", &target, body, limit);
+    let mut shutting_down = controller.shutting_down();
     let answer = tokio::select! {
         answer = sent => answer,
-        _ = leaving.wait_for(|l| *l) => return Err(OrderError::NoDuty),
+        _ = shutting_down.wait_for(|l| *l) => return Err(OrderError::LeaseLost),
     };
     match answer.map(|a| a.status.as_u16()) {
-        Ok(202) => Ok(Given::Taken),
-        Ok(200) => Ok(Given::Holds),
+        Ok(202) => Ok(OrderOutcome::Accepted),
+        Ok(200) => Ok(OrderOutcome::AlreadyApplied),
         Ok(412) => Err(OrderError::Fenced),
-        Ok(421) => Err(OrderError::Stranger),
-        Ok(_) | Err(_) => Ok(Given::Unclear),
+        Ok(421) => Err(OrderError::WrongEngine),
+        Ok(_) | Err(_) => Ok(OrderOutcome::Unclear),
     }
 }
 
-async fn report(line: &mut Line, e: &Engine) -> Result<Option<Report>, OrderError> {
+async fn report(client: &mut EngineClient, e: &Engine) -> Result<Option<Report>, OrderError> {
     let target = [("X-Target-Instance", e.id.as_str())];
-    let limit = constants::ENGINE_CALL_LIMIT;
+    let limit = constants::ENGINE_CALL_TIMEOUT;
     let path = "/anisedyke/report";
-    read_report(line.call(http::Method::GET, path, &target, Vec::new(), limit).await)
+    read_report(client.call(http::Method::GET, path, &target, Vec::new(), limit).await)
 }
 
-fn read_report(answer: Result<Answer, OutsideError>) -> Result<Option<Report>, OrderError> {
+fn read_report(answer: Result<Answer, CallError>) -> Result<Option<Report>, OrderError> {
     match answer {
-        Ok(a) if a.status == http::StatusCode::MISDIRECTED_REQUEST => Err(OrderError::Stranger),
+        Ok(a) if a.status == http::StatusCode::MISDIRECTED_REQUEST => Err(OrderError::WrongEngine),
         Ok(a) if a.status == http::StatusCode::OK => Ok(serde_json::from_slice(&a.body).ok()),
         Ok(_) | Err(_) => Ok(None),
     }
--- a/crates/control-plane/src/duties/rollout/look.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -17,44 +17,57 @@
     /// at older weights, and serving
     Waiting,
     /// gets no more long streams
-    Fading,
+    #[serde(rename = "fading")]
+    DrainingStreams,
     /// gets nothing until it shows the named weights
-    Turning,
+    #[serde(rename = "turning")]
+    Updating,
     /// tells nothing
-    Silent,
+    #[serde(rename = "silent")]
+    HeartbeatMissed,
 }
 
-pub fn state_of(e: &Engine, model: &str, named: u64) -> State {
-    if e.silent {
-        return State::Silent;
+pub fn state_of(e: &Engine, model: &str, target: u64) -> State {
+    if e.heartbeat_missed {
+        return State::HeartbeatMissed;
     }
-    if fleet_core::fleet::version_of(e, model).is_some_and(|v| v >= named) {
+    if fleet_core::fleet::version_of(e, model).is_some_and(|v| v >= target) {
         return State::Ready;
     }
-    if fleet_core::fleet::is_changing(e, model, Some(named)) {
-        return State::Turning;
+    if fleet_core::fleet::is_updating(e, model, Some(target)) {
+        return State::Updating;
+    }
+    if fleet_core::fleet::is_draining_streams(e, model, Some(target)) {
+        State::DrainingStreams
+    } else {
+        State::Waiting
     }
-    if fleet_core::fleet::is_fading(e, model, Some(named)) { State::Fading } else { State::Waiting }
 }
 
 /// Why an engine is no further, where something is wrong with it.
 pub fn stuck(state: State, step: Option<(Step, Instant)>, error: Option<&str>) -> Option<String> {
     match (state, step) {
         (State::Ready, _) => None,
-        (State::Silent, _) => Some("sends no heartbeats".to_owned()),
-        (_, Some((Step::Turning(since), now)))
-            if now.duration_since(since) > constants::TURN_SLOW =>
+        (State::HeartbeatMissed, _) => Some("sends no heartbeats".to_owned()),
+        (_, Some((Step::Updating(since), now)))
+            if now.duration_since(since) > constants::UPDATE_SLOW =>
         {
             Some(format!("turns since {} ms", now.duration_since(since).as_millis()))
         }
-        (_, Some((Step::Turning(_), _))) => None,
+        (_, Some((Step::Updating(_), _))) => None,
         _ => error.map(|p| format!("last turn failed: {p}")),
     }
 }
 
-fn row(e: &Engine, model: &str, named: u64, plan: &Plan, now: Instant) -> serde_json::Value {
-    let state = state_of(e, model, named);
-    let step = plan.step(&e.id).map(|s| (s, now));
+fn engine_json(
+    e: &Engine,
+    model: &str,
+    target: u64,
+    plan: &Plan,
+    now: Instant,
+) -> serde_json::Value {
+    let state = state_of(e, model, target);
+    let step = plan.step(&e.id).map(|step| (step, now));
     serde_json::json!({
         "id": e.id, "zone": e.zone, "state": state,
         "revision": fleet_core::fleet::version_of(e, model),
@@ -62,15 +75,15 @@
     })
 }
 
-pub fn look(s: &Controller) -> serde_json::Value {
+pub fn view(controller: &Controller) -> serde_json::Value {
     let now = Instant::now();
-    let bound = s.settings().bounds.version;
-    let plan = s.duties.plan.lock();
-    let holds = s.duties.fence(super::ROLL_OUT).is_some();
-    let models = s.look(|n| {
+    let bound = controller.settings().bounds.version;
+    let plan = controller.leases.plan.lock();
+    let is_held = controller.leases.fencing_token(super::ROLLOUT_LEASE).is_some();
+    let models = controller.read_state(|n| {
         let mut all: Vec<_> = n.weights.iter().collect();
         all.sort_by_key(|(m, _)| m.as_str());
-        let one = |(model, (named, at)): &(&String, &(u64, Option<Instant>))| {
+        let one = |(model, (target, at)): &(&String, &(u64, Option<Instant>))| {
             let mut engines: Vec<&Engine> = n
                 .engines
                 .values()
@@ -79,13 +92,14 @@
                 .collect();
             engines.sort_by(|a, b| a.id.cmp(&b.id));
             let age = at.map_or(Duration::ZERO, |t| now.duration_since(t));
-            let rows: Vec<_> = engines.iter().map(|e| row(e, model, *named, &plan, now)).collect();
+            let engines_json: Vec<_> =
+                engines.iter().map(|e| engine_json(e, model, *target, &plan, now)).collect();
             serde_json::json!({
-                "model": model, "revision": named, "ageMs": age.as_millis() as u64,
-                "leftMs": bound.saturating_sub(age).as_millis() as u64, "engines": rows,
+                "model": model, "revision": target, "ageMs": age.as_millis() as u64,
+                "leftMs": bound.saturating_sub(age).as_millis() as u64, "engines": engines_json,
             })
         };
         all.iter().map(one).collect::<Vec<_>>()
     });
-    serde_json::json!({"holds": holds, "width": plan.width(), "models": models})
+    serde_json::json!({"holds": is_held, "width": plan.concurrency(), "models": models})
 }
--- a/crates/control-plane/src/running.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -1,10 +1,11 @@
 //! A controller's life: what it is started with, its tasks, and how it ends.
 
-use crate::disk::RecordQueue;
-use crate::disk::format::State;
-use crate::disk::writer::{Disk, Files};
+use crate::storage::RecordQueue;
+use crate::storage::format::State;
+use crate::storage::writer::{Disk, Files};
 use crate::{
-    Controller, ControllerError, api, contact, control, duties, engines, facts, learner, members,
+    Controller, ControllerError, api, cluster_state, consensus, engines, index_owner, leases,
+    membership, rollout,
 };
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -59,7 +60,7 @@
 }
 
 /// A controller and its tasks. They end when it is dropped.
-pub struct Running {
+pub struct RunningController {
     /// the controller itself, for the functions of `service` and for looking into it
     pub controller: Arc<Controller>,
     tasks: tokio::task::JoinSet<()>,
@@ -70,24 +71,25 @@
         let node = Node::seeded(&settings, Role::Controller, environment.seed);
         let rng_state = node.incarnation;
         let closed = (!environment.first_start).then_some(settings.bounds.lease);
-        let known = fleet_core::journal::ChangeLog::new(facts::Known::default(), 512);
-        let acceptor = control::acceptor::Acceptor::new(node.ip, environment.state);
+        let cluster_state =
+            fleet_core::journal::ChangeLog::new(cluster_state::ClusterState::default(), 512);
+        let acceptor = consensus::acceptor::Acceptor::new(node.ip, environment.state);
         Arc::new(Controller {
             engines: engines::registry::Registry::default(),
-            members: members::Members::default(),
-            duties: duties::Duties::new(closed, node.incarnation),
+            peers: membership::Peers::default(),
+            leases: leases::Leases::new(closed, node.incarnation),
             contact: parking_lot::Mutex::default(),
-            distribution: crate::distribution::Distribution::default(),
+            config_distribution: crate::config_distribution::ConfigDistribution::default(),
             started: tokio::time::Instant::now(),
             rng_state: AtomicU64::new(rng_state),
-            head: tokio::sync::watch::channel(0).0,
-            leaving: tokio::sync::watch::channel(false).0,
-            known: parking_lot::Mutex::new(known),
+            latest_change: tokio::sync::watch::channel(0).0,
+            shutting_down: tokio::sync::watch::channel(false).0,
+            cluster_state: parking_lot::Mutex::new(cluster_state),
             learned: parking_lot::Mutex::default(),
-            owners: control::owner::Owners::default(),
+            key_owners: consensus::key_owner::KeyOwners::default(),
             acceptor: parking_lot::Mutex::new(acceptor),
             settings: parking_lot::RwLock::new(Arc::new(settings)),
-            disk: crate::disk::monitor::MonitoredDisk::new(environment.disk, log.clone()),
+            disk: crate::storage::monitor::MonitoredDisk::new(environment.disk, log.clone()),
             transport: environment.transport,
             node,
             log,
@@ -99,7 +101,7 @@
         settings: Settings,
         log: slog::Logger,
         environment: Environment,
-    ) -> Result<Running, ControllerError> {
+    ) -> Result<RunningController, ControllerError> {
         let peer_at = settings.peer_addr(settings.ip.into());
         let listener = environment
             .transport
@@ -107,59 +109,59 @@
             .map_err(|e| ControllerError::Listen(peer_at, e.kind()))?;
         let first_start = environment.first_start;
         let controller = Controller::new(settings, log, environment);
-        controller.take_up_membership(first_start).await;
+        controller.load_membership(first_start).await;
         let tasks = controller.spawn_tasks(listener);
         fleet_core::log_event!(controller.log, Event::Started, "incarnation" => controller.node.incarnation);
-        Ok(Running { controller, tasks })
+        Ok(RunningController { controller, tasks })
     }
 
     /// The membership on the disk comes into force; the first start of all founds it.
-    async fn take_up_membership(&self, first_start: bool) {
+    async fn load_membership(&self, first_start: bool) {
         if first_start {
-            let founding = members::founding(&self.settings());
-            self.persist(|a| a.found(&founding)).await;
+            let initial_membership = membership::initial_membership(&self.settings());
+            self.persist(|a| a.bootstrap(&initial_membership)).await;
         }
         let membership = self.acceptor.lock().membership().clone();
         if membership.epoch > 0 {
-            self.append(facts::Fact::Membership(membership));
+            self.append(cluster_state::StateChange::Membership(membership));
         }
-        self.members.relink(self);
+        self.peers.relink(self);
     }
 
     fn spawn_tasks(self: &Arc<Self>, listener: Box<dyn Listener>) -> tokio::task::JoinSet<()> {
         let mut tasks = tokio::task::JoinSet::new();
-        let peer_service = Arc::new(members::PeerService(self.clone()));
+        let peer_service = Arc::new(membership::PeerService(self.clone()));
         tasks.spawn(fleet_core::link::serve_peers(listener, peer_service));
-        tasks.spawn(members::joining(self.clone()));
-        tasks.spawn(members::exchanging(self.clone()));
-        tasks.spawn(learner::learning(self.clone()));
-        tasks.spawn(contact::keeping(self.clone()));
-        tasks.spawn(members::loads::sharing(self.clone()));
-        tasks.spawn(engines::registry::sharing(self.clone()));
-        tasks.spawn(engines::registry::watching(self.clone()));
-        tasks.spawn(duties::holding(self.clone(), duties::ROLL_OUT));
-        tasks.spawn(duties::holding(self.clone(), duties::INDEX_KEEPER));
-        tasks.spawn(duties::rollout::rolling(self.clone()));
-        tasks.spawn(duties::keeper::keeping(self.clone()));
+        tasks.spawn(membership::run_join(self.clone()));
+        tasks.spawn(membership::run_replacement(self.clone()));
+        tasks.spawn(consensus::anti_entropy::run_anti_entropy(self.clone()));
+        tasks.spawn(membership::quorum_contact::run_contact_check(self.clone()));
+        tasks.spawn(membership::load_reports::run_load_sharing(self.clone()));
+        tasks.spawn(engines::registry::run_heartbeat_sharing(self.clone()));
+        tasks.spawn(engines::registry::run_failure_detection(self.clone()));
+        tasks.spawn(leases::run_lease_holder(self.clone(), leases::ROLLOUT_LEASE));
+        tasks.spawn(leases::run_lease_holder(self.clone(), leases::INDEX_OWNER_LEASE));
+        tasks.spawn(rollout::run_rollout(self.clone()));
+        tasks.spawn(index_owner::run_index_owner(self.clone()));
         tasks
     }
 
     /// Takes settings that were read again.
     fn reconfigure(&self, settings: Settings) {
         *self.settings.write() = Arc::new(settings);
-        self.members.relink(self);
+        self.peers.relink(self);
     }
 }
 
-impl Running {
+impl RunningController {
     /// Ends in good order, as a program does when it is told to stop: gives its duties and keys back,
     /// and tells the others what they may not know of the engines.
     pub async fn leave(&self) {
         fleet_core::log_event!(self.controller.log, Event::Stopping);
-        self.controller.leaving.send_replace(true);
-        let tell = engines::registry::tell_all(&self.controller);
-        let give_back = control::leaving::give_keys_back(&self.controller);
-        tokio::join!(duties::leave_all(&self.controller), give_back, tell);
+        self.controller.shutting_down.send_replace(true);
+        let share_engines = engines::registry::share_all(&self.controller);
+        let release_keys = consensus::resignation::release_keys(&self.controller);
+        tokio::join!(leases::release_all(&self.controller), release_keys, share_engines);
     }
 
     /// Ends at once, as in a crash: its tasks stop where they are, its connections close. Steps
@@ -170,10 +172,10 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningController {
     fn drop(&mut self) {
         self.tasks.abort_all();
-        self.controller.members.unlink();
+        self.controller.peers.unlink();
     }
 }
 
@@ -191,7 +193,7 @@
         api::serve(&running.controller, control).map_err(|e| ControllerError::Control(e.kind()))?;
     until_stopped(&running.controller, stop, reread).await;
     running.leave().await;
-    let _ = tokio::time::timeout(constants::PHASE_LIMIT, server.close()).await;
+    let _ = tokio::time::timeout(constants::PHASE_TIMEOUT, server.close()).await;
     running.abort();
     Ok(())
 }
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -2,7 +2,7 @@
 
 use super::{Rejection, contact};
 use crate::Controller;
-use crate::control::{submit, values};
+use crate::consensus::{forward, state_machine};
 use bytes::Bytes;
 use fleet_core::configuration::Configuration;
 use fleet_core::constants;
@@ -30,20 +30,20 @@
 
 /// Puts a configuration in force in place of the one that it builds on.
 pub async fn replace(
-    s: &Arc<Controller>,
+    controller: &Arc<Controller>,
     base_header: Option<&str>,
     body: Bytes,
 ) -> Result<Replaced, Rejection> {
-    contact(s)?;
+    contact(controller)?;
     let base = base_of(base_header)?;
-    let configuration = Configuration::read(&body).map_err(|error| refused(s, &error))?;
+    let configuration = Configuration::read(&body).map_err(|error| refused(controller, &error))?;
     let packed = fleet_core::packing::pack(&body);
     let change = ReplaceConfig { base, version: configuration.revision, packed };
-    let changed = submit::submit(s, ChangeKind::Replace(change.clone())).await;
+    let changed = forward::submit(controller, ChangeKind::Replace(change.clone())).await;
     match changed.outcome() {
         Outcome::Done => Ok(Replaced { version: change.version }),
         Outcome::Stale => Err(stale(&changed)),
-        Outcome::Invalid => Err(refused(s, &values::error_of(&change, &changed))),
+        Outcome::Invalid => Err(refused(controller, &state_machine::error_of(&change, &changed))),
         Outcome::Unproven => Err(unproven(&changed)),
         Outcome::Unknown => {
             Err(Rejection::unavailable("unknown", "no majority in time: it may yet be in force"))
@@ -68,15 +68,17 @@
     Rejection::unavailable("unknown", &message)
 }
 
-fn refused(s: &Controller, error: &fleet_core::configuration::ConfigError) -> Rejection {
-    fleet_core::log_event!(s.log, Event::ConfigRejected, "why" => error.to_string());
+fn refused(controller: &Controller, error: &fleet_core::configuration::ConfigError) -> Rejection {
+    fleet_core::log_event!(controller.log, Event::ConfigRejected, "why" => error.to_string());
     Rejection::bad_request(error.code(), error)
 }
 
 /// The configuration in force, confirmed by a majority after the call came.
-pub async fn fetch(s: &Arc<Controller>) -> Result<Bytes, Rejection> {
-    contact(s)?;
-    let read = tokio::time::timeout(constants::CHANGE_LIMIT, s.read(values::CONFIG)).await;
+pub async fn fetch(controller: &Arc<Controller>) -> Result<Bytes, Rejection> {
+    contact(controller)?;
+    let read =
+        tokio::time::timeout(constants::CHANGE_TIMEOUT, controller.read(state_machine::CONFIG))
+            .await;
     let register = read.ok().flatten();
     let value = register.and_then(|(_, value)| ConfigValue::decode(value).ok());
     let body = value.filter(|value| value.version > 0).and_then(|value| value.body().ok());
--- a/crates/control-plane/src/service/instances.rs
+++ b/crates/control-plane/src/service/instances.rs
@@ -9,7 +9,7 @@
 
 #[derive(serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Beat {
+struct HeartbeatBody {
     service: String,
     address: String,
     #[serde(default)]
@@ -37,7 +37,7 @@
 
 #[derive(serde::Deserialize, Default)]
 #[serde(rename_all = "camelCase")]
-struct Leave {
+struct DeregisterBody {
     #[serde(default)]
     call_seq: Option<u64>,
 }
@@ -46,7 +46,7 @@
     Rejection::bad_request("malformed", error)
 }
 
-impl Beat {
+impl HeartbeatBody {
     fn into_engine(self, id: String) -> Engine {
         let weights =
             self.models.into_iter().map(|m| Weights { model: m.name, version: m.revision });
@@ -69,43 +69,51 @@
 }
 
 /// Takes a heartbeat; that of a draining engine is acknowledged when a majority has it.
-pub async fn heartbeat(s: &Arc<Controller>, id: String, body: Bytes) -> Result<(), Rejection> {
-    let beat: Beat = serde_json::from_slice(&body).map_err(malformed)?;
-    if beat.address.parse::<std::net::SocketAddr>().is_err() {
+pub async fn heartbeat(
+    controller: &Arc<Controller>,
+    id: String,
+    body: Bytes,
+) -> Result<(), Rejection> {
+    let heartbeat: HeartbeatBody = serde_json::from_slice(&body).map_err(malformed)?;
+    if heartbeat.address.parse::<std::net::SocketAddr>().is_err() {
         return Err(malformed("address: not an address with a port"));
     }
-    let draining = beat.state == State::Draining;
+    let draining = heartbeat.state == State::Draining;
     // also out of contact: routers that reach only this node need to hear of it
-    registry::hear(s, beat.into_engine(id.clone()), true);
-    contact(s)?;
+    registry::record_heartbeat(controller, heartbeat.into_engine(id.clone()), true);
+    contact(controller)?;
     if draining {
-        told(s, &id).await?;
+        replicated(controller, &id).await?;
     }
     Ok(())
 }
 
 /// Acknowledged only when a majority of the controllers has it.
-async fn told(s: &Arc<Controller>, id: &str) -> Result<(), Rejection> {
-    let Some(engine) = s.look(|n| n.engines.get(id).cloned()) else { return Ok(()) };
-    if registry::share_now(s, engine).await {
+async fn replicated(controller: &Arc<Controller>, id: &str) -> Result<(), Rejection> {
+    let Some(engine) = controller.read_state(|n| n.engines.get(id).cloned()) else { return Ok(()) };
+    if registry::replicate_now(controller, engine).await {
         return Ok(());
     }
     Err(Rejection::unavailable("no_majority", "not told to a majority"))
 }
 
 /// Takes an engine's farewell, acknowledged when a majority has it.
-pub async fn deregister(s: &Arc<Controller>, id: String, body: Bytes) -> Result<(), Rejection> {
-    let leave: Leave = if body.is_empty() {
-        Leave::default()
+pub async fn deregister(
+    controller: &Arc<Controller>,
+    id: String,
+    body: Bytes,
+) -> Result<(), Rejection> {
+    let deregister_body: DeregisterBody = if body.is_empty() {
+        DeregisterBody::default()
     } else {
         serde_json::from_slice(&body).map_err(malformed)?
     };
-    let known = s.look(|n| n.engines.get(&id).cloned());
-    let call = known.as_ref().map_or(0, |e| e.call);
-    let mut engine = known.unwrap_or_else(|| Engine { id: id.clone(), ..Default::default() });
-    engine.call = call.max(leave.call_seq.unwrap_or(call + 1));
+    let current = controller.read_state(|n| n.engines.get(&id).cloned());
+    let call = current.as_ref().map_or(0, |e| e.call);
+    let mut engine = current.unwrap_or_else(|| Engine { id: id.clone(), ..Default::default() });
+    engine.call = call.max(deregister_body.call_seq.unwrap_or(call + 1));
     engine.set_state(EngineState::Deregistered);
-    registry::hear(s, engine, true);
-    contact(s)?;
-    told(s, &id).await
+    registry::record_heartbeat(controller, engine, true);
+    contact(controller)?;
+    replicated(controller, &id).await
 }
