--- a/crates/control-plane/src/service/members/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -3,11 +3,11 @@
 
 mod view;
 
-pub use view::{BallotView, DiskState, DutyView, GrantView, KeyView, Lag, MembersView, VoterView};
+pub use view::{BallotView, DiskState, GrantView, KeyView, Lag, LeaseView, MembersView, VoterView};
 
 use crate::Controller;
-use crate::control::values;
-use crate::duties;
+use crate::consensus::state_machine;
+use crate::leases;
 use fleet_core::constants;
 use fleet_core::wire::{Ballot, BallotReport, Body, LeaseValue, Member, Membership, ReadBallots};
 use prost::Message;
@@ -17,53 +17,58 @@
 use tokio::time::Instant;
 
 /// The control plane as this controller sees it, in contact or not.
-pub async fn look(s: &Arc<Controller>) -> MembersView {
+pub async fn view(controller: &Arc<Controller>) -> MembersView {
     let (membership, votes, recovery_epoch) = {
-        let acceptor = s.acceptor.lock();
+        let acceptor = controller.acceptor.lock();
         (acceptor.membership().clone(), acceptor.votes(), acceptor.recovery_epoch())
     };
-    let answers = ask_voters(s, &membership).await;
-    let highest = highest_accepted(&answers, values::CONFIG);
-    let voter = |member: &Member| voter_view(s, member, &answers, highest);
+    let answers = ask_voters(controller, &membership).await;
+    let highest = highest_accepted(&answers, state_machine::CONFIG);
+    let voter = |member: &Member| voter_view(controller, member, &answers, highest);
     MembersView {
-        name: s.node.name.clone(),
-        ip: s.node.ip.to_string(),
-        in_contact: s.in_contact(),
+        name: controller.node.name.clone(),
+        ip: controller.node.ip.to_string(),
+        in_contact: controller.in_contact(),
         votes,
-        leaving: *s.leaving().borrow(),
-        disk: disk_state(s),
+        shutting_down: *controller.shutting_down().borrow(),
+        disk: disk_state(controller),
         membership_epoch: membership.epoch,
         recovery_epoch,
-        tolerated_losses: s.settings().losses,
+        tolerated_losses: controller.settings().losses,
         config: BallotView::of(highest),
         voters: membership.members.iter().map(voter).collect(),
         keys: key_views(&answers),
-        duties: duty_views(s),
+        leases: lease_views(controller),
     }
 }
 
-fn disk_state(s: &Controller) -> DiskState {
-    if s.disk_absent() {
+fn disk_state(controller: &Controller) -> DiskState {
+    if controller.disk_absent() {
         return DiskState::Absent;
     }
-    if s.disk_broken() { DiskState::Refused } else { DiskState::Works }
+    if controller.disk_broken() { DiskState::Refused } else { DiskState::Works }
 }
 
 /// What each voter answers, this one too; one that says nothing in time is left out.
-async fn ask_voters(s: &Arc<Controller>, membership: &Membership) -> BTreeMap<u64, BallotReport> {
-    let calls = s.peers(&membership.members).into_iter().map(|(id, link)| async move {
-        let ask = Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
-        match link.call(ask, constants::PHASE_LIMIT).await {
+async fn ask_voters(
+    controller: &Arc<Controller>,
+    membership: &Membership,
+) -> BTreeMap<u64, BallotReport> {
+    let calls = controller.links_to(&membership.members).into_iter().map(|(id, link)| async move {
+        let request =
+            Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
+        match link.call(request, constants::PHASE_TIMEOUT).await {
             Ok(Body::BallotReport(report)) => Some((id, report)),
             _ => None,
         }
     });
-    let own = tokio::time::timeout(constants::PHASE_LIMIT, s.vote(|a| a.peek(false)));
+    let own =
+        tokio::time::timeout(constants::PHASE_TIMEOUT, controller.vote(|a| a.read_ballots(false)));
     let (others, own) = tokio::join!(futures_util::future::join_all(calls), own);
     let mut answers: BTreeMap<u64, BallotReport> = others.into_iter().flatten().collect();
-    let is_member = s.acceptor.lock().is_member();
+    let is_member = controller.acceptor.lock().is_member();
     if is_member && let Ok(Some(report)) = own {
-        answers.insert(s.node.id(), report);
+        answers.insert(controller.node.id(), report);
     }
     answers
 }
@@ -80,34 +85,34 @@
 }
 
 fn voter_view(
-    s: &Controller,
+    controller: &Controller,
     member: &Member,
     answers: &BTreeMap<u64, BallotReport>,
     highest: Ballot,
 ) -> VoterView {
     let id = member.addr().map(|ip| u64::from(u32::from(ip)));
-    let told_zone = member.addr().and_then(|ip| s.members.zone_of(ip));
-    let own_zone = (id == Some(s.node.id())).then(|| s.node.zone.clone());
+    let reported_zone = member.addr().and_then(|ip| controller.peers.zone_of(ip));
+    let own_zone = (id == Some(controller.node.id())).then(|| controller.node.zone.clone());
     let view = VoterView {
         ip: member.ip.clone(),
-        zone: own_zone.or(told_zone).unwrap_or_else(|| member.zone.clone()),
+        zone: own_zone.or(reported_zone).unwrap_or_else(|| member.zone.clone()),
         control: member.control.clone(),
         joined_epoch: member.joined_epoch,
         ..Default::default()
     };
     let Some(report) = id.and_then(|id| answers.get(&id)) else {
-        let age = id.and_then(|id| s.last_answer_age(id));
-        return VoterView { last_answer_ms: age.map(whole_ms), ..view };
+        let age = id.and_then(|id| controller.last_answer_age(id));
+        return VoterView { last_answer_ms: age.map(as_millis), ..view };
     };
-    let held = accepted(report, values::CONFIG);
+    let accepted_ballot = accepted(report, state_machine::CONFIG);
     VoterView {
         answered: true,
         last_answer_ms: Some(0),
         votes: report.votes,
         membership_epoch: report.membership.as_ref().map_or(0, |membership| membership.epoch),
         recovery_epoch: report.recovery_epoch,
-        config: BallotView::of(held),
-        behind: Lag::between(held, highest),
+        config: BallotView::of(accepted_ballot),
+        behind: Lag::between(accepted_ballot, highest),
         ..view
     }
 }
@@ -127,25 +132,26 @@
     owned.collect()
 }
 
-fn duty_views(s: &Arc<Controller>) -> Vec<DutyView> {
-    let all = [duties::INDEX_KEEPER, duties::ROLL_OUT];
-    all.into_iter().filter_map(|duty| duty_view(s, duty)).collect()
+fn lease_views(controller: &Arc<Controller>) -> Vec<LeaseView> {
+    let all = [leases::INDEX_OWNER_LEASE, leases::ROLLOUT_LEASE];
+    all.into_iter().filter_map(|lease_name| lease_view(controller, lease_name)).collect()
 }
 
-fn duty_view(s: &Arc<Controller>, duty: &str) -> Option<DutyView> {
-    let value = s.newest_value(&values::duty_key(duty))?;
+fn lease_view(controller: &Arc<Controller>, lease_name: &str) -> Option<LeaseView> {
+    let value = controller.newest_value(&state_machine::lease_key(lease_name))?;
     let value = LeaseValue::decode(value).ok()?;
     let now = Instant::now();
-    let granted = s.duties.granted(duty, now);
-    Some(DutyView {
-        duty: duty.to_owned(),
+    let granted = controller.leases.granted(lease_name, now);
+    Some(LeaseView {
+        name: lease_name.to_owned(),
         holder: value.holder,
-        fence: value.fence,
-        acts: s.duties.fence(duty).is_some(),
-        granted: granted.map(|(node, until)| GrantView { node, left_ms: whole_ms(until - now) }),
+        fencing_token: value.fencing_token,
+        acts: controller.leases.fencing_token(lease_name).is_some(),
+        granted: granted
+            .map(|(node, until)| GrantView { node, remaining_ms: as_millis(until - now) }),
     })
 }
 
-fn whole_ms(span: Duration) -> u64 {
+fn as_millis(span: Duration) -> u64 {
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/control-plane/src/service/members/view.rs
+++ b/crates/control-plane/src/service/membership/view.rs
@@ -1,4 +1,4 @@
-//! The shape of what [`super::look`] tells; `fleetctl` reads it back.
+//! The shape of what [`super::view`] returns; `fleetctl` reads it back.
 
 use fleet_core::wire::Ballot;
 use serde::{Deserialize, Serialize};
@@ -17,7 +17,8 @@
     /// Whether it has a vote.
     pub votes: bool,
     /// Whether it was told to stop.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub shutting_down: bool,
     /// How its disk stands.
     pub disk: DiskState,
     /// Epoch of the membership that it goes by; 0 before it knows one.
@@ -32,8 +33,9 @@
     pub voters: Vec<VoterView>,
     /// All keys that voters hold, by name.
     pub keys: Vec<KeyView>,
-    /// All duties that were ever held, by name.
-    pub duties: Vec<DutyView>,
+    /// All leases that were ever held, by name.
+    #[serde(rename = "duties")]
+    pub leases: Vec<LeaseView>,
 }
 
 impl MembersView {
@@ -130,12 +132,13 @@
 
 impl Lag {
     /// Of a ballot against the highest one; none if it is not behind.
-    pub fn between(held: Ballot, highest: Ballot) -> Option<Lag> {
-        if held >= highest {
+    pub fn between(accepted_ballot: Ballot, highest: Ballot) -> Option<Lag> {
+        if accepted_ballot >= highest {
             return None;
         }
-        let known = if held.epoch() == highest.epoch() { held.seq } else { 0 };
-        Some(Lag { epochs: highest.n - held.n, rounds: highest.seq - known })
+        let known_rounds =
+            if accepted_ballot.epoch() == highest.epoch() { accepted_ballot.seq } else { 0 };
+        Some(Lag { epochs: highest.n - accepted_ballot.n, rounds: highest.seq - known_rounds })
     }
 }
 
@@ -150,15 +153,17 @@
     pub epoch: u64,
 }
 
-/// A duty, as the newest value known to the teller has it, and the teller's part in its lease.
+/// A lease by the newest value that the reporting controller knows, and its own part in it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyView {
-    /// Name of the duty.
-    pub duty: String,
+pub struct LeaseView {
+    /// Name of the lease.
+    #[serde(rename = "duty")]
+    pub name: String,
     /// Name of the node that raised the fencing token last.
     pub holder: String,
     /// The fencing token.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     /// Whether the teller itself may act under it now.
     pub acts: bool,
     /// The lease that the teller granted, if one runs.
@@ -171,6 +176,7 @@
 pub struct GrantView {
     /// Name of the node that it was granted to.
     pub node: String,
-    /// How long the voter grants the duty to nobody else.
-    pub left_ms: u64,
+    /// How long the voter grants the lease to nobody else.
+    #[serde(rename = "leftMs")]
+    pub remaining_ms: u64,
 }
--- a/crates/control-plane/src/service/mod.rs
+++ b/crates/control-plane/src/service/mod.rs
@@ -3,15 +3,15 @@
 
 pub mod configuration;
 pub mod instances;
-pub mod members;
+pub mod membership;
 pub mod weights;
 
 use crate::Controller;
 
 /// Out of contact with a majority of the voters nothing is acknowledged, refused or handed out: the caller
 /// goes on to another node at once.
-pub fn contact(s: &Controller) -> Result<(), Rejection> {
-    if s.in_contact() {
+pub fn contact(controller: &Controller) -> Result<(), Rejection> {
+    if controller.in_contact() {
         return Ok(());
     }
     Err(Rejection::unavailable("no_contact", "out of contact with a majority of the controllers"))
--- a/crates/control-plane/src/service/weights.rs
+++ b/crates/control-plane/src/service/weights.rs
@@ -2,7 +2,7 @@
 
 use super::{Rejection, contact};
 use crate::Controller;
-use crate::control::submit;
+use crate::consensus::forward;
 use bytes::Bytes;
 use fleet_core::wire::{ChangeKind, Outcome, SetTargetVersion};
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 }
 
 /// Names the version that a model's engines shall have.
-pub async fn put(s: &Arc<Controller>, body: Bytes) -> Result<(), Rejection> {
-    contact(s)?;
+pub async fn put(controller: &Arc<Controller>, body: Bytes) -> Result<(), Rejection> {
+    contact(controller)?;
     let put: Put = serde_json::from_slice(&body)
         .map_err(|error| Rejection::bad_request("malformed", error))?;
     let change = ChangeKind::Name(SetTargetVersion { model: put.model, version: put.revision });
-    match submit::submit(s, change).await.outcome() {
+    match forward::submit(controller, change).await.outcome() {
         Outcome::Done => Ok(()),
         _ => Err(Rejection::unavailable("unknown", "no majority in time: it may yet be named")),
     }
--- a/crates/control-plane/src/disk/storage.rs
+++ b/crates/control-plane/src/storage/backend.rs
@@ -53,8 +53,8 @@
 }
 
 fn sync_entries(folder: &Path) -> io::Result<()> {
-    let named = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
-    std::fs::File::open(named)?.sync_all()
+    let existing = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
+    std::fs::File::open(existing)?.sync_all()
 }
 
 /// What isn't there is no error.
--- a/crates/control-plane/src/disk/files.rs
+++ b/crates/control-plane/src/storage/files.rs
@@ -3,9 +3,9 @@
 //! The newest whole slot and the valid records behind it are the state. A slot is durable before
 //! the log starts anew behind it, so what was kept is always in one of the two.
 
+use super::backend::{Folder, Storage};
 use super::format::{self, Record, Slot, State};
-use super::storage::{Folder, Storage};
-use super::{DiskError, refused};
+use super::{DiskError, io_error};
 use fleet_core::constants;
 use std::path::Path;
 
@@ -45,7 +45,7 @@
 impl Files {
     /// Opens the files of a folder, which is made where there is none.
     pub fn open(dir: &Path) -> Result<(Files, State), DiskError> {
-        let folder = Folder::open(dir).map_err(refused("create folder"))?;
+        let folder = Folder::open(dir).map_err(io_error("create folder"))?;
         Files::open_in(folder, Layout::default())
     }
 }
@@ -56,10 +56,10 @@
         let mut best: Option<(u64, State)> = None;
         let mut damaged = false;
         for name in SLOTS {
-            match format::read_slot(&storage.read(name).map_err(refused("read slot"))?) {
+            match format::read_slot(&storage.read(name).map_err(io_error("read slot"))?) {
                 Slot::Blank => {}
                 Slot::Damaged => damaged = true,
-                Slot::Whole(seq, state) => {
+                Slot::Valid(seq, state) => {
                     if best.as_ref().is_none_or(|(newest, _)| seq > *newest) {
                         best = Some((seq, state));
                     }
@@ -68,28 +68,28 @@
         }
         let blank = best.is_none();
         let (seq, mut state) = best.unwrap_or_default();
-        let log = storage.read(LOG).map_err(refused("read log"))?;
+        let log = storage.read(LOG).map_err(io_error("read log"))?;
         let (records, log_at) = if blank { (Vec::new(), 0) } else { format::read_log(&log, seq) };
         records.iter().for_each(|record| state.apply(record));
-        lay_down_all(&mut storage, layout)?;
+        preallocate_all(&mut storage, layout)?;
         let empty = state == State::default();
         let behind = false;
         let mut files =
             Files { storage, layout, seq, log_at, state: state.clone(), behind, damaged, empty };
         if blank {
-            files.roll()?;
+            files.switch_slot()?;
         }
         Ok((files, state))
     }
 
     /// The whole state into the slot whose turn it is; the log starts anew behind it.
-    fn roll(&mut self) -> Result<(), DiskError> {
+    fn switch_slot(&mut self) -> Result<(), DiskError> {
         let seq = self.seq + 1;
         let name = SLOTS[(seq % 2) as usize];
         let bytes = format::slot_bytes(seq, &self.state);
-        self.make_room(name, bytes.len());
-        self.storage.write(name, 0, &bytes).map_err(refused("write slot"))?;
-        self.storage.sync(name).map_err(refused("sync slot"))?;
+        self.grow_slot(name, bytes.len());
+        self.storage.write(name, 0, &bytes).map_err(io_error("write slot"))?;
+        self.storage.sync(name).map_err(io_error("sync slot"))?;
         self.seq = seq;
         self.log_at = 0;
         Ok(())
@@ -97,10 +97,10 @@
 
     /// Lays the slot down larger while there is room on the disk, before the state needs it. A
     /// failure means nothing as yet: the state may fit all the same.
-    fn make_room(&mut self, name: &str, size: usize) {
+    fn grow_slot(&mut self, name: &str, size: usize) {
         let short = |length: u64| length < (size + size / 2) as u64;
         if self.storage.length(name).is_ok_and(short) {
-            let _ = lay_down(&mut self.storage, name, size * 2);
+            let _ = preallocate(&mut self.storage, name, size * 2);
         }
     }
 
@@ -108,18 +108,21 @@
         self.state.apply(record);
         let bytes = format::record_bytes(self.seq, record);
         if self.log_at + bytes.len() > self.layout.log {
-            return self.roll();
+            return self.switch_slot();
         }
-        self.storage.write(LOG, self.log_at as u64, &bytes).map_err(refused("write log"))?;
-        self.storage.sync(LOG).map_err(refused("sync log"))?;
+        self.storage.write(LOG, self.log_at as u64, &bytes).map_err(io_error("write log"))?;
+        self.storage.sync(LOG).map_err(io_error("sync log"))?;
         self.log_at += bytes.len();
         Ok(())
     }
 
     /// Keeps several records; whatever failed before is on the disk too once this succeeds.
-    pub fn keep<'a>(&mut self, records: impl Iterator<Item = &'a Record>) -> Result<(), DiskError> {
+    pub fn persist<'a>(
+        &mut self,
+        records: impl Iterator<Item = &'a Record>,
+    ) -> Result<(), DiskError> {
         let appended = self.append_many(records);
-        let outcome = if self.behind || appended.is_err() { self.roll() } else { appended };
+        let outcome = if self.behind || appended.is_err() { self.switch_slot() } else { appended };
         self.behind = outcome.is_err();
         outcome
     }
@@ -129,34 +132,34 @@
         &mut self,
         records: impl Iterator<Item = &'a Record>,
     ) -> Result<(), DiskError> {
-        let mut joined = Record { voting: self.state.voting, ..Default::default() };
+        let mut merged = Record { voting: self.state.voting, ..Default::default() };
         for record in records {
-            joined.merge(record);
+            merged.merge(record);
         }
-        let changed = joined.reset || joined.voting != self.state.voting;
-        if joined.registers.is_empty() && !changed {
+        let changed = merged.reset || merged.voting != self.state.voting;
+        if merged.registers.is_empty() && !changed {
             return Ok(());
         }
-        self.append(&joined)
+        self.append(&merged)
     }
 }
 
 /// All files, in full, and the folder: nothing that comes later depends on an entry that could be lost.
-fn lay_down_all<S: Storage>(storage: &mut S, layout: Layout) -> Result<(), DiskError> {
+fn preallocate_all<S: Storage>(storage: &mut S, layout: Layout) -> Result<(), DiskError> {
     for name in SLOTS {
-        lay_down(storage, name, layout.slot).map_err(refused("lay slot"))?;
+        preallocate(storage, name, layout.slot).map_err(io_error("lay slot"))?;
     }
-    lay_down(storage, LOG, layout.log).map_err(refused("lay log"))?;
-    storage.sync_folder().map_err(refused("sync folder"))
+    preallocate(storage, LOG, layout.log).map_err(io_error("lay log"))?;
+    storage.sync_folder().map_err(io_error("sync folder"))
 }
 
 /// Fills a file up with zeros to at least this size.
-fn lay_down<S: Storage>(storage: &mut S, name: &str, size: usize) -> std::io::Result<()> {
+fn preallocate<S: Storage>(storage: &mut S, name: &str, size: usize) -> std::io::Result<()> {
     let mut length = storage.length(name)? as usize;
     if length >= size {
         return Ok(());
     }
-    let blank = vec![0u8; constants::LAY_BYTES];
+    let blank = vec![0u8; constants::PREALLOCATE_CHUNK_BYTES];
     while length < size {
         let part = blank.len().min(size - length);
         storage.write(name, length as u64, &blank[..part])?;
--- a/crates/control-plane/src/disk/files_tests.rs
+++ b/crates/control-plane/src/storage/files_tests.rs
@@ -53,7 +53,7 @@
     drop(f);
     let p = d.join("log");
     let mut b = std::fs::read(&p).unwrap();
-    b[keep + format::RECORD_HEAD + 3] ^= 0xff;
+    b[keep + format::RECORD_HEADER_BYTES + 3] ^= 0xff;
     std::fs::write(&p, &b).unwrap();
     let (mut f, s) = Files::open(&d).unwrap();
     assert_eq!(found(&s, "a"), Some(1));
@@ -67,7 +67,7 @@
     let d = dir("slots");
     let (mut f, _) = Files::open(&d).unwrap();
     f.append(&reg("a", 1, 10)).unwrap();
-    f.roll().unwrap();
+    f.switch_slot().unwrap();
     let newest = d.join(format!("slot{}", f.seq % 2));
     let older = d.join(format!("slot{}", (f.seq + 1) % 2));
     drop(f);
@@ -111,14 +111,14 @@
 
 proptest::proptest! {
     #[test]
-    fn log_cut_anywhere_gives_a_prefix(cut in 0usize..400, n in 1u64..8) {
+    fn log_cut_anywhere_gives_a_prefix(prefix in 0usize..400, n in 1u64..8) {
         let mut log = Vec::new();
         for i in 1..=n {
             log.extend(format::record_bytes(5, &reg("a", i, 20)));
         }
-        let cut = cut.min(log.len());
-        let (r, at) = format::read_log(&log[..cut], 5);
-        proptest::prop_assert!(at <= cut);
+        let prefix = prefix.min(log.len());
+        let (r, at) = format::read_log(&log[..prefix], 5);
+        proptest::prop_assert!(at <= prefix);
         for (i, x) in r.iter().enumerate() {
             proptest::prop_assert_eq!(x.registers[0].accepted.n, i as u64 + 1);
         }
--- a/crates/control-plane/src/disk/format.rs
+++ b/crates/control-plane/src/storage/format.rs
@@ -5,9 +5,9 @@
 
 const MAGIC: u32 = 0xA215_ED01;
 /// Bytes of a slot before its body: magic, checksum, sequence number, length.
-pub const SLOT_HEAD: usize = 24;
+pub const SLOT_HEADER_BYTES: usize = 24;
 /// Bytes of a record before its body: length, checksum, sequence number of its slot.
-pub const RECORD_HEAD: usize = 16;
+pub const RECORD_HEADER_BYTES: usize = 16;
 
 /// Everything that a member keeps.
 #[derive(Clone, PartialEq, Message)]
@@ -49,8 +49,8 @@
 /// Each register takes the place of the one of its key.
 fn put_all(registers: &mut Vec<Register>, newer: &[Register]) {
     for register in newer {
-        match registers.iter_mut().find(|known| known.key == register.key) {
-            Some(known) => *known = register.clone(),
+        match registers.iter_mut().find(|previous| previous.key == register.key) {
+            Some(previous) => *previous = register.clone(),
             None => registers.push(register.clone()),
         }
     }
@@ -59,7 +59,7 @@
 /// A slot as it is written: head and state.
 pub fn slot_bytes(seq: u64, state: &State) -> Vec<u8> {
     let body = state.encode_to_vec();
-    let mut out = Vec::with_capacity(SLOT_HEAD + body.len());
+    let mut out = Vec::with_capacity(SLOT_HEADER_BYTES + body.len());
     out.extend_from_slice(&MAGIC.to_le_bytes());
     out.extend_from_slice(&sum(seq, &body).to_le_bytes());
     out.extend_from_slice(&seq.to_le_bytes());
@@ -75,32 +75,34 @@
     /// Torn or spoilt.
     Damaged,
     /// Sequence number and state.
-    Whole(u64, State),
+    Valid(u64, State),
 }
 
 /// Reads a slot, checking its sum.
 pub fn read_slot(b: &[u8]) -> Slot {
-    let Some(head) = b.get(..SLOT_HEAD) else {
+    let Some(header) = b.get(..SLOT_HEADER_BYTES) else {
         return if b.iter().all(|x| *x == 0) { Slot::Blank } else { Slot::Damaged };
     };
-    if head.iter().all(|x| *x == 0) {
+    if header.iter().all(|x| *x == 0) {
         return Slot::Blank;
     }
-    let seq = u64_at(head, 8);
-    let len = u64_at(head, 16) as usize;
-    let Some(body) = SLOT_HEAD.checked_add(len).and_then(|end| b.get(SLOT_HEAD..end)) else {
+    let seq = u64_at(header, 8);
+    let len = u64_at(header, 16) as usize;
+    let Some(body) =
+        SLOT_HEADER_BYTES.checked_add(len).and_then(|end| b.get(SLOT_HEADER_BYTES..end))
+    else {
         return Slot::Damaged;
     };
-    if u32_at(head, 0) != MAGIC || u32_at(head, 4) != sum(seq, body) {
+    if u32_at(header, 0) != MAGIC || u32_at(header, 4) != sum(seq, body) {
         return Slot::Damaged;
     }
-    State::decode(body).map_or(Slot::Damaged, |s| Slot::Whole(seq, s))
+    State::decode(body).map_or(Slot::Damaged, |s| Slot::Valid(seq, s))
 }
 
 /// A record as it is written behind the slot `seq`.
 pub fn record_bytes(seq: u64, r: &Record) -> Vec<u8> {
     let body = r.encode_to_vec();
-    let mut out = Vec::with_capacity(RECORD_HEAD + body.len());
+    let mut out = Vec::with_capacity(RECORD_HEADER_BYTES + body.len());
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
     out.extend_from_slice(&sum(seq, &body).to_le_bytes());
     out.extend_from_slice(&seq.to_le_bytes());
@@ -112,15 +114,17 @@
 pub fn read_log(b: &[u8], seq: u64) -> (Vec<Record>, usize) {
     let mut out = Vec::new();
     let mut at = 0;
-    while let Some(head) = b.get(at..at + RECORD_HEAD) {
-        let len = u32_at(head, 0) as usize;
-        let Some(body) = b.get(at + RECORD_HEAD..at + RECORD_HEAD + len) else { break };
-        if len == 0 || u64_at(head, 8) != seq || u32_at(head, 4) != sum(seq, body) {
+    while let Some(header) = b.get(at..at + RECORD_HEADER_BYTES) {
+        let len = u32_at(header, 0) as usize;
+        let Some(body) = b.get(at + RECORD_HEADER_BYTES..at + RECORD_HEADER_BYTES + len) else {
+            break;
+        };
+        if len == 0 || u64_at(header, 8) != seq || u32_at(header, 4) != sum(seq, body) {
             break;
         }
         let Ok(r) = Record::decode(body) else { break };
         out.push(r);
-        at += RECORD_HEAD + len;
+        at += RECORD_HEADER_BYTES + len;
     }
     (out, at)
 }
--- a/crates/control-plane/src/disk/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -3,10 +3,10 @@
 //! The controller knows the disk as a [`RecordQueue`] only, so that tests and simulations put a
 //! disk of their own behind it.
 
+pub mod backend;
 pub mod files;
 pub mod format;
 pub mod monitor;
-pub mod storage;
 pub mod writer;
 
 use fleet_core::transport::BoxFuture;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum DiskError {
     /// {what}: {kind}
-    Refused { what: &'static str, kind: std::io::ErrorKind },
+    Io { what: &'static str, kind: std::io::ErrorKind },
     /// the thread of the disk has ended
     Ended,
     /// this machine has no disk
@@ -23,15 +23,15 @@
 }
 
 #[expect(missing_docs, reason = "older than the lint; mended when the file is next changed")]
-pub fn refused(what: &'static str) -> impl Fn(std::io::Error) -> DiskError {
-    move |e| DiskError::Refused { what, kind: e.kind() }
+pub fn io_error(what: &'static str) -> impl Fn(std::io::Error) -> DiskError {
+    move |e| DiskError::Io { what, kind: e.kind() }
 }
 
 /// What a controller keeps its records with: they are taken in the order of the calls, and each
 /// future ends once its record is durable or can't be kept.
 pub trait RecordQueue: Send + Sync + 'static {
     /// Queues a record at once; the future needs no polling for it to be written.
-    fn keep(&self, record: format::Record) -> BoxFuture<'static, Result<(), DiskError>>;
+    fn append(&self, record: format::Record) -> BoxFuture<'static, Result<(), DiskError>>;
 
     /// Whether the last write failed.
     fn is_broken(&self) -> bool;
--- a/crates/control-plane/src/disk/monitor.rs
+++ b/crates/control-plane/src/storage/monitor.rs
@@ -32,12 +32,12 @@
     }
 
     /// Queues a record at once. It is written also when the caller stops waiting for it.
-    pub fn keep(
+    pub fn append(
         &self,
         record: Record,
     ) -> impl Future<Output = Result<(), DiskError>> + Send + 'static {
         let bytes = record.registers.iter().map(|register| register.value.len()).sum();
-        let written = self.queue.keep(record);
+        let written = self.queue.append(record);
         let (done, outcome) = oneshot::channel();
         let waiting = self.waiting.clone();
         tokio::spawn(async move {
@@ -67,7 +67,7 @@
     ) -> Result<(), DiskError> {
         let queued = self.bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
         tokio::pin!(written);
-        let in_time = tokio::time::timeout(constants::disk_limit(queued), &mut written).await;
+        let in_time = tokio::time::timeout(constants::disk_timeout(queued), &mut written).await;
         let outcome = match in_time {
             Ok(outcome) => outcome,
             Err(_) => self.watch_overdue(written).await,
@@ -86,7 +86,7 @@
         let outcome = written.await;
         let was_last = self.overdue.fetch_sub(1, Ordering::Relaxed) == 1;
         if was_last && outcome.is_ok() {
-            fleet_core::log_event!(self.log, Event::DiskMended);
+            fleet_core::log_event!(self.log, Event::DiskRecovered);
         }
         outcome
     }
--- a/crates/control-plane/src/disk/monitor_tests.rs
+++ b/crates/control-plane/src/storage/monitor_tests.rs
@@ -10,17 +10,17 @@
 
 /// Writes a record when the test says so.
 #[derive(Default)]
-struct Held(Mutex<std::collections::VecDeque<Writer>>);
+struct SlowDisk(Mutex<std::collections::VecDeque<Writer>>);
 
-impl Held {
+impl SlowDisk {
     fn finish(&self, outcome: Result<(), DiskError>) {
         let oldest = self.0.lock().pop_front().expect("a record waits");
         oldest.send(outcome).expect("it is waited for, whatever its caller does");
     }
 }
 
-impl RecordQueue for Held {
-    fn keep(&self, _: Record) -> BoxFuture<'static, Result<(), DiskError>> {
+impl RecordQueue for SlowDisk {
+    fn append(&self, _: Record) -> BoxFuture<'static, Result<(), DiskError>> {
         let (done, written) = oneshot::channel();
         self.0.lock().push_back(done);
         Box::pin(async move { written.await.map_err(|_| DiskError::Ended)? })
@@ -40,10 +40,10 @@
     Record { registers: vec![register], ..Default::default() }
 }
 
-fn monitored() -> (Arc<Held>, MonitoredDisk) {
-    let held = Arc::new(Held::default());
+fn monitored() -> (Arc<SlowDisk>, MonitoredDisk) {
+    let slow_disk = Arc::new(SlowDisk::default());
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    (held.clone(), MonitoredDisk::new(held, log))
+    (slow_disk.clone(), MonitoredDisk::new(slow_disk, log))
 }
 
 async fn pass(time: Duration) {
@@ -55,44 +55,44 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_disk_is_broken_while_any_record_is_overdue_also_one_that_nobody_waits_for() {
-    let (held, disk) = monitored();
-    drop(disk.keep(record(0)));
-    let second = disk.keep(record(0));
-    pass(constants::DISK_LIMIT - MOMENT).await;
+    let (slow_disk, disk) = monitored();
+    drop(disk.append(record(0)));
+    let second = disk.append(record(0));
+    pass(constants::DISK_TIMEOUT - MOMENT).await;
     assert!(!disk.is_broken());
     pass(MOMENT).await;
     assert!(disk.is_broken());
-    held.finish(Ok(()));
+    slow_disk.finish(Ok(()));
     pass(MOMENT).await;
     assert!(disk.is_broken(), "the second waits still");
-    held.finish(Ok(()));
+    slow_disk.finish(Ok(()));
     assert_eq!(second.await, Ok(()));
     assert!(!disk.is_broken());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_large_value_may_take_longer_and_those_behind_it() {
-    let (held, disk) = monitored();
+    let (slow_disk, disk) = monitored();
     let bytes = 2 << 20;
-    let _large = disk.keep(record(bytes));
+    let _large = disk.append(record(bytes));
     tokio::task::yield_now().await;
-    let _small = disk.keep(record(0));
-    pass(constants::disk_limit(bytes) - MOMENT).await;
-    assert!(constants::disk_limit(bytes) > constants::DISK_LIMIT * 2);
+    let _small = disk.append(record(0));
+    pass(constants::disk_timeout(bytes) - MOMENT).await;
+    assert!(constants::disk_timeout(bytes) > constants::DISK_TIMEOUT * 2);
     assert!(!disk.is_broken());
     pass(MOMENT).await;
     assert!(disk.is_broken());
-    held.finish(Ok(()));
-    held.finish(Ok(()));
+    slow_disk.finish(Ok(()));
+    slow_disk.finish(Ok(()));
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_outcome_of_a_write_is_handed_on() {
-    let (held, disk) = monitored();
+    let (slow_disk, disk) = monitored();
     for outcome in [Ok(()), Err(DiskError::Absent)] {
-        let kept = disk.keep(record(0));
+        let stored = disk.append(record(0));
         tokio::task::yield_now().await;
-        held.finish(outcome.clone());
-        assert_eq!(kept.await, outcome);
+        slow_disk.finish(outcome.clone());
+        assert_eq!(stored.await, outcome);
     }
 }
--- a/crates/control-plane/src/disk/power_loss_tests.rs
+++ b/crates/control-plane/src/storage/power_loss_tests.rs
@@ -29,13 +29,13 @@
 struct SimDisk {
     files: BTreeMap<String, SimFile>,
     /// bytes that can still be written, if it is filling up
-    room: Option<usize>,
+    space: Option<usize>,
     syncs_fail: bool,
     draw: u64,
 }
 
 impl SimDisk {
-    fn chance(&mut self, below: u64) -> u64 {
+    fn random_bool(&mut self, below: u64) -> u64 {
         self.draw = self.draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(99_991);
         (self.draw >> 33) % below
     }
@@ -44,12 +44,12 @@
     fn lose_power(&mut self) {
         for name in self.files.keys().cloned().collect::<Vec<_>>() {
             let mut file = self.files.remove(&name).unwrap();
-            if !file.entry_durable && self.chance(2) == 0 {
+            if !file.entry_durable && self.random_bool(2) == 0 {
                 continue;
             }
             for (at, bytes) in std::mem::take(&mut file.pending) {
                 for (i, sector) in bytes.chunks(SECTOR).enumerate() {
-                    if self.chance(3) > 0 {
+                    if self.random_bool(3) > 0 {
                         put(&mut file.durable, at + i * SECTOR, sector);
                     }
                 }
@@ -58,7 +58,7 @@
             file.entry_durable = true;
             self.files.insert(name, file);
         }
-        (self.room, self.syncs_fail) = (None, false);
+        (self.space, self.syncs_fail) = (None, false);
     }
 }
 
@@ -72,8 +72,8 @@
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
-        let fits = self.room.unwrap_or(usize::MAX).min(bytes.len());
-        self.room = self.room.map(|room| room - fits);
+        let fits = self.space.unwrap_or(usize::MAX).min(bytes.len());
+        self.space = self.space.map(|space| space - fits);
         let file = self.files.entry(name.to_owned()).or_default();
         put(&mut file.content, offset as usize, &bytes[..fits]);
         file.pending.push((offset as usize, bytes[..fits].to_vec()));
@@ -99,7 +99,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Keep { key: u8, size: usize },
-    FillUp { room: usize },
+    FillUp { space: usize },
     FreeSpace,
     FailSyncs { fail: bool },
     LosePower { seed: u64 },
@@ -109,7 +109,7 @@
     use proptest::prelude::*;
     prop_oneof![
         12 => (0u8..3, 0usize..500).prop_map(|(key, size)| Step::Keep { key, size }),
-        2 => (0usize..900).prop_map(|room| Step::FillUp { room }),
+        2 => (0usize..900).prop_map(|space| Step::FillUp { space }),
         2 => Just(Step::FreeSpace),
         1 => any::<bool>().prop_map(|fail| Step::FailSyncs { fail }),
         3 => any::<u64>().prop_map(|seed| Step::LosePower { seed }),
@@ -125,20 +125,20 @@
 
 /// What was told, and what was tried after it without an answer of success.
 #[derive(Default)]
-struct Told {
-    kept: BTreeMap<u8, u64>,
+struct Acknowledged {
+    stored: BTreeMap<u8, u64>,
     tried: BTreeMap<u8, u64>,
-    last_kept: u64,
+    last_stored: u64,
 }
 
-impl Told {
+impl Acknowledged {
     fn check(&self, state: &State) -> Result<(), String> {
-        for (key, kept) in &self.kept {
+        for (key, stored) in &self.stored {
             let register = state.registers.iter().find(|r| r.key == key.to_string());
             let found = register.map_or(0, |r| r.accepted.n);
-            if !(*kept..=self.tried[key]).contains(&found) {
+            if !(*stored..=self.tried[key]).contains(&found) {
                 return Err(format!(
-                    "{key}: told {kept}, tried {}, found {found}",
+                    "{key}: told {stored}, tried {}, found {found}",
                     self.tried[key]
                 ));
             }
@@ -147,8 +147,11 @@
             }
         }
         let newest = state.registers.iter().map(|r| r.accepted.n).max().unwrap_or(0);
-        if newest < self.last_kept || (newest > 0 && state.voting != newest.is_multiple_of(2)) {
-            return Err(format!("newest {newest}, told {}, flag {}", self.last_kept, state.voting));
+        if newest < self.last_stored || (newest > 0 && state.voting != newest.is_multiple_of(2)) {
+            return Err(format!(
+                "newest {newest}, told {}, flag {}",
+                self.last_stored, state.voting
+            ));
         }
         Ok(())
     }
@@ -162,29 +165,30 @@
 
 fn run(steps: &[Step]) -> Result<(), String> {
     let (mut files, _) = Files::open_in(SimDisk::default(), LAYOUT).map_err(|e| e.to_string())?;
-    let mut told = Told::default();
+    let mut acknowledged = Acknowledged::default();
     for (n, step) in (1..).zip(steps) {
         match step {
             Step::Keep { key, size } => {
-                told.tried.insert(*key, n);
-                if files.keep([record(*key, n, *size)].iter()).is_ok() {
-                    told.kept.clone_from(&told.tried);
-                    told.last_kept = n;
+                acknowledged.tried.insert(*key, n);
+                if files.persist([record(*key, n, *size)].iter()).is_ok() {
+                    acknowledged.stored.clone_from(&acknowledged.tried);
+                    acknowledged.last_stored = n;
                 }
             }
-            Step::FillUp { room } => files.storage.room = Some(*room),
-            Step::FreeSpace => files.storage.room = None,
+            Step::FillUp { space } => files.storage.space = Some(*space),
+            Step::FreeSpace => files.storage.space = None,
             Step::FailSyncs { fail } => files.storage.syncs_fail = *fail,
             Step::LosePower { seed } => {
                 let state;
                 (files, state) = reopen(files.storage, *seed);
-                told.check(&state)?;
-                told.last_kept = state.registers.iter().map(|r| r.accepted.n).max().unwrap_or(0);
+                acknowledged.check(&state)?;
+                acknowledged.last_stored =
+                    state.registers.iter().map(|r| r.accepted.n).max().unwrap_or(0);
                 for register in &state.registers {
                     let key = register.key.parse().map_err(|_| "key".to_owned())?;
-                    told.kept.insert(key, register.accepted.n);
+                    acknowledged.stored.insert(key, register.accepted.n);
                 }
-                told.tried.clone_from(&told.kept);
+                acknowledged.tried.clone_from(&acknowledged.stored);
             }
         }
     }
@@ -200,17 +204,17 @@
 
     /// Power is lost before the first files are laid down: an entry lost by itself is made again.
     #[test]
-    fn a_first_start_can_be_cut_off_anywhere(room in 0usize..4000, seed: u64) {
-        let mut disk = SimDisk { room: Some(room), ..Default::default() };
+    fn a_first_start_can_be_cut_off_anywhere(space in 0usize..4000, seed: u64) {
+        let mut disk = SimDisk { space: Some(space), ..Default::default() };
         // The files that were begun stay behind whatever the open said.
         for name in SLOTS {
-            let _ = lay_down(&mut disk, name, LAYOUT.slot);
+            let _ = preallocate(&mut disk, name, LAYOUT.slot);
         }
         let (files, _) = reopen(disk, seed);
         let (mut files, state) = reopen(files.storage, seed);
         proptest::prop_assert!(files.empty, "nothing was ever kept, so it is a first start still");
         proptest::prop_assert_eq!(state, State::default());
-        files.keep([record(1, 2, 10)].iter()).unwrap();
+        files.persist([record(1, 2, 10)].iter()).unwrap();
         let (files, state) = reopen(files.storage, seed);
         proptest::prop_assert!(!files.empty && state.voting && state.registers.len() == 1);
     }
@@ -221,14 +225,14 @@
 fn slots_grow_before_the_state_needs_them() {
     let (mut files, _) = Files::open_in(SimDisk::default(), LAYOUT).unwrap();
     for n in 1..20 {
-        files.keep([record((n % 3) as u8, n, 300)].iter()).unwrap();
+        files.persist([record((n % 3) as u8, n, 300)].iter()).unwrap();
     }
     let sizes =
         |files: &Files<SimDisk>| SLOTS.map(|name| files.storage.length(name).unwrap() as usize);
     assert!(sizes(&files).iter().all(|size| *size >= 3 * 300 * 3 / 2));
     let before = sizes(&files);
     for n in 20..30 {
-        files.keep([record((n % 3) as u8, n, 320)].iter()).unwrap();
+        files.persist([record((n % 3) as u8, n, 320)].iter()).unwrap();
     }
     assert_eq!(sizes(&files), before);
 }
--- a/crates/control-plane/src/disk/writer.rs
+++ b/crates/control-plane/src/storage/writer.rs
@@ -29,7 +29,7 @@
             let mut bad = false;
             loop {
                 let first = if bad {
-                    match rx.recv_timeout(constants::DISK_RETRY) {
+                    match rx.recv_timeout(constants::DISK_RETRY_INTERVAL) {
                         Ok(j) => Some(j),
                         Err(std::sync::mpsc::RecvTimeoutError::Timeout) => None,
                         Err(_) => return,
@@ -43,7 +43,7 @@
                 let mut jobs: Vec<Job> = first.into_iter().collect();
                 jobs.extend(rx.try_iter().take(64));
                 let was = bad;
-                let out = files.keep(jobs.iter().map(|job| &job.record));
+                let out = files.persist(jobs.iter().map(|job| &job.record));
                 bad = out.is_err();
                 flag.store(bad, std::sync::atomic::Ordering::Relaxed);
                 match (&out, was) {
@@ -51,7 +51,7 @@
                         fleet_core::log_event!(log, fleet_core::log::Event::DiskError, "error" => e.to_string());
                     }
                     (Ok(()), true) => {
-                        fleet_core::log_event!(log, fleet_core::log::Event::DiskMended)
+                        fleet_core::log_event!(log, fleet_core::log::Event::DiskRecovered)
                     }
                     _ => {}
                 }
@@ -70,7 +70,7 @@
 }
 
 impl RecordQueue for Disk {
-    fn keep(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
+    fn append(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
         let (done, rx) = tokio::sync::oneshot::channel();
         let sent = match &self.tx {
             Some(tx) => tx.send(Job { record, done }).map_err(|_| DiskError::Ended),
--- a/crates/control-plane/tests/calls_to_engines.rs
+++ b/crates/control-plane/tests/calls_to_engines.rs
@@ -1,6 +1,6 @@
 //! What a controller sends to engines: paths, headers and fields of the orders, reports and event reads.
 
-use control_plane::engines::outside::Line;
+use control_plane::engines::client::EngineClient;
 use fleet_core::settings::Settings;
 use serde_json::{Value, json};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -28,7 +28,7 @@
     }
 
     fn parse(text: &str) -> Option<(Call, usize)> {
-        let (head, rest) = text.split_once("\r\n\r\n")?;
+        let (head, after_head) = text.split_once("\r\n\r\n")?;
         let mut lines = head.lines();
         let line = lines.next()?.trim_end_matches(" HTTP/1.1").to_owned();
         let header = |line: &str| {
@@ -38,7 +38,7 @@
         let headers: Vec<_> = lines.filter_map(header).collect();
         let mut call = Call { line, headers, body: String::new() };
         let length = call.header("content-length").map_or(0, |value| value.parse().unwrap());
-        call.body = rest.get(..length)?.to_owned();
+        call.body = after_head.get(..length)?.to_owned();
         Some((call, head.len() + 4 + length))
     }
 }
@@ -102,7 +102,7 @@
 async fn post(control: SocketAddr, path: &str, body: &str) {
     let until = tokio::time::Instant::now() + LIMIT;
     while tokio::time::Instant::now() < until {
-        let mut line = Line::new(Ipv4Addr::LOCALHOST, control);
+        let mut line = EngineClient::new(Ipv4Addr::LOCALHOST, control);
         if line.open().await.is_ok() {
             let body = body.as_bytes().to_vec();
             let answer = line.send(http::Method::POST, path, &[], body, LIMIT).await.unwrap();
@@ -145,16 +145,16 @@
     let (sent, inbox) = mpsc::unbounded_channel();
     let mut calls = Calls { inbox, received: Vec::new() };
     let address = engine(sent).await;
-    let beat = json!({"service": "s", "address": address.to_string(), "zone": "z", "slots": 3,
+    let heartbeat = json!({"service": "s", "address": address.to_string(), "zone": "z", "slots": 3,
         "state": "ready", "models": [{"name": "m", "revision": 4}], "callSeq": 3});
-    post(control, "/anisedyke/Instances.Heartbeat/e1", &beat.to_string()).await;
+    post(control, "/anisedyke/Instances.Heartbeat/e1", &heartbeat.to_string()).await;
     post(control, "/anisedyke/version-put", r#"{"model":"m","revision":5}"#).await;
     // the engine stays alive while the controller acquires the lease
     let beats = tokio::spawn(async move {
         for call_seq in 4.. {
-            let mut beat = beat.clone();
-            beat["callSeq"] = call_seq.into();
-            post(control, "/anisedyke/Instances.Heartbeat/e1", &beat.to_string()).await;
+            let mut heartbeat = heartbeat.clone();
+            heartbeat["callSeq"] = call_seq.into();
+            post(control, "/anisedyke/Instances.Heartbeat/e1", &heartbeat.to_string()).await;
         }
     });
 
@@ -169,7 +169,7 @@
     assert_eq!(order.header("x-target-instance"), Some("e1"));
     assert_eq!(order.header("content-type"), Some("application/json"));
     let mut body: Value = serde_json::from_str(&order.body).unwrap();
-    assert!(body["fence"].take().as_u64().is_some_and(|fence| fence > 0));
+    assert!(body["fence"].take().as_u64().is_some_and(|fencing_token| fencing_token > 0));
     let expected = json!({"operation": "revision", "model": "m", "revision": 5, "method": "defer",
         "holder": "a", "fence": null, "expected": 3});
     assert_eq!(body, expected);
--- a/crates/control-plane/tests/cluster.rs
+++ b/crates/control-plane/tests/cluster.rs
@@ -1,23 +1,23 @@
 //! Three real controllers in one process: what an operator puts in force is read at each of them,
 //! also over a crash and a restart, and a seed gives the same run again.
 
-#[path = "cluster/handing_over.rs"]
-mod handing_over;
+mod harness;
 #[path = "cluster/hung_disk.rs"]
 mod hung_disk;
 #[path = "cluster/leases.rs"]
 mod leases;
-#[path = "cluster/members.rs"]
-mod members;
+#[path = "cluster/membership_view.rs"]
+mod membership_view;
 #[path = "cluster/operator.rs"]
 mod operator;
+#[path = "cluster/resignation.rs"]
+mod resignation;
 #[path = "cluster/second_loss.rs"]
 mod second_loss;
-mod stand;
 
 use bytes::Bytes;
 use control_plane::service::{configuration, instances};
-use stand::Cluster;
+use harness::Cluster;
 
 /// Enough for tables of them to have more than one order.
 const ENGINES: usize = 9;
@@ -40,25 +40,26 @@
         let base = base.clone();
         async move { configuration::replace(&controller, Some(&base), sheet(version)).await }
     };
-    assert_eq!(cluster.ask(node, call).await.version, version);
+    assert_eq!(cluster.retry_until_ok(node, call).await.version, version);
 }
 
 /// One read of each node, as soon as it answers, gives this version.
 async fn read_everywhere(cluster: &Cluster, nodes: &[usize], version: u64) {
     for node in nodes {
         let call = |controller| async move { configuration::fetch(&controller).await };
-        assert_eq!(cluster.ask(*node, call).await, sheet(version), "n{node}");
+        assert_eq!(cluster.retry_until_ok(*node, call).await, sheet(version), "n{node}");
     }
 }
 
 /// Engines of one service tell a node that they are there.
 async fn heartbeats(cluster: &Cluster, node: usize) {
     for engine in 1..=ENGINES {
-        let beat = serde_json::json!({"service": "s", "address": format!("10.0.1.{engine}:80"),
+        let heartbeat = serde_json::json!({"service": "s", "address": format!("10.0.1.{engine}:80"),
             "state": "ready", "callSeq": 1});
         let controller = cluster.controller(node);
-        let told = instances::heartbeat(controller, format!("e{engine}"), beat.to_string().into());
-        told.await.unwrap();
+        let answer =
+            instances::heartbeat(controller, format!("e{engine}"), heartbeat.to_string().into());
+        answer.await.unwrap();
     }
 }
 
@@ -73,9 +74,11 @@
     read_everywhere(&cluster, &all[1..], 8).await;
     cluster.start(1).await;
     read_everywhere(&cluster, &all, 8).await;
-    cluster.settle().await;
-    let known = |node: &usize| cluster.controller(*node).look(|known| known.engines.len());
-    assert!(all.iter().all(|node| known(node) == ENGINES));
+    cluster.wait_until_settled().await;
+    let cluster_state = |node: &usize| {
+        cluster.controller(*node).read_state(|cluster_state| cluster_state.engines.len())
+    };
+    assert!(all.iter().all(|node| cluster_state(node) == ENGINES));
     cluster.trace.lines()
 }
 
@@ -104,12 +107,12 @@
     for node in 1..=3 {
         let mut cluster = Cluster::found(3, 3).await;
         replace(&cluster, 1, 0, 7).await;
-        cluster.settle().await;
+        cluster.wait_until_settled().await;
         heartbeats(&cluster, node).await;
         tokio::time::sleep(std::time::Duration::from_secs(1)).await;
         let crashed = std::sync::Arc::downgrade(cluster.controller(node));
         cluster.crash(node);
-        cluster.settle().await;
+        cluster.wait_until_settled().await;
         assert_eq!(crashed.strong_count(), 0, "tasks hold n{node} still");
     }
 }
@@ -122,8 +125,8 @@
     cluster.stop_disk(1);
     cluster.crash(5);
     cluster.start_empty(6).await;
-    cluster.settle().await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
+    cluster.wait_until_settled().await;
     assert_eq!(cluster.members(2), [1, 2, 3, 4, 6]);
     assert!(cluster.controller(6).acceptor.lock().votes());
     cluster.crash(4);
@@ -136,11 +139,12 @@
 async fn a_node_that_leaves_tells_on_what_only_it_knows() {
     let mut cluster = Cluster::found(3, 6).await;
     replace(&cluster, 1, 0, 7).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     heartbeats(&cluster, 1).await;
     cluster.stop(1).await;
-    let known = |node| cluster.controller(node).look(|known| known.engines.len());
-    assert_eq!((known(2), known(3)), (ENGINES, ENGINES));
+    let cluster_state =
+        |node| cluster.controller(node).read_state(|cluster_state| cluster_state.engines.len());
+    assert_eq!((cluster_state(2), cluster_state(3)), (ENGINES, ENGINES));
 }
 
 /// Whoever heard nothing of an engine for long may not know of its end, and revives it nowhere.
@@ -149,14 +153,20 @@
     let mut cluster = Cluster::found(3, 7).await;
     replace(&cluster, 1, 0, 7).await;
     heartbeats(&cluster, 1).await;
-    cluster.settle().await;
-    assert!(cluster.controller(3).look(|known| known.engines.values().all(|e| e.silent)));
+    cluster.wait_until_settled().await;
+    assert!(
+        cluster
+            .controller(3)
+            .read_state(|cluster_state| cluster_state.engines.values().all(|e| e.heartbeat_missed))
+    );
     cluster.crash(1);
     cluster.start(1).await;
     read_everywhere(&cluster, &[1], 7).await;
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
-    let ready = |known: &control_plane::facts::Known| known.engines.values().any(|e| !e.silent);
-    assert!(!cluster.controller(1).look(ready));
+    let ready = |cluster_state: &control_plane::cluster_state::ClusterState| {
+        cluster_state.engines.values().any(|e| !e.heartbeat_missed)
+    };
+    assert!(!cluster.controller(1).read_state(ready));
 }
 
 /// A former member comes back with the disk it had, while others have its place.
@@ -166,15 +176,15 @@
     replace(&cluster, 1, 0, 7).await;
     cluster.crash(1);
     cluster.start_empty(4).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     assert_eq!(cluster.members(2), [2, 3, 4]);
     replace(&cluster, 3, 7, 8).await;
     cluster.start(1).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     assert_eq!(cluster.members(1), [2, 3, 4]);
     assert!(!cluster.controller(1).acceptor.lock().votes());
     cluster.crash(2);
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     assert_eq!(cluster.members(3), [1, 3, 4]);
     cluster.crash(4);
     read_everywhere(&cluster, &[1, 3], 8).await;
@@ -185,15 +195,15 @@
 async fn a_lost_disk_is_read_back_where_all_other_seeds_have_gone() {
     let mut cluster = Cluster::found(3, 8).await;
     replace(&cluster, 1, 0, 7).await;
-    for (gone, successor) in [(2, 4), (3, 5)] {
-        cluster.crash(gone);
+    for (lost, successor) in [(2, 4), (3, 5)] {
+        cluster.crash(lost);
         cluster.start_empty(successor).await;
-        cluster.settle().await;
+        cluster.wait_until_settled().await;
     }
     assert_eq!(cluster.members(1), [1, 4, 5]);
     cluster.crash(1);
     cluster.start_empty(1).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     cluster.crash(4);
     read_everywhere(&cluster, &[1, 5], 7).await;
 }
@@ -208,14 +218,14 @@
         let large = large.clone();
         async move { configuration::replace(&controller, Some("0"), large).await }
     };
-    assert_eq!(cluster.ask(1, put).await.version, 7);
+    assert_eq!(cluster.retry_until_ok(1, put).await.version, 7);
     cluster.crash(3);
     cluster.start_empty(3).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     cluster.crash(1);
     let call = |controller| async move { configuration::fetch(&controller).await };
     assert!(
-        cluster.ask(3, call).await == large,
+        cluster.retry_until_ok(3, call).await == large,
         "read by the one that lost its disk and one other"
     );
 }
--- a/crates/control-plane/tests/cluster/hung_disk.rs
+++ b/crates/control-plane/tests/cluster/hung_disk.rs
@@ -2,7 +2,7 @@
 
 use super::leases::{LEASE, next_holder, others};
 use super::{Cluster, read_everywhere, replace, sheet};
-use control_plane::control::{owner, values};
+use control_plane::consensus::{key_owner, state_machine};
 use control_plane::service::configuration;
 use fleet_core::wire::PreVoteRequest;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 async fn owner_hangs(submitted_at: usize, hangs_for: Duration) -> Cluster {
     let cluster = Cluster::found(3, 11).await;
     replace(&cluster, 1, 0, 7).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     cluster.hang_disk(1, true);
     tokio::time::sleep(hangs_for).await;
     replace_once(&cluster, submitted_at, 7, 8).await;
@@ -50,7 +50,7 @@
     for node in NODES {
         let mut cluster = owner_hangs(node, Duration::from_secs(2)).await;
         cluster.hang_disk(1, false);
-        cluster.settle().await;
+        cluster.wait_until_settled().await;
         read_everywhere(&cluster, &NODES, 9).await;
         cluster.crash(2);
         replace(&cluster, 1, 9, 10).await;
@@ -62,21 +62,21 @@
 async fn a_hung_disk_and_its_end_are_logged_once() {
     let cluster = owner_hangs(1, Duration::from_secs(5)).await;
     cluster.hang_disk(1, false);
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     let lines = cluster.trace.lines();
     let logged = |text| lines.iter().filter(|line| line.ends_with(text)).count();
-    assert_eq!(logged("n1 disk does not take writes"), 1);
-    assert_eq!(logged("n1 disk takes writes again"), 1);
+    assert_eq!(logged("n1 disk write failed or hangs"), 1);
+    assert_eq!(logged("n1 disk writes succeed again"), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_holder_of_a_duty_lets_it_go_while_its_disk_hangs() {
     let cluster = Cluster::found(3, 12).await;
-    let (first, fence) = next_holder(&cluster, &NODES).await;
+    let (first, fencing_token) = next_holder(&cluster, &NODES).await;
     cluster.hang_disk(first, true);
     let hung = Instant::now();
     let (second, higher) = next_holder(&cluster, &others(3, first)).await;
-    assert!(higher > fence, "{first}: {fence}, {second}: {higher}");
+    assert!(higher > fencing_token, "{first}: {fencing_token}, {second}: {higher}");
     assert!(hung.elapsed() < LEASE * 3, "after {:?}", hung.elapsed());
 }
 
@@ -84,14 +84,14 @@
 async fn a_member_takes_part_in_no_election_while_its_disk_hangs() {
     let cluster = Cluster::found(3, 13).await;
     replace(&cluster, 1, 0, 7).await;
-    cluster.settle().await;
-    let ask = PreVoteRequest { key: values::CONFIG.into(), membership: 1 };
-    let willing = || owner::pre_vote(cluster.controller(2), &ask).ok;
+    cluster.wait_until_settled().await;
+    let request = PreVoteRequest { key: state_machine::CONFIG.into(), membership: 1 };
+    let willing = || key_owner::pre_vote(cluster.controller(2), &request).ok;
     assert!(willing());
     cluster.hang_disk(2, true);
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     assert!(!willing());
     cluster.hang_disk(2, false);
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     assert!(willing());
 }
--- a/crates/control-plane/tests/cluster/members.rs
+++ b/crates/control-plane/tests/cluster/membership_view.rs
@@ -1,12 +1,12 @@
 //! What the operator is shown of the control plane, with voters lost, late and cut off.
 
+use super::harness::Cluster;
 use super::replace;
-use super::stand::Cluster;
-use control_plane::service::members::{MembersView, VoterView, look};
+use control_plane::service::membership::{MembersView, VoterView, view};
 use std::time::Duration;
 
-async fn seen(cluster: &Cluster, node: usize) -> MembersView {
-    look(cluster.controller(node)).await
+async fn observe(cluster: &Cluster, node: usize) -> MembersView {
+    view(cluster.controller(node)).await
 }
 
 fn voter(view: &MembersView, node: usize) -> &VoterView {
@@ -18,24 +18,24 @@
 async fn in_contact_all_voters_owners_and_one_holder_of_each_duty_are_shown() {
     let cluster = Cluster::found(3, 51).await;
     // all links stand before the change, so that every voter accepts it
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     replace(&cluster, 1, 0, 7).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     let mut acting = Vec::new();
     for node in 1..=3 {
-        let view = seen(&cluster, node).await;
+        let view = observe(&cluster, node).await;
         assert!(view.in_contact && view.votes && view.voting() == 3, "{view:?}");
         assert_eq!((view.membership_epoch, view.quorum(), view.tolerated_losses), (1, 2, 1));
         assert!(view.voters.iter().all(|voter| voter.behind.is_none()), "{view:?}");
         let config = view.config.unwrap();
         let key = view.keys.iter().find(|key| key.key == "config").unwrap();
         assert_eq!((&key.owner, key.epoch), (&config.owner, config.epoch));
-        let duties: Vec<&str> = view.duties.iter().map(|duty| duty.duty.as_str()).collect();
-        assert_eq!(duties, ["index-keeper", "roll-out"]);
-        for duty in view.duties {
-            assert!(duty.fence > 0, "{duty:?}");
-            assert_eq!(duty.granted.unwrap().node, duty.holder, "{}", duty.duty);
-            acting.extend(duty.acts.then_some((duty.duty, duty.holder, view.name.clone())));
+        let leases: Vec<&str> = view.leases.iter().map(|lease| lease.name.as_str()).collect();
+        assert_eq!(leases, ["index-keeper", "roll-out"]);
+        for lease in view.leases {
+            assert!(lease.fencing_token > 0, "{lease:?}");
+            assert_eq!(lease.granted.unwrap().node, lease.holder, "{}", lease.name);
+            acting.extend(lease.acts.then_some((lease.name, lease.holder, view.name.clone())));
         }
     }
     assert_eq!(acting.len(), 2, "{acting:?}");
@@ -46,12 +46,12 @@
 async fn out_of_contact_it_is_shown_all_the_same_with_the_age_of_the_last_answers() {
     let mut cluster = Cluster::found(3, 52).await;
     replace(&cluster, 1, 0, 7).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     cluster.crash(2);
     cluster.crash(3);
     let away = Duration::from_secs(5);
     tokio::time::sleep(away).await;
-    let view = seen(&cluster, 1).await;
+    let view = observe(&cluster, 1).await;
     assert!(!view.in_contact && view.voting() == 1, "{view:?}");
     for lost in [voter(&view, 2), voter(&view, 3)] {
         assert!(!lost.answered && !lost.votes, "{lost:?}");
@@ -68,14 +68,14 @@
     cluster.crash(3);
     replace(&cluster, 1, 7, 8).await;
     cluster.start(3).await;
-    cluster.settle().await;
-    let view = seen(&cluster, 1).await;
+    cluster.wait_until_settled().await;
+    let view = observe(&cluster, 1).await;
     let late = voter(&view, 3);
     assert!(late.answered && late.behind.is_some(), "{late:?}");
     assert!(voter(&view, 1).behind.is_none() && voter(&view, 2).behind.is_none());
     replace(&cluster, 1, 8, 9).await;
-    cluster.settle().await;
-    let view = seen(&cluster, 2).await;
+    cluster.wait_until_settled().await;
+    let view = observe(&cluster, 2).await;
     assert_eq!(voter(&view, 3).behind, None, "{view:?}");
 }
 
@@ -84,8 +84,8 @@
     let cluster = Cluster::found(3, 54).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.stop_disk(3);
-    let view = seen(&cluster, 1).await;
+    let view = observe(&cluster, 1).await;
     assert!(view.in_contact && view.voting() == 2 && !voter(&view, 3).answered, "{view:?}");
-    let own = seen(&cluster, 3).await;
+    let own = observe(&cluster, 3).await;
     assert!(!voter(&own, 3).answered && own.voting() == 2, "{own:?}");
 }
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -1,6 +1,6 @@
 //! What an operator is answered by controllers that run as in the program, but for disks and lines.
 
-use super::stand::Cluster;
+use super::harness::Cluster;
 use control_plane::service::{Rejection, configuration};
 use fleet_core::delta;
 use fleet_core::digest::BodyDigest;
@@ -92,13 +92,13 @@
     let no_weight = serde_json::json!([{"service": "s", "weight": 0}]);
     let mut split = sheet(9, 10);
     split["routes"][3]["split"] = no_weight;
-    let whole = sheet(9, 10).to_string();
+    let complete = sheet(9, 10).to_string();
     let unreadable =
         |what, body| BadOrder { what, base: "5", body, status: 400, code: "unreadable" };
     vec![
-        unreadable("cut short", whole[..whole.len() - 1].to_owned()),
+        unreadable("cut short", complete[..complete.len() - 1].to_owned()),
         unreadable("empty", String::new()),
-        unreadable("more behind it", format!("{whole}x")),
+        unreadable("more behind it", format!("{complete}x")),
         patched("no number", "/revision", serde_json::Value::Null, "unreadable"),
         patched("negative number", "/revision", (-9).into(), "unreadable"),
         patched("broken number", "/revision", 9.5.into(), "unreadable"),
@@ -187,11 +187,11 @@
     fleet.router_link(ROUTER, to, pushed)
 }
 
-async fn ask(link: &Link, digest: &bytes::Bytes) -> ConfigResponse {
+async fn request_config(link: &Link, digest: &bytes::Bytes) -> ConfigResponse {
     link.watch().wait_for(|up| *up).await.unwrap();
-    let ask = Body::ConfigRequest(ConfigRequest { digest: digest.clone() });
-    match link.call(ask, Duration::from_secs(2)).await.unwrap() {
-        Body::ConfigResponse(given) => given,
+    let request_config = Body::ConfigRequest(ConfigRequest { digest: digest.clone() });
+    match link.call(request_config, Duration::from_secs(2)).await.unwrap() {
+        Body::ConfigResponse(response) => response,
         other => panic!("{other:?}"),
     }
 }
@@ -203,21 +203,23 @@
     let mut links = Vec::new();
     for to in VOTERS.into_iter().chain([WITHOUT_VOTE]) {
         let link = link(&fleet, to, None);
-        let given = ask(&link, &bytes::Bytes::new()).await;
-        let Some(ConfigForm::Whole(packed)) = given.form else { panic!("it has none as yet") };
+        let response = request_config(&link, &bytes::Bytes::new()).await;
+        let Some(ConfigForm::Full(packed)) = response.form else { panic!("it has none as yet") };
         let body = packing::unpack(&packed, 1 << 20).unwrap();
-        assert_eq!((given.version, body), (5, sheet(5, 10).to_string().into()));
-        links.push((to, link, given.digest));
+        assert_eq!((response.version, body), (5, sheet(5, 10).to_string().into()));
+        links.push((to, link, response.digest));
     }
     taken(&fleet, 2, 5, &sheet(6, 11)).await;
     let (former, new) = (sheet(5, 10).to_string(), sheet(6, 11).to_string());
     for (to, link, digest) in links {
-        let given = ask(&link, &digest).await;
-        let Some(ConfigForm::Delta(packed)) = given.form else { panic!("{to} gave {given:?}") };
+        let response = request_config(&link, &digest).await;
+        let Some(ConfigForm::Delta(packed)) = response.form else {
+            panic!("{to} gave {response:?}")
+        };
         let plain = packing::unpack(&packed, 1 << 20).unwrap();
         let delta = ConfigDelta::decode(plain).unwrap();
         assert_eq!(delta::apply(&delta, former.as_bytes(), 1 << 20).unwrap(), new);
-        assert_eq!(given.digest, BodyDigest::of(new.as_bytes()).as_bytes());
+        assert_eq!(response.digest, BodyDigest::of(new.as_bytes()).as_bytes());
     }
 }
 
@@ -249,10 +251,10 @@
     let mut fleet = start_fleet().await;
     taken(&fleet, 1, 0, &sheet(5, 10)).await;
     let link = link(&fleet, 1, None);
-    assert_eq!(ask(&link, &bytes::Bytes::new()).await.version, 5);
+    assert_eq!(request_config(&link, &bytes::Bytes::new()).await.version, 5);
     fleet.crash(2);
     fleet.crash(3);
-    assert_eq!(ask(&link, &bytes::Bytes::new()).await, ConfigResponse::default());
+    assert_eq!(request_config(&link, &bytes::Bytes::new()).await, ConfigResponse::default());
     assert_eq!(
         configuration::fetch(fleet.controller(1)).await.map_err(|r| r.status.as_u16()),
         Err(503)
--- a/crates/control-plane/tests/cluster/handing_over.rs
+++ b/crates/control-plane/tests/cluster/resignation.rs
@@ -24,7 +24,7 @@
 async fn owned_by_first(seed: u64) -> Cluster {
     let cluster = Cluster::found(3, seed).await;
     replace(&cluster, 1, 0, 7).await;
-    cluster.settle().await;
+    cluster.wait_until_settled().await;
     replace(&cluster, 1, 7, 8).await;
     cluster
 }
@@ -33,9 +33,9 @@
 async fn a_change_after_its_owner_left_waits_for_no_silence() {
     for node in [2, 3] {
         let mut cluster = owned_by_first(51).await;
-        let told = Instant::now();
+        let stop_requested = Instant::now();
         cluster.stop(1).await;
-        assert!(told.elapsed() < SOON, "it ended after {:?}", told.elapsed());
+        assert!(stop_requested.elapsed() < SOON, "it ended after {:?}", stop_requested.elapsed());
         replaced_soon(&cluster, node, 8).await;
         cluster.start(1).await;
         read_everywhere(&cluster, &[1, 2, 3], 9).await;
@@ -50,8 +50,8 @@
         cluster.leave(1).await;
         replaced_soon(&cluster, node, 8).await;
         let owner = cluster.controller(2).acceptor.lock().owner("config");
-        let left = cluster.controller(1).node.id();
-        assert!(owner.is_some_and(|id| id != left), "{owner:?}");
+        let former_owner = cluster.controller(1).node.id();
+        assert!(owner.is_some_and(|id| id != former_owner), "{owner:?}");
     }
 }
 
--- a/crates/control-plane/tests/exhaustive.rs
+++ b/crates/control-plane/tests/exhaustive.rs
@@ -3,9 +3,9 @@
 //!
 //! In every reachable state: chosen values form one chain, and it holds every acknowledged change.
 
-use control_plane::control::acceptor::Acceptor;
-use control_plane::control::proposer::{Action, Proposer, Request, Scope};
-use control_plane::disk::format::State;
+use control_plane::consensus::acceptor::Acceptor;
+use control_plane::consensus::proposer::{Action, Proposer, Request, Scope};
+use control_plane::storage::format::State;
 use fleet_core::wire::{BallotReport, Member, Membership, Vote};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -31,7 +31,7 @@
     Membership { epoch, members: machines.iter().map(member).collect() }
 }
 
-fn founding() -> Membership {
+fn initial_membership() -> Membership {
     membership(1, &[(0, 1), (1, 1), (2, 1)])
 }
 
@@ -63,7 +63,7 @@
 struct Recovery {
     machine: usize,
     recovery_epoch: u64,
-    asked: BTreeSet<usize>,
+    queried: BTreeSet<usize>,
     got: Vec<BallotReport>,
 }
 
@@ -95,7 +95,7 @@
         let mut acceptors: Vec<Acceptor> =
             (0..machines).map(|m| Acceptor::new(ip(m), State::default())).collect();
         for acceptor in acceptors.iter_mut().take(FOUNDERS) {
-            acceptor.found(&founding());
+            acceptor.bootstrap(&initial_membership());
         }
         World {
             acceptors,
@@ -104,7 +104,7 @@
             attempts: vec![0; machines],
             messages: Vec::new(),
             recovery: None,
-            decided: founding(),
+            decided: initial_membership(),
             chosen: BTreeSet::new(),
             acknowledged: BTreeSet::new(),
             budget,
@@ -148,8 +148,8 @@
                     self.proposers[machine] = None;
                     return;
                 }
-                Action::AskOthers => return self.broadcast(machine),
-                Action::AskSelf(request) => {
+                Action::Broadcast => return self.broadcast(machine),
+                Action::SendToSelf(request) => {
                     let vote = self.vote(machine, &request);
                     let Some(proposer) = &mut self.proposers[machine] else { return };
                     proposer.on_vote(proposer.step(), id(machine), Some(&vote))
@@ -251,14 +251,14 @@
             return;
         }
         let recovery_epoch = seen.iter().max().unwrap_or(&0) + 1;
-        let (asked, got) = (BTreeSet::new(), Vec::new());
-        self.recovery = Some(Recovery { machine, recovery_epoch, asked, got });
+        let (queried, got) = (BTreeSet::new(), Vec::new());
+        self.recovery = Some(Recovery { machine, recovery_epoch, queried, got });
     }
 
-    fn hand_over(&mut self, from: usize) {
+    fn begin_state_transfer(&mut self, from: usize) {
         let Some(mut recovery) = self.recovery.take() else { return };
-        recovery.asked.insert(from);
-        let mut answer = self.acceptors[from].hand_over(recovery.recovery_epoch).answer;
+        recovery.queried.insert(from);
+        let mut answer = self.acceptors[from].begin_state_transfer(recovery.recovery_epoch).answer;
         for register in &mut answer.registers {
             let held = self.acceptors[from].register(&register.key);
             register.value = held.map(|held| held.value.clone()).unwrap_or_default();
@@ -336,9 +336,9 @@
             if self.recovery.is_none() && acceptor.is_member() && !acceptor.votes() {
                 push(&|w| w.begin_recovery(machine));
             }
-            let gives = |r: &Recovery| r.machine != machine && !r.asked.contains(&machine);
+            let gives = |r: &Recovery| r.machine != machine && !r.queried.contains(&machine);
             if self.recovery.as_ref().is_some_and(gives) && acceptor.votes() {
-                push(&|w| w.hand_over(machine));
+                push(&|w| w.begin_state_transfer(machine));
             }
         }
         out
--- a/crates/control-plane/tests/stand/disk.rs
+++ b/crates/control-plane/tests/harness/disk.rs
@@ -1,8 +1,8 @@
 //! A disk of memory: it takes a moment for each record, and keeps what it took.
 
 use super::Trace;
-use control_plane::disk::format::{Record, State};
-use control_plane::disk::{DiskError, RecordQueue};
+use control_plane::storage::format::{Record, State};
+use control_plane::storage::{DiskError, RecordQueue};
 use fleet_core::transport::BoxFuture;
 use parking_lot::Mutex;
 use prost::Message;
@@ -77,7 +77,7 @@
 }
 
 impl RecordQueue for MemoryDisk {
-    fn keep(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
+    fn append(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
         let (done, written) = oneshot::channel();
         let queued = self.jobs.send(Job { record, done });
         Box::pin(async move {
--- a/crates/control-plane/tests/stand/mod.rs
+++ b/crates/control-plane/tests/harness/mod.rs
@@ -4,10 +4,10 @@
 mod disk;
 mod network;
 
-use control_plane::disk::RecordQueue;
-use control_plane::disk::format::State;
-use control_plane::disk::writer::Disk;
-use control_plane::{Controller, Environment, Running};
+use control_plane::storage::RecordQueue;
+use control_plane::storage::format::State;
+use control_plane::storage::writer::Disk;
+use control_plane::{Controller, Environment, RunningController};
 use disk::MemoryDisk;
 use fleet_core::link::Link;
 use fleet_core::node::{Node, Role};
@@ -63,7 +63,7 @@
 }
 
 struct Started {
-    running: Running,
+    running: RunningController,
     machine: Machine,
     /// none on a machine without a disk
     disk: Option<Arc<MemoryDisk>>,
@@ -228,12 +228,12 @@
     }
 
     /// Lets all that goes on in turns go on for a while.
-    pub async fn settle(&self) {
+    pub async fn wait_until_settled(&self) {
         tokio::time::sleep(SETTLED).await;
     }
 
     /// Asks again until the answer is a good one, as an operator does.
-    pub async fn ask<T, E: std::fmt::Debug, F: Future<Output = Result<T, E>>>(
+    pub async fn retry_until_ok<T, E: std::fmt::Debug, F: Future<Output = Result<T, E>>>(
         &self,
         node: usize,
         call: impl Fn(Arc<Controller>) -> F,
--- a/crates/control-plane/tests/http_api.rs
+++ b/crates/control-plane/tests/http_api.rs
@@ -1,9 +1,9 @@
 //! What engines, operators and `fleetctl` see of a controller over HTTP: paths, statuses, headers, and the
 //! names of all fields. None of it changes with the names in the sources.
 
-use control_plane::engines::outside::Line;
-use control_plane::service::members::{
-    BallotView, DiskState, DutyView, GrantView, KeyView, Lag, MembersView, VoterView,
+use control_plane::engines::client::EngineClient;
+use control_plane::service::membership::{
+    BallotView, DiskState, GrantView, KeyView, Lag, LeaseView, MembersView, VoterView,
 };
 use fleet_core::settings::Settings;
 use serde_json::{Value, json};
@@ -12,7 +12,7 @@
 
 /// For a busy machine; nothing is measured by it.
 const LIMIT: Duration = Duration::from_secs(20);
-const BEAT: &str = r#"{"service":"s","address":"10.0.0.9:80","zone":"z","revision":"r","slots":3,
+const HEARTBEAT: &str = r#"{"service":"s","address":"10.0.0.9:80","zone":"z","revision":"r","slots":3,
     "state":"ready","coldLeftMs":0,"models":[{"name":"m","revision":4}],"callSeq":1}"#;
 const CONFIGURATION: &str = r#"{"revision":1,"routes":[],"services":[],"limits":{}}"#;
 
@@ -54,8 +54,8 @@
     async fn call(&self, method: &str, path: &str, base: &str, body: &str) -> (u16, String) {
         let method: http::Method = method.parse().unwrap();
         loop {
-            let mut line = Line::new(Ipv4Addr::LOCALHOST, self.control);
-            if line.open().await.is_err() {
+            let mut client = EngineClient::new(Ipv4Addr::LOCALHOST, self.control);
+            if client.open().await.is_err() {
                 assert!(!self.task.is_finished(), "the controller ended");
                 tokio::task::yield_now().await;
                 continue;
@@ -63,7 +63,7 @@
             let headers = [("X-Base-Revision", base)];
             let body = body.as_bytes().to_vec();
             let path = format!("/anisedyke/{path}");
-            let answer = line.send(method, &path, &headers, body, LIMIT).await.unwrap();
+            let answer = client.send(method, &path, &headers, body, LIMIT).await.unwrap();
             let text = String::from_utf8_lossy(&answer.body).into_owned();
             return (answer.status.as_u16(), text);
         }
@@ -77,7 +77,7 @@
 
     /// Until this controller is in contact with the majority, which is itself.
     async fn wait_for_contact(&self) {
-        while self.call("POST", "Instances.Heartbeat/e1", "0", BEAT).await.0 != 200 {}
+        while self.call("POST", "Instances.Heartbeat/e1", "0", HEARTBEAT).await.0 != 200 {}
     }
 
     /// Until the models of the roll-out are there.
@@ -110,7 +110,7 @@
     let node = Running::start(21);
     node.wait_for_contact().await;
     let ok = |body: &str| (200, body.to_owned());
-    assert_eq!(node.call("POST", "Instances.Heartbeat/e1", "0", BEAT).await, ok("{}"));
+    assert_eq!(node.call("POST", "Instances.Heartbeat/e1", "0", HEARTBEAT).await, ok("{}"));
     let replaced = node.call("POST", "Config.Replace", "0", CONFIGURATION).await;
     assert_eq!(replaced, ok(r#"{"revision":1}"#));
     let resent = node.call("POST", "Config.Replace", "0", CONFIGURATION).await;
@@ -118,8 +118,8 @@
     assert_eq!(node.call("GET", "Config.Fetch", "", "").await, ok(CONFIGURATION));
     let put = node.call("POST", "version-put", "", r#"{"model":"m","revision":5}"#).await;
     assert_eq!(put, ok("{}"));
-    let left = node.call("POST", "Instances.Deregister/e1", "", r#"{"callSeq":9}"#).await;
-    assert_eq!(left, ok("{}"));
+    let deregistered = node.call("POST", "Instances.Deregister/e1", "", r#"{"callSeq":9}"#).await;
+    assert_eq!(deregistered, ok("{}"));
     assert_eq!(node.call("GET", "No.Such", "", "").await.0, 404);
 }
 
@@ -182,19 +182,19 @@
         config: ballot(),
         behind: Some(Lag { epochs: 7, rounds: 8 }),
     };
-    let duty = DutyView {
-        duty: "roll-out".into(),
+    let lease = LeaseView {
+        name: "roll-out".into(),
         holder: "n1".into(),
-        fence: 9,
+        fencing_token: 9,
         acts: true,
-        granted: Some(GrantView { node: "n1".into(), left_ms: 10 }),
+        granted: Some(GrantView { node: "n1".into(), remaining_ms: 10 }),
     };
     let view = MembersView {
         name: "n1".into(),
         ip: "10.0.0.1".into(),
         in_contact: true,
         votes: true,
-        leaving: true,
+        shutting_down: true,
         disk: DiskState::Refused,
         membership_epoch: 5,
         recovery_epoch: 6,
@@ -202,7 +202,7 @@
         config: ballot(),
         voters: vec![voter],
         keys: vec![KeyView { key: "config".into(), owner: "10.0.0.1".into(), epoch: 1 }],
-        duties: vec![duty],
+        leases: vec![lease],
     };
     let ballot = json!({"epoch": 1, "owner": "10.0.0.1", "round": 2});
     let expected = json!({
--- a/crates/control-plane/tests/contact.rs
+++ b/crates/control-plane/tests/quorum_contact.rs
@@ -1,11 +1,11 @@
 //! What a controller answers engines and operators in and out of contact with a majority.
 
-use control_plane::engines::outside::Line;
+use control_plane::engines::client::EngineClient;
 use fleet_core::settings::Settings;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 
-const BEAT: &str = r#"{"service":"s","address":"10.0.0.9:80","state":"ready","callSeq":1}"#;
+const HEARTBEAT: &str = r#"{"service":"s","address":"10.0.0.9:80","state":"ready","callSeq":1}"#;
 const CONFIGURATION: &str = r#"{"revision":1,"routes":[],"services":[],"limits":{}}"#;
 /// Says that it was answered by what this node knows, without asking the others first.
 const NO_CONTACT: &str = "no_contact";
@@ -52,15 +52,15 @@
 
     async fn answers(&self, method: http::Method, path: &str, body: &str) -> (u16, String) {
         loop {
-            let mut line = Line::new(Ipv4Addr::LOCALHOST, self.control);
-            if line.open().await.is_err() {
+            let mut client = EngineClient::new(Ipv4Addr::LOCALHOST, self.control);
+            if client.open().await.is_err() {
                 assert!(!self.task.is_finished(), "the controller ended");
                 tokio::task::yield_now().await;
                 continue;
             }
             let headers = [("X-Base-Revision", "0")];
             let body = body.as_bytes().to_vec();
-            let a = line.send(method, path, &headers, body, LIMIT).await.unwrap();
+            let a = client.send(method, path, &headers, body, LIMIT).await.unwrap();
             return (a.status.as_u16(), String::from_utf8_lossy(&a.body).into_owned());
         }
     }
@@ -77,8 +77,8 @@
 async fn out_of_contact_every_call_is_sent_on_to_another_node_and_heard_all_the_same() {
     let s = Running::start(1, 3);
     let post = http::Method::POST;
-    let beat = s.answers(post.clone(), "/anisedyke/Instances.Heartbeat/i-1", BEAT).await;
-    assert!(beat.0 == 503 && beat.1.contains(NO_CONTACT), "{beat:?}");
+    let heartbeat = s.answers(post.clone(), "/anisedyke/Instances.Heartbeat/i-1", HEARTBEAT).await;
+    assert!(heartbeat.0 == 503 && heartbeat.1.contains(NO_CONTACT), "{heartbeat:?}");
     let put = s.answers(post.clone(), "/anisedyke/version-put", r#"{"model":"m","revision":2}"#);
     let put = put.await;
     assert!(put.0 == 503 && put.1.contains(NO_CONTACT), "{put:?}");
@@ -86,14 +86,14 @@
     assert!(replaced.0 == 503 && replaced.1.contains(NO_CONTACT), "{replaced:?}");
     let fetched = s.answers(http::Method::GET, "/anisedyke/Config.Fetch", "").await;
     assert!(fetched.0 == 503 && fetched.1.contains(NO_CONTACT), "{fetched:?}");
-    let look = s.answers(http::Method::GET, "/anisedyke/Fleet.Look", "").await;
-    assert!(look.0 == 200 && look.1.contains("i-1"), "{look:?}");
+    let fleet = s.answers(http::Method::GET, "/anisedyke/Fleet.Look", "").await;
+    assert!(fleet.0 == 200 && fleet.1.contains("i-1"), "{fleet:?}");
     let members = s.answers(http::Method::GET, "/anisedyke/Members.Look", "").await;
     assert!(members.0 == 200 && members.1.contains(r#""inContact":false"#), "{members:?}");
-    let left = s.answers(post, "/anisedyke/Instances.Deregister/i-1", "").await;
-    assert!(left.0 == 503 && left.1.contains(NO_CONTACT), "{left:?}");
-    let look = s.answers(http::Method::GET, "/anisedyke/Fleet.Look", "").await;
-    assert!(look.1.contains("gone"), "{look:?}");
+    let deregistered = s.answers(post, "/anisedyke/Instances.Deregister/i-1", "").await;
+    assert!(deregistered.0 == 503 && deregistered.1.contains(NO_CONTACT), "{deregistered:?}");
+    let fleet = s.answers(http::Method::GET, "/anisedyke/Fleet.Look", "").await;
+    assert!(fleet.1.contains("gone"), "{fleet:?}");
 }
 
 /// What is wrong in itself no other node would take either.
@@ -101,15 +101,15 @@
 async fn what_is_malformed_is_told_so_also_out_of_contact() {
     let s = Running::start(3, 3);
     for path in ["Instances.Heartbeat/i-1", "Instances.Deregister/i-1"] {
-        let told = s.answers(http::Method::POST, &format!("/anisedyke/{path}"), "{").await;
-        assert!(told.0 == 400 && told.1.contains("malformed"), "{path}: {told:?}");
-        let large = " ".repeat(fleet_core::constants::BEAT_BYTES + 1);
-        let told = s.answers(http::Method::POST, &format!("/anisedyke/{path}"), &large).await;
-        assert!(told.0 == 413 && told.1.contains("too_large"), "{path}: {told:?}");
+        let answer = s.answers(http::Method::POST, &format!("/anisedyke/{path}"), "{").await;
+        assert!(answer.0 == 400 && answer.1.contains("malformed"), "{path}: {answer:?}");
+        let large = " ".repeat(fleet_core::constants::HEARTBEAT_MAX_BYTES + 1);
+        let answer = s.answers(http::Method::POST, &format!("/anisedyke/{path}"), &large).await;
+        assert!(answer.0 == 413 && answer.1.contains("too_large"), "{path}: {answer:?}");
     }
     for path in ["Config.Replace", "version-put"] {
-        let told = s.answers(http::Method::POST, &format!("/anisedyke/{path}"), "{").await;
-        assert!(told.0 == 503 && told.1.contains(NO_CONTACT), "{path}: {told:?}");
+        let answer = s.answers(http::Method::POST, &format!("/anisedyke/{path}"), "{").await;
+        assert!(answer.0 == 503 && answer.1.contains(NO_CONTACT), "{path}: {answer:?}");
     }
 }
 
@@ -117,8 +117,8 @@
 async fn in_contact_heartbeats_and_changes_are_acknowledged() {
     let s = Running::start(2, 1);
     let post = http::Method::POST;
-    let beat = "/anisedyke/Instances.Heartbeat/i-1";
-    while s.answers(post.clone(), beat, BEAT).await.0 != 200 {}
+    let heartbeat = "/anisedyke/Instances.Heartbeat/i-1";
+    while s.answers(post.clone(), heartbeat, HEARTBEAT).await.0 != 200 {}
     let replaced = s.answers(post, "/anisedyke/Config.Replace", CONFIGURATION).await;
     assert_eq!(replaced.0, 200, "{}", replaced.1);
     let fetched = s.answers(http::Method::GET, "/anisedyke/Config.Fetch", "").await;
--- a/crates/control-plane/tests/rollout_look.rs
+++ b/crates/control-plane/tests/rollout_status.rs
@@ -1,15 +1,15 @@
 //! What the operator is shown of an engine in a roll-out.
 
-use control_plane::duties::rollout::look::{State, state_of, stuck};
-use control_plane::duties::rollout::plan::Step;
+use control_plane::rollout::plan::Step;
+use control_plane::rollout::status::{State, state_of, stuck};
 use fleet_core::constants;
 use fleet_core::wire::{Engine, Weights};
 use std::time::Duration;
 use tokio::time::Instant;
 
-fn engine(version: u64, turn: u64, fade: u64) -> Engine {
+fn engine(version: u64, update_seq: u64, drain_seq: u64) -> Engine {
     let weights = vec![Weights { model: "m".into(), version }];
-    Engine { id: "e".into(), weights, turn, fade, ..Default::default() }
+    Engine { id: "e".into(), weights, update_seq, drain_seq, ..Default::default() }
 }
 
 #[test]
@@ -17,10 +17,10 @@
     let table = [
         (engine(2, 0, 0), State::Ready),
         (engine(2, 1, 1), State::Ready),
-        (engine(1, 1, 1), State::Turning),
-        (engine(1, 2, 1), State::Fading),
+        (engine(1, 1, 1), State::Updating),
+        (engine(1, 2, 1), State::DrainingStreams),
         (engine(1, 2, 2), State::Waiting),
-        (Engine { silent: true, ..engine(2, 0, 0) }, State::Silent),
+        (Engine { heartbeat_missed: true, ..engine(2, 0, 0) }, State::HeartbeatMissed),
     ];
     for (e, want) in table {
         assert_eq!(state_of(&e, "m", 2), want, "{e:?}");
@@ -30,13 +30,14 @@
 #[test]
 fn stuck_names_what_is_wrong_and_nothing_else() {
     let t = Instant::now();
-    let turning = |ms| Some((Step::Turning(t), t + Duration::from_millis(ms)));
-    assert_eq!(stuck(State::Turning, turning(100), Some("late")), None, "it is tried again");
-    let slow = stuck(State::Turning, turning(constants::TURN_SLOW.as_millis() as u64 + 1), None);
+    let updating = |ms| Some((Step::Updating(t), t + Duration::from_millis(ms)));
+    assert_eq!(stuck(State::Updating, updating(100), Some("late")), None, "it is tried again");
+    let slow =
+        stuck(State::Updating, updating(constants::UPDATE_SLOW.as_millis() as u64 + 1), None);
     assert_eq!(slow.as_deref(), Some("turns since 4001 ms"));
     let failed = stuck(State::Waiting, None, Some("a higher fence was seen"));
     assert_eq!(failed.as_deref(), Some("last turn failed: a higher fence was seen"));
     assert_eq!(stuck(State::Waiting, None, None), None);
     assert_eq!(stuck(State::Ready, None, Some("late")), None);
-    assert!(stuck(State::Silent, None, None).is_some());
+    assert!(stuck(State::HeartbeatMissed, None, None).is_some());
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -4,10 +4,10 @@
 //! `fixtures/data-folder` holds both slots and a log of two records with a torn third one behind them. The
 //! fixture is never changed: what a controller has on its disk has to stay readable.
 
-use control_plane::control::acceptor::Acceptor;
-use control_plane::disk::files::{Files, Layout};
-use control_plane::disk::format::{Record, State};
-use control_plane::disk::storage::Folder;
+use control_plane::consensus::acceptor::Acceptor;
+use control_plane::storage::backend::Folder;
+use control_plane::storage::files::{Files, Layout};
+use control_plane::storage::format::{Record, State};
 use fleet_core::wire::{
     Ballot, ConfigValue, LeaseValue, Member, Membership, RaiseId, Register, WeightsValue,
 };
@@ -32,7 +32,7 @@
 }
 
 /// A copy of the fixture, which opening may write to.
-fn copy(name: &str) -> PathBuf {
+fn copy_fixture(name: &str) -> PathBuf {
     let path = scratch(name);
     std::fs::create_dir_all(&path).unwrap();
     for file in FILES {
@@ -75,9 +75,9 @@
     ConfigValue { version: 9, isolation: 2, packed: vec![1, 2, 3].into(), ..Default::default() }
 }
 
-fn duty() -> LeaseValue {
+fn lease() -> LeaseValue {
     let raise = Some(RaiseId { incarnation: 5, attempt: 6 });
-    LeaseValue { fence: 7, holder: "n1".into(), acting: "n2".into(), raise }
+    LeaseValue { fencing_token: 7, holder: "n1".into(), acting: "n2".into(), raise }
 }
 
 fn record(registers: Vec<Register>) -> Record {
@@ -95,7 +95,7 @@
         // does not fit behind the others: the state goes to the next slot, and the log starts anew
         record(vec![register("filler", 12, &WeightsValue { version: 1 }), filler()]),
         record(vec![register("weights/m", 13, &WeightsValue { version: 8 })]),
-        record(vec![register("duty/roll-out", 14, &duty())]),
+        record(vec![register("duty/roll-out", 14, &lease())]),
     ]
 }
 
@@ -112,11 +112,11 @@
 fn write_folder(path: &Path) {
     let (mut files, _) = open(path);
     for record in records() {
-        files.keep([&record].into_iter()).unwrap();
+        files.persist([&record].into_iter()).unwrap();
     }
     let log = path.join("log");
     let before = std::fs::read(&log).unwrap();
-    files.keep([&torn()].into_iter()).unwrap();
+    files.persist([&torn()].into_iter()).unwrap();
     let mut after = std::fs::read(&log).unwrap();
     let first = (0..after.len()).find(|at| before[*at] != after[*at]).unwrap();
     after[first + 30] ^= 0xff;
@@ -132,7 +132,7 @@
     assert_eq!(acceptor.register("config"), Some(&register("config", 11, &config())));
     let weights = register("weights/m", 13, &WeightsValue { version: 8 });
     assert_eq!(acceptor.register("weights/m"), Some(&weights));
-    assert_eq!(acceptor.register("duty/roll-out"), Some(&register("duty/roll-out", 14, &duty())));
+    assert_eq!(acceptor.register("duty/roll-out"), Some(&register("duty/roll-out", 14, &lease())));
     assert_eq!(acceptor.registers().count(), 4);
 }
 
@@ -145,7 +145,7 @@
 
 #[test]
 fn a_folder_of_the_earlier_release_is_opened_without_its_torn_tail() {
-    let path = copy("open");
+    let path = copy_fixture("open");
     let (files, state) = open(&path);
     assert!(!files.empty && !files.damaged);
     assert_state(state);
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_damaged_older_slot_changes_nothing() {
-    let path = copy("older");
+    let path = copy_fixture("older");
     damage(&path.join("slot1"));
     let (files, state) = open(&path);
     assert!(files.damaged && !files.empty);
@@ -172,7 +172,7 @@
 
 #[test]
 fn a_damaged_newest_slot_gives_the_state_of_the_other() {
-    let path = copy("newest");
+    let path = copy_fixture("newest");
     damage(&path.join("slot0"));
     let (files, state) = open(&path);
     assert!(files.damaged);
@@ -181,7 +181,7 @@
 
 #[test]
 fn two_damaged_slots_make_an_empty_disk() {
-    let path = copy("both");
+    let path = copy_fixture("both");
     damage(&path.join("slot0"));
     damage(&path.join("slot1"));
     let (files, state) = open(&path);
@@ -191,10 +191,10 @@
 
 #[test]
 fn no_cut_of_a_slot_makes_opening_fail() {
-    let path = copy("cut");
-    let whole = std::fs::read(path.join("slot0")).unwrap();
-    for length in (0..whole.len()).step_by(7) {
-        std::fs::write(path.join("slot0"), &whole[..length]).unwrap();
+    let path = copy_fixture("cut");
+    let complete = std::fs::read(path.join("slot0")).unwrap();
+    for length in (0..complete.len()).step_by(7) {
+        std::fs::write(path.join("slot0"), &complete[..length]).unwrap();
         let (_, state) = open(&path);
         assert!(state.registers.len() <= 6, "cut at {length}");
     }
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -38,7 +38,7 @@
 
 /// A body in force, and its digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HeldBody {
+pub struct ConfigBody {
     /// digest of the body
     pub digest: BodyDigest,
     /// the operator's bytes
@@ -46,10 +46,13 @@
 }
 
 /// The body that was given, with the digest that a majority confirmed.
-pub fn rebuild(given: &ConfigResponse, held: Option<&HeldBody>) -> Result<HeldBody, FetchError> {
+pub fn rebuild(
+    given: &ConfigResponse,
+    held: Option<&ConfigBody>,
+) -> Result<ConfigBody, FetchError> {
     const MOST: usize = constants::CONFIG_BYTES;
     let body = match (&given.form, held) {
-        (Some(ConfigForm::Whole(packed)), _) => packing::unpack(packed, MOST)?,
+        (Some(ConfigForm::Full(packed)), _) => packing::unpack(packed, MOST)?,
         (Some(ConfigForm::Delta(packed)), Some(held)) => {
             let plain = packing::unpack(packed, MOST)?;
             let delta = ConfigDelta::decode(plain).map_err(|_| FetchError::Undecodable)?;
@@ -61,14 +64,14 @@
     if digest.as_bytes() != &given.digest[..] {
         return Err(FetchError::OtherDigest);
     }
-    Ok(HeldBody { digest, body })
+    Ok(ConfigBody { digest, body })
 }
 
 /// What the one task that fetches knows.
 #[derive(Default)]
 struct Fetcher {
     /// the body that the table in force was made of
-    held: Option<HeldBody>,
+    held: Option<ConfigBody>,
     /// failed fetches since the last one that brought something
     failures: u32,
     /// place of the next link to be asked, among those that are up
@@ -82,16 +85,19 @@
     /// failure, for slow lines.
     fn limit(&self) -> Duration {
         let comes_whole = self.held.is_none() || self.whole_next;
-        let first =
-            if comes_whole { constants::CONFIG_WHOLE_LIMIT } else { constants::CONFIG_ASK_LIMIT };
+        let first = if comes_whole {
+            constants::CONFIG_FULL_FETCH_TIMEOUT
+        } else {
+            constants::CONFIG_FETCH_TIMEOUT
+        };
         let doublings = self.failures.saturating_sub(2).min(8);
         let doubled = first * 2u32.pow(doublings);
-        doubled.min(constants::CONFIG_ASK_LIMIT_MAX)
+        doubled.min(constants::CONFIG_FETCH_TIMEOUT_MAX)
     }
 
     /// The longest pause before the next try, in ms.
     fn longest_pause(&self) -> u64 {
-        constants::CONFIG_ASK_PAUSE_MS << self.failures.min(5)
+        constants::CONFIG_FETCH_BACKOFF_MS << self.failures.min(5)
     }
 
     fn ask(&self) -> ConfigRequest {
@@ -140,8 +146,8 @@
 /// Reads a body once; on a thread of its own, beside the requests.
 fn make_table(
     given: &ConfigResponse,
-    held: Option<&HeldBody>,
-) -> Result<(HeldBody, Table), FetchError> {
+    held: Option<&ConfigBody>,
+) -> Result<(ConfigBody, Table), FetchError> {
     let held = rebuild(given, held)?;
     let table = Table::compile(&held.body, given.isolation)?;
     Ok((held, table))
--- a/crates/data-plane/src/fleet_view/config_fetch_tests.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch_tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn held(body: &'static str) -> HeldBody {
-    HeldBody { digest: BodyDigest::of(body.as_bytes()), body: body.into() }
+fn held(body: &'static str) -> ConfigBody {
+    ConfigBody { digest: BodyDigest::of(body.as_bytes()), body: body.into() }
 }
 
 fn given(body: &str, form: ConfigForm) -> ConfigResponse {
@@ -24,7 +24,7 @@
 #[test]
 fn a_body_is_rebuilt_from_the_whole_and_from_a_delta() {
     let (former, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
-    let whole = given(new, ConfigForm::Whole(packing::pack(new.as_bytes())));
+    let whole = given(new, ConfigForm::Full(packing::pack(new.as_bytes())));
     assert_eq!(rebuild(&whole, None).unwrap(), held(new));
     assert_eq!(rebuild(&whole, Some(&held(former))).unwrap(), held(new));
     let delta = given(new, delta_form(former, new));
@@ -34,7 +34,7 @@
 #[test]
 fn a_body_with_another_digest_is_not_taken() {
     let (former, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
-    let damaged = given(new, ConfigForm::Whole(packing::pack(former.as_bytes())));
+    let damaged = given(new, ConfigForm::Full(packing::pack(former.as_bytes())));
     assert!(matches!(rebuild(&damaged, None), Err(FetchError::OtherDigest)));
     let (shared, next) = ("{\"routes\":[{\"name\":\"one\"}", ",{\"name\":\"two\"}]}");
     let unfitting = given(&[shared, next].concat(), delta_form(shared, &[shared, next].concat()));
@@ -55,7 +55,7 @@
 
 #[test]
 fn waits_and_pauses_grow_with_failures_and_stay_bounded() {
-    assert_eq!(Fetcher::default().limit(), constants::CONFIG_WHOLE_LIMIT);
+    assert_eq!(Fetcher::default().limit(), constants::CONFIG_FULL_FETCH_TIMEOUT);
     let mut fetcher = Fetcher { held: Some(held("{}")), ..Default::default() };
     let mut waits = Vec::new();
     for failures in 0..40 {
@@ -63,7 +63,7 @@
         waits.push((fetcher.limit(), fetcher.longest_pause()));
     }
     assert!(waits.is_sorted());
-    assert_eq!(waits[2].0, constants::CONFIG_ASK_LIMIT, "three controllers are asked soon");
-    assert_eq!(waits[39].0, constants::CONFIG_ASK_LIMIT_MAX);
+    assert_eq!(waits[2].0, constants::CONFIG_FETCH_TIMEOUT, "three controllers are asked soon");
+    assert_eq!(waits[39].0, constants::CONFIG_FETCH_TIMEOUT_MAX);
     assert!(waits[39].1 < 2000, "ms");
 }
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -47,10 +47,12 @@
         for l in links {
             let heartbeat = heartbeat.clone();
             tokio::spawn(async move {
-                let _ = l.call(Body::RouterHeartbeat(heartbeat), constants::ROUTER_BEAT).await;
+                let _ = l
+                    .call(Body::RouterHeartbeat(heartbeat), constants::ROUTER_HEARTBEAT_INTERVAL)
+                    .await;
             });
         }
-        tokio::time::sleep(constants::ROUTER_BEAT).await;
+        tokio::time::sleep(constants::ROUTER_HEARTBEAT_INTERVAL).await;
     }
 }
 
--- a/crates/data-plane/src/fleet_view/loads.rs
+++ b/crates/data-plane/src/fleet_view/loads.rs
@@ -37,7 +37,7 @@
         let (mut engines, mut slots) = (0, 0);
         for engine in self.engines.read().values() {
             let news = engine.news();
-            if news.state() == EngineState::Ready && !news.silent {
+            if news.state() == EngineState::Ready && !news.heartbeat_missed {
                 engines += 1;
                 slots = news.slots.max(slots);
             }
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -208,7 +208,8 @@
 
     fn hear_ring(&self, news: &RingHead) {
         let mut current = self.ring.lock();
-        let is_older = |known: &RingHead| (news.fence, news.head) < (known.fence, known.head);
+        let is_older =
+            |known: &RingHead| (news.fencing_token, news.head) < (known.fencing_token, known.head);
         if !current.as_ref().is_some_and(is_older) {
             *current = Some(news.clone());
         }
--- a/crates/data-plane/src/fleet_view/purge.rs
+++ b/crates/data-plane/src/fleet_view/purge.rs
@@ -15,7 +15,7 @@
     /// The whole view gives way.
     pub reset: bool,
     /// What holders were found to keep; on a reset, all of it.
-    pub digest: Vec<CachedParts>,
+    pub snapshot: Vec<CachedParts>,
     /// Invalidations, to be applied after the findings.
     pub entries: Vec<RingEntry>,
 }
@@ -26,7 +26,7 @@
         if self.reset {
             cache.reset();
         }
-        invalidation::cache::refill(cache, &self.digest);
+        invalidation::cache::refill(cache, &self.snapshot);
         for entry in &self.entries {
             invalidation::cache::apply(cache, entry, |_| true);
         }
@@ -123,19 +123,19 @@
     /// Keeps a finding to be told, unless too many wait already.
     fn remember(&self, holder: &str, salt: &str, news: &[(u64, u64)]) {
         let mut found = self.found.lock();
-        if found.len() >= constants::FOUND_KEPT {
+        if found.len() >= constants::PENDING_FINDINGS_CAPACITY {
             return;
         }
         let held = CachedParts {
             holder: holder.to_owned(),
             salt: salt.to_owned(),
             parts: news.iter().map(|(part, _)| *part).collect(),
-            kept: news.iter().map(|(_, tokens)| *tokens).collect(),
+            cached_tokens: news.iter().map(|(_, tokens)| *tokens).collect(),
         };
         found.push(held.clone());
         let mut again = self.again.lock();
         again.push_back(held);
-        if again.len() > constants::FOUND_AGAIN {
+        if again.len() > constants::REPEATED_FINDINGS_CAPACITY {
             again.pop_front();
         }
     }
@@ -160,14 +160,14 @@
 /// Tells the index-keeper what own sends have left behind.
 pub async fn telling(router: Arc<Router>) {
     loop {
-        tokio::time::sleep(constants::FOUND_PAUSE).await;
-        let held = std::mem::take(&mut *router.fleet_view.prefix_view.found.lock());
-        if held.is_empty() {
+        tokio::time::sleep(constants::FINDINGS_REPORT_INTERVAL).await;
+        let entries = std::mem::take(&mut *router.fleet_view.prefix_view.found.lock());
+        if entries.is_empty() {
             continue;
         }
-        let keeper = router.fleet_view.ring.lock().as_ref().map(|head| head.keeper.clone());
-        if let Some(link) = keeper.and_then(|keeper| router.fleet_view.link_to(&keeper)) {
-            let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { held }));
+        let owner = router.fleet_view.ring.lock().as_ref().map(|head| head.owner.clone());
+        if let Some(link) = owner.and_then(|owner| router.fleet_view.link_to(&owner)) {
+            let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { entries }));
         }
     }
 }
@@ -176,15 +176,19 @@
 pub async fn scrubbing(router: Arc<Router>) {
     loop {
         let done = router.fleet_view.prefix_view.index.scrub(constants::SCRUB_ENTRIES);
-        tokio::time::sleep(if done { constants::ROUTER_BEAT } else { constants::SCRUB_PAUSE })
-            .await;
+        tokio::time::sleep(if done {
+            constants::ROUTER_HEARTBEAT_INTERVAL
+        } else {
+            constants::SCRUB_INTERVAL
+        })
+        .await;
     }
 }
 
 /// Where this reader stands, and in which incarnation of the ring.
 #[derive(Default, Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Place {
-    fence: u64,
+    fencing_token: u64,
     incarnation: u64,
     cursor: u64,
     found: u64,
@@ -192,13 +196,13 @@
 
 impl Place {
     /// A place in a ring.
-    pub fn new(fence: u64, incarnation: u64, cursor: u64, found: u64) -> Place {
-        Place { fence, incarnation, cursor, found }
+    pub fn new(fencing_token: u64, incarnation: u64, cursor: u64, found: u64) -> Place {
+        Place { fencing_token, incarnation, cursor, found }
     }
 
     /// The index-keeper's fencing token.
-    pub fn fence(&self) -> u64 {
-        self.fence
+    pub fn fencing_token(&self) -> u64 {
+        self.fencing_token
     }
 
     /// The incarnation of the ring.
@@ -216,21 +220,22 @@
 /// answer cannot be used: it is of an older keeper, of another ring without a reset, or without a head.
 pub fn step(at: Place, answer: RingResponse) -> Option<(Place, Option<Change>)> {
     let head = answer.head?;
-    if head.fence < at.fence {
+    if head.fencing_token < at.fencing_token {
         return None;
     }
-    if !answer.reset && (head.fence, head.incarnation) != (at.fence, at.incarnation) {
+    if !answer.reset && (head.fencing_token, head.incarnation) != (at.fencing_token, at.incarnation)
+    {
         return None;
     }
     let next = Place {
-        fence: head.fence,
+        fencing_token: head.fencing_token,
         incarnation: head.incarnation,
         cursor: answer.cursor,
         found: head.found,
     };
-    let RingResponse { reset, digest, entries, .. } = answer;
-    let has_news = reset || !entries.is_empty() || !digest.is_empty();
-    Some((next, has_news.then_some(Change { reset, digest, entries })))
+    let RingResponse { reset, snapshot, entries, .. } = answer;
+    let has_news = reset || !entries.is_empty() || !snapshot.is_empty();
+    Some((next, has_news.then_some(Change { reset, snapshot, entries })))
 }
 
 /// Fetches behind the head whenever it has moved or the keeper has nudged.
@@ -239,14 +244,14 @@
     let mut at = Place::default();
     let mut told = (0, 0);
     loop {
-        let _ = tokio::time::timeout(constants::READER_LIMIT / 4, view.news.notified()).await;
-        tokio::time::sleep(constants::RING_FETCH_PAUSE).await;
+        let _ = tokio::time::timeout(constants::READER_TIMEOUT / 4, view.news.notified()).await;
+        tokio::time::sleep(constants::RING_FETCH_DELAY).await;
         let Some(head) = view.ring.lock().clone() else { continue };
-        let Some(link) = view.link_to(&head.keeper) else { continue };
-        if told != (head.fence, head.incarnation) {
-            told = (head.fence, head.incarnation);
-            let held = view.prefix_view.found_before();
-            let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { held }));
+        let Some(link) = view.link_to(&head.owner) else { continue };
+        if told != (head.fencing_token, head.incarnation) {
+            told = (head.fencing_token, head.incarnation);
+            let entries = view.prefix_view.found_before();
+            let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { entries }));
         }
         while fetch(&router, &link, &mut at).await == Fetch::More {}
     }
@@ -264,14 +269,14 @@
 /// Fetches once, and leaves what came to be applied.
 async fn fetch(router: &Router, link: &Link, at: &mut Place) -> Fetch {
     let ask = RingRequest {
-        fence: at.fence,
+        fencing_token: at.fencing_token,
         incarnation: at.incarnation,
         cursor: at.cursor,
         reader: router.node.incarnation,
         refill: *at == Place::default(),
         found: at.found,
     };
-    let limit = if ask.refill { constants::REFILL_LIMIT } else { constants::PHASE_LIMIT };
+    let limit = if ask.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
     let Ok(Body::RingResponse(answer)) = link.call(Body::RingRequest(ask), limit).await else {
         return Fetch::Done;
     };
--- a/crates/data-plane/src/fleet_view/roll.rs
+++ b/crates/data-plane/src/fleet_view/roll.rs
@@ -93,7 +93,8 @@
 
     /// Marks the engines that heavy requests settle at.
     fn divide(rows: &mut [Row], interactive: f64) {
-        let ready = |row: &Row| row.news.state() == EngineState::Ready && !row.news.silent;
+        let ready =
+            |row: &Row| row.news.state() == EngineState::Ready && !row.news.heartbeat_missed;
         let mut order: Vec<usize> = (0..rows.len()).filter(|i| ready(&rows[*i])).collect();
         order.sort_unstable_by_key(|i| (rows[*i].rank, *i));
         let slots = rows.iter().map(|row| row.news.slots).max().unwrap_or(0);
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -20,7 +20,7 @@
     Listen(std::net::SocketAddr, std::io::ErrorKind),
 }
 
-/// Counted in memory, written out every `COUNTERS_PAUSE` (event 105); all since the start.
+/// Counted in memory, written out every `COUNTERS_INTERVAL` (event 105); all since the start.
 #[derive(Default)]
 pub struct Counters {
     /// Requests with a route and a service.
@@ -169,7 +169,7 @@
     ];
     let accepting = tokio::spawn(serve::accepting(router.clone(), front));
     fleet_core::log_event!(log, Event::Started, "incarnation" => router.node.incarnation);
-    let mut counted = tokio::time::interval(constants::COUNTERS_PAUSE);
+    let mut counted = tokio::time::interval(constants::COUNTERS_INTERVAL);
     counted.tick().await;
     loop {
         tokio::select! {
@@ -196,6 +196,6 @@
     accepting.abort();
     router.closing.send_replace(true);
     while router.open.load(Ordering::Relaxed) > 0 && tokio::time::Instant::now() < end {
-        tokio::time::sleep(constants::ROLL_TICK).await;
+        tokio::time::sleep(constants::ROLLOUT_INTERVAL).await;
     }
 }
--- a/crates/data-plane/src/place/candidates.rs
+++ b/crates/data-plane/src/place/candidates.rs
@@ -18,7 +18,7 @@
     /// the weights that the request would run under
     pub version: Option<u64>,
     /// it is about to get other weights
-    pub fading: bool,
+    pub draining_streams: bool,
     liveness: Liveness,
 }
 
@@ -34,8 +34,8 @@
 }
 
 impl Liveness {
-    fn of(silent: bool, health: Health) -> Liveness {
-        match (silent, health) {
+    fn of(heartbeat_missed: bool, health: Health) -> Liveness {
+        match (heartbeat_missed, health) {
             (false, Health::Sound | Health::Unproven) => Liveness::Awake,
             (false, Health::Resting) | (true, Health::Sound) => Liveness::Doubtful,
             (true, Health::Unproven | Health::Resting) => Liveness::Unlikely,
@@ -86,8 +86,8 @@
     fn candidate(&self, number: usize, row: &Row, now: Instant) -> Option<Candidate> {
         let named_version = self.named.map(|named| named.version);
         let marked = row.engine.is_marked(now);
-        let is_changing = |model| fleet::is_changing(&row.news, model, named_version);
-        if marked && self.model.is_some_and(is_changing) {
+        let is_updating = |model| fleet::is_updating(&row.news, model, named_version);
+        if marked && self.model.is_some_and(is_updating) {
             return None;
         }
         let version = self.model.and_then(|model| fleet::version_of(&row.news, model));
@@ -97,12 +97,13 @@
         if version.is_some_and(|version| !version_allowed(version, self.named, now, self.bound)) {
             return None;
         }
-        let is_fading = |model| fleet::is_fading(&row.news, model, named_version);
+        let is_draining_streams =
+            |model| fleet::is_draining_streams(&row.news, model, named_version);
         Some(Candidate {
             row: number,
             version,
-            fading: marked && self.model.is_some_and(is_fading),
-            liveness: Liveness::of(row.news.silent, row.engine.health(now)),
+            draining_streams: marked && self.model.is_some_and(is_draining_streams),
+            liveness: Liveness::of(row.news.heartbeat_missed, row.engine.health(now)),
         })
     }
 }
--- a/crates/data-plane/src/place/candidates_tests.rs
+++ b/crates/data-plane/src/place/candidates_tests.rs
@@ -15,11 +15,11 @@
 
 /// Rows that stay of these engines, each told as silent or not and with what its connections tell.
 fn kept(engines: &[(bool, Health)]) -> Vec<usize> {
-    let candidate = |(row, (silent, health)): (usize, &(bool, Health))| Candidate {
+    let candidate = |(row, (heartbeat_missed, health)): (usize, &(bool, Health))| Candidate {
         row,
         version: None,
-        fading: false,
-        liveness: Liveness::of(*silent, *health),
+        draining_streams: false,
+        liveness: Liveness::of(*heartbeat_missed, *health),
     };
     let mut found: Vec<Candidate> = engines.iter().enumerate().map(candidate).collect();
     keep_liveliest(&mut found);
--- a/crates/data-plane/src/place/mod.rs
+++ b/crates/data-plane/src/place/mod.rs
@@ -145,8 +145,8 @@
         if candidate.version < self.newest {
             weighed.cost += constants::WAIT_COST_MS;
         }
-        if candidate.fading && !ask.prompt.is_heavy() {
-            weighed.cost += constants::FADE_COST_MS;
+        if candidate.draining_streams && !ask.prompt.is_heavy() {
+            weighed.cost += constants::STREAM_DRAIN_COST_MS;
         }
         if at_home && source.is_some() && row.engine.is_warming(now) {
             weighed.cost -= constants::WARM_BONUS_MS;
--- a/crates/data-plane/src/place/sources.rs
+++ b/crates/data-plane/src/place/sources.rs
@@ -21,7 +21,7 @@
 impl Weights<'_> {
     /// An engine that answers and has these weights, so that its parts may be taken.
     fn usable_from(&self, row: &Row, now: Instant) -> bool {
-        let answers = !row.news.silent && !row.engine.is_resting(now);
+        let answers = !row.news.heartbeat_missed && !row.engine.is_resting(now);
         answers && fleet_core::fleet::version_of(&row.news, self.model) == Some(self.version)
     }
 }
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -142,7 +142,7 @@
     share: u32,
 ) -> Result<Leased, ConnectionError> {
     let open = open_within(engine, share).ok_or(ConnectionError::Full)?;
-    let io = fleet_core::link::connect(router.node.ip, engine.address, constants::CONNECT_LIMIT)
+    let io = fleet_core::link::connect(router.node.ip, engine.address, constants::CONNECT_TIMEOUT)
         .await
         .map_err(ConnectionError::Connect)?;
     router.counters.connections.fetch_add(1, Ordering::Relaxed);
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -133,9 +133,9 @@
     /// Takes in what the controllers know of it.
     pub fn hear(&self, news: &Engine) {
         let mut n = self.news.write();
-        let before = (n.fade, n.turn);
+        let before = (n.drain_seq, n.update_seq);
         fleet_core::fleet::merge(&mut n, news);
-        if (n.fade, n.turn) != before {
+        if (n.drain_seq, n.update_seq) != before {
             *self.marked.lock() = Instant::now();
         }
         drop(n);
@@ -146,7 +146,7 @@
 
     /// Marks of the roll-out count only so long: who set them may be gone.
     pub fn is_marked(&self, now: Instant) -> bool {
-        now.duration_since(*self.marked.lock()) < constants::MARK_LIMIT
+        now.duration_since(*self.marked.lock()) < constants::ROLLOUT_STATE_TIMEOUT
     }
 
     /// What the controllers know of it.
--- a/crates/data-plane/src/serve/dispatch.rs
+++ b/crates/data-plane/src/serve/dispatch.rs
@@ -171,7 +171,7 @@
                 Outcome::NotExecuted(dispatched.not_executed(proof))
             }
             Verdict::Spoilt(why) => {
-                fleet_core::log_event!(router.log, Event::AnswerSpoilt, "id" => &engine.id,
+                fleet_core::log_event!(router.log, Event::ResponseRejected, "id" => &engine.id,
                     "status" => status.as_u16(), "why" => why.to_string());
                 Outcome::Uncertain(dispatched)
             }
--- a/crates/data-plane/src/serve/observe.rs
+++ b/crates/data-plane/src/serve/observe.rs
@@ -56,7 +56,7 @@
     let wait_us = wait.as_micros() as u64;
     let all_us = counters.heavy_wait_us.fetch_add(wait_us, Ordering::Relaxed) + wait_us;
     if let Some(own) = engine.first_waits(wait) {
-        fleet_core::log_event!(router.log, Event::EngineTakenIn, "id" => &engine.id,
+        fleet_core::log_event!(router.log, Event::EngineWarmedUp, "id" => &engine.id,
             "own_ms" => own.as_millis() as u64, "all_ms" => all_us / answers / 1000);
     }
 }
--- a/crates/data-plane/src/serve/stage.rs
+++ b/crates/data-plane/src/serve/stage.rs
@@ -213,6 +213,6 @@
 fn fail(router: &Router, failure: Failure) -> Response<Out> {
     let status = failure.status();
     router.counters.failed.fetch_add(1, Ordering::Relaxed);
-    fleet_core::log_event!(router.log, Event::PassError, "status" => status.as_u16());
+    fleet_core::log_event!(router.log, Event::DispatchFailed, "status" => status.as_u16());
     answer::empty(status)
 }
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -22,16 +22,16 @@
 /// A controller that gives each call for the configuration to the test.
 struct PlayedController {
     ip: Ipv4Addr,
-    joined: mpsc::UnboundedSender<Peer>,
+    connected: mpsc::UnboundedSender<Peer>,
     asked: mpsc::UnboundedSender<Asked>,
 }
 
 impl fleet_core::link::PeerHandler for PlayedController {
-    fn joined(self: &Arc<Self>, peer: &Peer) {
-        let _ = self.joined.send(peer.clone());
+    fn connected(self: &Arc<Self>, peer: &Peer) {
+        let _ = self.connected.send(peer.clone());
     }
 
-    fn left(self: &Arc<Self>, _: &Peer) {}
+    fn disconnected(self: &Arc<Self>, _: &Peer) {}
 
     async fn answer(self: &Arc<Self>, _: &Peer, body: Body) -> Option<Body> {
         let Body::ConfigRequest(ask) = body else { return Some(Body::Acknowledged(Empty {})) };
@@ -62,10 +62,11 @@
             listeners
                 .push(tokio::net::TcpListener::bind(SocketAddr::from((*ip, port))).await.unwrap());
         }
-        let (joined, mut joins) = mpsc::unbounded_channel();
+        let (connected, mut joins) = mpsc::unbounded_channel();
         let (asked_tx, asked) = mpsc::unbounded_channel();
         for (ip, listener) in ips.into_iter().zip(listeners) {
-            let host = PlayedController { ip, joined: joined.clone(), asked: asked_tx.clone() };
+            let host =
+                PlayedController { ip, connected: connected.clone(), asked: asked_tx.clone() };
             tokio::spawn(fleet_core::link::serve_peers(Box::new(listener), Arc::new(host)));
         }
         let text = format!("nodeName=c1\nip=127.0.0.1\nzone=z\nportRange={port},{}\n", port + 1);
@@ -114,7 +115,7 @@
 }
 
 fn whole(version: u64) -> ConfigResponse {
-    let form = Some(ConfigForm::Whole(packing::pack(body(version).as_bytes())));
+    let form = Some(ConfigForm::Full(packing::pack(body(version).as_bytes())));
     ConfigResponse { version, isolation: 1, digest: digest(version), form }
 }
 
--- a/crates/data-plane/tests/engines/idle.rs
+++ b/crates/data-plane/tests/engines/idle.rs
@@ -177,9 +177,9 @@
 async fn caution_opens_new_connections_only_after_long_rests() {
     let e = StandIn::start("e1", |_, s| (whole(s, 1..=1), Then::Keep)).await;
     let f = Fleet::start(&[&e]).await;
-    for turn in 0..60u64 {
+    for update_seq in 0..60u64 {
         ask_ok(&f, "/once/").await;
-        pass(ms(250 * (1 + (turn * 7) % 15))).await;
+        pass(ms(250 * (1 + (update_seq * 7) % 15))).await;
     }
     let opened = *connections(&e).iter().max().unwrap();
     println!("connections opened for 60 requests: {opened}");
--- a/crates/data-plane/tests/engines/main.rs
+++ b/crates/data-plane/tests/engines/main.rs
@@ -83,7 +83,7 @@
         ("ready", |_| {}, 0, true),
         ("draining", |e| e.set_state(EngineState::Draining), 0, false),
         ("gone", |e| e.set_state(EngineState::Deregistered), 0, false),
-        ("under order", |e| e.turn = 1, 0, false),
+        ("under order", |e| e.update_seq = 1, 0, false),
         ("old weights, lately named", |_| {}, 3000, true),
         ("old weights, long named", |_| {}, 7500, false),
     ];
@@ -286,11 +286,11 @@
         .replace("30,5", "5100,5");
     f.d.fleet_view.prefix_view.put(data_plane::fleet_view::purge::Change {
         reset: false,
-        digest: vec![CachedParts {
+        snapshot: vec![CachedParts {
             holder: "e1".into(),
             salt: "m|2|#4".into(),
             parts: vec![0xaa, 0xbb],
-            kept: vec![2000, 3000],
+            cached_tokens: vec![2000, 3000],
         }],
         entries: Vec::new(),
     });
--- a/crates/data-plane/tests/purge.rs
+++ b/crates/data-plane/tests/purge.rs
@@ -7,8 +7,8 @@
 use invalidation::view::View;
 use prompt_index::HolderBitmap;
 
-fn head(fence: u64, incarnation: u64, head: u64) -> Option<RingHead> {
-    Some(RingHead { fence, incarnation, head, ..Default::default() })
+fn head(fencing_token: u64, incarnation: u64, head: u64) -> Option<RingHead> {
+    Some(RingHead { fencing_token, incarnation, head, ..Default::default() })
 }
 
 #[test]
@@ -35,11 +35,11 @@
     assert!(!holds(&s));
     s.put(Change {
         reset: true,
-        digest: vec![CachedParts {
+        snapshot: vec![CachedParts {
             holder: "e".into(),
             salt: "m|1|#1".into(),
             parts: vec![4],
-            kept: vec![10],
+            cached_tokens: vec![10],
         }],
         entries: Vec::new(),
     });
@@ -48,11 +48,11 @@
         holder: "e".into(),
         salt: "m|1|#1".into(),
         part: 4,
-        kept: 0,
+        cached_tokens: 0,
     });
     s.put(Change {
         reset: false,
-        digest: Vec::new(),
+        snapshot: Vec::new(),
         entries: vec![RingEntry { scope: 0, what: Some(gone) }],
     });
     assert!(!holds(&s));
@@ -66,7 +66,7 @@
         use invalidation::ring::{Read, Ring};
         let entry = |p: u64| RingEntry {
             scope: 0,
-            what: Some(Invalidation::Part(PartLocation { holder: "e".into(), salt: "m|1|#1".into(), part: p, kept: 0 })),
+            what: Some(Invalidation::Part(PartLocation { holder: "e".into(), salt: "m|1|#1".into(), part: p, cached_tokens: 0 })),
         };
         let (mut ring, mut incarnation) = (Ring::<RingEntry>::new(8, 2, 4), 1u64);
         let mut truth = std::collections::HashSet::<u64>::new();
@@ -85,7 +85,7 @@
                 }
                 _ => {
                     let lost = what == 5;
-                    let same = at.incarnation() == incarnation && at.fence() == 1;
+                    let same = at.incarnation() == incarnation && at.fencing_token() == 1;
                     let cursor = if same { ring.cursor(1).filter(|c| c.next() == at.cursor()) } else { None };
                     let mut g = RingResponse { head: head(1, incarnation, ring.head()), ..Default::default() };
                     match cursor.as_ref().map(|c| (c, ring.read(c, 3))) {
@@ -95,7 +95,7 @@
                             let (_, cur) = ring.enter(1);
                             g.reset = true;
                             g.cursor = cur;
-                            g.digest = vec![CachedParts { holder: "e".into(), salt: "m|1|#1".into(), parts: truth.iter().copied().collect(), kept: Vec::new() }];
+                            g.snapshot = vec![CachedParts { holder: "e".into(), salt: "m|1|#1".into(), parts: truth.iter().copied().collect(), cached_tokens: Vec::new() }];
                         }
                     }
                     if lost { continue; }
--- a/crates/fleet-core/src/constants/duties.rs
+++ b/crates/fleet-core/src/constants/duties.rs
@@ -8,12 +8,12 @@
 pub const LEASE_MARGIN: f64 = 0.25;
 /// ms; lease of the index-keeper, who orders nothing: short, since routers miss what it would tell, and
 /// long enough for three renewals of which two fail on a busy machine.
-pub const KEEPER_LEASE: Duration = Duration::from_millis(2000);
+pub const INDEX_LEASE_DURATION: Duration = Duration::from_millis(2000);
 /// ms; a new index-keeper hears holders and routers this long before it gives a digest.
-pub const KEEPER_WARM: Duration = Duration::from_millis(800);
+pub const INDEX_WARM_UP: Duration = Duration::from_millis(800);
 /// ms; pause of the loop that holds duties.
-pub const DUTY_TICK: Duration = Duration::from_millis(250);
+pub const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// ms; pause between two tries to renew a lease: three fit into what is left of the shortest one.
-pub const RENEW_TICK: Duration = Duration::from_millis(100);
+pub const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(100);
 /// ms; a renewal without a majority by then is tried again; members answer it from memory.
-pub const RENEW_LIMIT: Duration = Duration::from_millis(300);
+pub const LEASE_RENEWAL_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/fleet-core/src/constants/engines.rs
+++ b/crates/fleet-core/src/constants/engines.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 /// bytes; what a heartbeat of an engine may hold.
-pub const BEAT_BYTES: usize = 4096;
+pub const HEARTBEAT_MAX_BYTES: usize = 4096;
 /// ms; routine heartbeats are shared with the other controllers this often.
-pub const BEAT_SHARE_PAUSE: Duration = Duration::from_millis(300);
+pub const HEARTBEAT_SHARE_INTERVAL: Duration = Duration::from_millis(300);
 /// ms; a drain is told to a majority within this, inside the second engines wait.
-pub const BEAT_SHARE_LIMIT: Duration = Duration::from_millis(700);
+pub const HEARTBEAT_SHARE_TIMEOUT: Duration = Duration::from_millis(700);
 /// heartbeats; an engine silent for so many is suspected.
-pub const SILENT_BEATS: f64 = 3.5;
+pub const MISSED_HEARTBEATS: f64 = 3.5;
 /// s; a gone instance is remembered this long so that no late call brings it back.
 pub const TOMBSTONE: Duration = Duration::from_secs(300);
 /// ms; an engine under order is asked for its report this often.
-pub const REPORT_PAUSE: Duration = Duration::from_millis(250);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// s; an order without end is given up and looked at anew.
-pub const ORDER_LIMIT: Duration = Duration::from_secs(6);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(6);
 /// ms; answers to orders and reports come within a round trip and a step.
-pub const ENGINE_CALL_LIMIT: Duration = Duration::from_millis(800);
+pub const ENGINE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// ms; an order has reached its engine this long after it was sent, on a link that is not in trouble.
 pub const ORDER_TRAVEL: Duration = Duration::from_millis(100);
 /// ms; with less of the lease than this left, an order waits for the renewal: it would only be given up.
--- a/crates/fleet-core/src/constants/invalidations.rs
+++ b/crates/fleet-core/src/constants/invalidations.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 /// own findings that a router remembers, to tell a new index-keeper.
-pub const FOUND_AGAIN: usize = 256;
+pub const REPEATED_FINDINGS_CAPACITY: usize = 256;
 /// ms; how long a call for events is held by an engine: the longest the protocol allows.
 pub const EVENTS_WAIT_MS: u64 = 1000;
 /// ms; pause after a call for events, so that busy engines don't make it a loop.
-pub const EVENTS_PAUSE: Duration = Duration::from_millis(250);
+pub const EVENTS_INTERVAL: Duration = Duration::from_millis(250);
 /// slots of the ring of invalidations; a power of two.
 pub const RING_SLOTS: usize = 4096;
 /// entries published under one hold of the writer's lock.
@@ -15,19 +15,19 @@
 /// entries; a reader behind by more than this is nudged once.
 pub const RING_LAG: u64 = 2048;
 /// findings remembered for readers; more than come between two fetches.
-pub const FINDINGS_KEPT: usize = 4096;
+pub const FINDINGS_CAPACITY: usize = 4096;
 /// parts that no router has named as shared yet, of each of two generations; a minute of traffic.
-pub const UNSHARED_KEPT: usize = 16_384;
+pub const UNSHARED_PARTS_CAPACITY: usize = 16_384;
 /// shared parts that are remembered before those are forgotten that no holder keeps; 2 MB.
-pub const SHARED_KEPT: usize = 131_072;
+pub const SHARED_PARTS_CAPACITY: usize = 131_072;
 /// bytes of digests that may be on their way at once; each is held three times until it has gone out.
 pub const REFILL_UNDERWAY: usize = 4 << 20;
 /// bytes a ms at which digests go out: a third of the keeper's line of 100 Mbit/s.
 pub const REFILL_BYTES_PER_MS: usize = 4_000;
 /// bytes of a holder's and a salt's names in a digest, about.
-pub const DIGEST_NAME_BYTES: usize = 64;
+pub const SNAPSHOT_NAME_BYTES: usize = 64;
 /// bytes of a part and its kept tokens in a digest, at the most.
-pub const DIGEST_PART_BYTES: usize = 14;
+pub const SNAPSHOT_PART_BYTES: usize = 14;
 /// holders whose gathered events a new keeper reads at the same time; each may send `EVENTS_BYTES`.
 pub const FIRST_READS: usize = 8;
 /// bytes; largest answer to a call for events that is read: some 30,000 events.
@@ -35,17 +35,17 @@
 /// ms; how long the first call for events is held, the least that is not priced as a probe.
 pub const EVENTS_FIRST_WAIT_MS: u64 = 200;
 /// s; a digest may take this long on a busy line before it is asked for again.
-pub const REFILL_LIMIT: Duration = Duration::from_secs(2);
+pub const REFILL_TIMEOUT: Duration = Duration::from_secs(2);
 /// ms; routers tell what their sends leave behind this often.
-pub const FOUND_PAUSE: Duration = Duration::from_millis(100);
+pub const FINDINGS_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// findings of own sends that wait to be told; more are only slower to come by.
-pub const FOUND_KEPT: usize = 512;
+pub const PENDING_FINDINGS_CAPACITY: usize = 512;
 /// s; a reader that has not come for so long loses its cursor.
-pub const READER_LIMIT: Duration = Duration::from_secs(10);
+pub const READER_TIMEOUT: Duration = Duration::from_secs(10);
 /// ms; routers fetch published entries this long after they hear of a new head.
-pub const RING_FETCH_PAUSE: Duration = Duration::from_millis(20);
+pub const RING_FETCH_DELAY: Duration = Duration::from_millis(20);
 /// ms; the index-keeper tells of a new head at most this often.
-pub const RING_TELL_PAUSE: Duration = Duration::from_millis(250);
+pub const RING_PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
 /// blocks of a prompt that are looked up; deeper ones are read without the index.
 pub const CHAIN_BLOCKS: usize = 64;
 /// entries of the prompt index in a router, of chains and of blocks each; about 6 MB when full.
@@ -53,8 +53,8 @@
 /// blocks of one holder that are remembered as kept in part.
 pub const TIER_ENTRIES: usize = 256;
 /// salts whose seeds are remembered; weights of a few versions for each isolation.
-pub const SALTS_KNOWN: usize = 4096;
+pub const SALTS_CAPACITY: usize = 4096;
 /// entries that one turn of the scrub looks at.
 pub const SCRUB_ENTRIES: usize = 2048;
 /// ms; pause between two turns of the scrub while there is work.
-pub const SCRUB_PAUSE: Duration = Duration::from_millis(50);
+pub const SCRUB_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/fleet-core/src/constants/link.rs
+++ b/crates/fleet-core/src/constants/link.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// ms; a connection inside the fleet either comes up in a few round trips or is behind a cut.
-pub const CONNECT_LIMIT: Duration = Duration::from_millis(400);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// ms; unacknowledged bytes older than this mean a cut or a dark machine.
 pub const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// s; first keep-alive probe of an idle connection, the least the kernel takes.
--- a/crates/fleet-core/src/constants/members.rs
+++ b/crates/fleet-core/src/constants/members.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 /// ms; a member silent for this long may be replaced by a joiner of its own zone.
-pub const MEMBER_SILENT_ZONE: Duration = Duration::from_millis(3000);
+pub const MEMBER_TIMEOUT_SAME_ZONE: Duration = Duration::from_millis(3000);
 /// ms; what is left of `catchUpS` for an exchange and for the newcomer's reading back: half a second until
 /// it is looked for, two pauses by rank, a round, and over a second for a large state.
-pub const EXCHANGE_TIME: Duration = Duration::from_millis(2500);
+pub const REPLACEMENT_TIME: Duration = Duration::from_millis(2500);
 /// ms; a member silent for this long may be replaced by any joiner.
-pub const MEMBER_SILENT: Duration = Duration::from_millis(7000);
+pub const MEMBER_TIMEOUT: Duration = Duration::from_millis(7000);
 /// ms; a joiner asks again this often.
-pub const JOIN_PAUSE: Duration = Duration::from_millis(400);
+pub const JOIN_INTERVAL: Duration = Duration::from_millis(400);
 /// s; a controller without a disk looks for a newer membership this often.
-pub const OBSERVE_PAUSE: Duration = Duration::from_secs(2);
+pub const OBSERVE_INTERVAL: Duration = Duration::from_secs(2);
 /// s; a member that is linked but hasn't voted for this long may be replaced: reading back some MiB over a
 /// slow line takes a third of it.
-pub const MEMBER_MUTE: Duration = Duration::from_secs(20);
+pub const NON_VOTING_TIMEOUT: Duration = Duration::from_secs(20);
 /// ms; a voter waits this long for each voter of a lower address before it moves the membership: a round
 /// and its notice take less.
-pub const MOVE_RANK_PAUSE: Duration = Duration::from_millis(400);
+pub const REPLACEMENT_RANK_DELAY: Duration = Duration::from_millis(400);
 /// s; who votes is asked this often while a joiner waits and nobody is silent.
-pub const MUTE_PAUSE: Duration = Duration::from_secs(2);
+pub const VOTE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/fleet-core/src/constants/process.rs
+++ b/crates/fleet-core/src/constants/process.rs
@@ -7,8 +7,8 @@
 /// ms; a process ends this long before its grace does.
 pub const GRACE_MARGIN: Duration = Duration::from_millis(400);
 /// s; the settings file is read again this often without a signal.
-pub const SETTINGS_REREAD: Duration = Duration::from_secs(5);
+pub const SETTINGS_REREAD_INTERVAL: Duration = Duration::from_secs(5);
 /// s; counters are written out this often.
-pub const COUNTERS_PAUSE: Duration = Duration::from_secs(20);
+pub const COUNTERS_INTERVAL: Duration = Duration::from_secs(20);
 /// bytes of stack of a thread; calls are shallow and memory is dear.
 pub const STACK_BYTES: usize = 512 << 10;
--- a/crates/fleet-core/src/constants/rollout.rs
+++ b/crates/fleet-core/src/constants/rollout.rs
@@ -3,40 +3,40 @@
 use std::time::Duration;
 
 /// ms; the roll-out looks at its engines this often.
-pub const ROLL_TICK: Duration = Duration::from_millis(100);
+pub const ROLLOUT_INTERVAL: Duration = Duration::from_millis(100);
 /// ms; routers have heard that an engine changes before it is ordered to.
-pub const ROLL_NOTICE: Duration = Duration::from_millis(120);
+pub const ROLLOUT_NOTICE: Duration = Duration::from_millis(120);
 /// engines' share of a service that turn to new weights together at first; learnt from there.
-pub const ROLL_START: f64 = 0.15;
+pub const ROLLOUT_INITIAL_SHARE: f64 = 0.15;
 /// engines' share of a service that turn together at the most, while the bound leaves the time.
-pub const ROLL_SHARE: f64 = 0.3;
+pub const ROLLOUT_MAX_SHARE: f64 = 0.3;
 /// engines' share of a service that turn together when the bound would else be missed.
-pub const ROLL_SHARE_LATE: f64 = 0.5;
+pub const ROLLOUT_MAX_SHARE_LATE: f64 = 0.5;
 /// share of the interactive engines that get no more long streams, or turn: the others take theirs.
-pub const FADE_SHARE: f64 = 0.34;
+pub const STREAM_DRAIN_SHARE: f64 = 0.34;
 /// ms; long streams get this long to end before their engine is ordered all the same.
-pub const FADE_LIMIT: Duration = Duration::from_millis(2500);
+pub const STREAM_DRAIN_TIMEOUT: Duration = Duration::from_millis(2500);
 /// ms; routers heed what the roll-out said of an engine this long; who said it may have died since.
-pub const MARK_LIMIT: Duration = Duration::from_millis(4000);
+pub const ROLLOUT_STATE_TIMEOUT: Duration = Duration::from_millis(4000);
 /// ms; a turn longer than this is shown to the operator as stuck.
-pub const TURN_SLOW: Duration = Duration::from_millis(4000);
+pub const UPDATE_SLOW: Duration = Duration::from_millis(4000);
 /// ms; what a turn is taken to last until some were seen.
-pub const TURN_FIRST: Duration = Duration::from_millis(1000);
+pub const UPDATE_INITIAL_ESTIMATE: Duration = Duration::from_millis(1000);
 /// times the fastest load: slower than this, and fewer engines load together.
-pub const LOAD_SLOW: f64 = 1.8;
+pub const SLOW_LOAD_FACTOR: f64 = 1.8;
 /// share of the width that is left when loads turn slow.
-pub const WIDTH_CUT: f64 = 0.7;
+pub const CONCURRENCY_DECREASE: f64 = 0.7;
 /// ms; the width is cut at most this often, since loads under way were begun under the old one.
-pub const WIDTH_CUT_PAUSE: Duration = Duration::from_millis(800);
+pub const CONCURRENCY_DECREASE_INTERVAL: Duration = Duration::from_millis(800);
 /// share of an engine's recent runs that somebody waits for, above which it counts as interactive.
 pub const INTERACTIVE_SHARE: f64 = 0.4;
 /// what is left of the memory of an engine's mix after a `LOAD_REPORT_INTERVAL`; two seconds of traffic.
 pub const MIX_DECAY: f32 = 0.95;
 /// ms; what it costs a long stream to go to an engine that is about to turn.
-pub const FADE_COST_MS: f64 = 400.0;
+pub const STREAM_DRAIN_COST_MS: f64 = 400.0;
 /// ms; what each run beyond an engine's slots costs: one of them has to end first.
 pub const SLOT_COST_MS: f64 = 120.0;
 /// ms; the roll-out means to end this long before routers stop offering to old weights.
-pub const ROLL_MARGIN: Duration = Duration::from_millis(500);
+pub const ROLLOUT_MARGIN: Duration = Duration::from_millis(500);
 /// ms; routers stop offering to old weights this long before the bound.
 pub const VERSION_MARGIN: Duration = Duration::from_millis(1500);
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// ms; routers tell the controllers that they live this often.
-pub const ROUTER_BEAT: Duration = Duration::from_millis(1000);
+pub const ROUTER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
 /// ms; a router silent for this long no longer counts.
-pub const ROUTER_SILENT: Duration = Duration::from_millis(4000);
+pub const ROUTER_TIMEOUT: Duration = Duration::from_millis(4000);
 /// share of a budget that is used; the rest covers windows that slide against each other.
 pub const BUDGET_SHARE: f64 = 0.8;
 /// routers; how many may join before the others hear of it.
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -12,7 +12,7 @@
         keep_what_never_falls(known, &before);
     } else {
         if update.call == known.call {
-            known.silent = update.silent;
+            known.heartbeat_missed = update.heartbeat_missed;
         }
         keep_what_never_falls(known, update);
     }
@@ -27,8 +27,8 @@
     for weights in &other.weights {
         raise(engine, &weights.model, weights.version);
     }
-    engine.turn = engine.turn.max(other.turn);
-    engine.fade = engine.fade.max(other.fade);
+    engine.update_seq = engine.update_seq.max(other.update_seq);
+    engine.drain_seq = engine.drain_seq.max(other.drain_seq);
     if other.state() == EngineState::Deregistered {
         engine.set_state(EngineState::Deregistered);
     }
@@ -57,16 +57,16 @@
 }
 
 /// Whether the engine is to be ordered soon, and is not yet at the named weights.
-pub fn is_fading(engine: &Engine, model: &str, named: Option<u64>) -> bool {
+pub fn is_draining_streams(engine: &Engine, model: &str, named: Option<u64>) -> bool {
     let is_behind = |version| named.is_some_and(|named| version < named);
-    engine.fade % 2 == 1 && version_of(engine, model).is_some_and(is_behind)
+    engine.drain_seq % 2 == 1 && version_of(engine, model).is_some_and(is_behind)
 }
 
 /// Whether the engine is under order, and not yet at the named weights: whoever ordered it may have
 /// died before telling the end.
-pub fn is_changing(engine: &Engine, model: &str, named: Option<u64>) -> bool {
+pub fn is_updating(engine: &Engine, model: &str, named: Option<u64>) -> bool {
     let is_behind = |version| named.is_none_or(|named| version < named);
-    engine.turn % 2 == 1 && version_of(engine, model).is_none_or(is_behind)
+    engine.update_seq % 2 == 1 && version_of(engine, model).is_none_or(is_behind)
 }
 
 #[cfg(test)]
--- a/crates/fleet-core/src/fleet_tests.rs
+++ b/crates/fleet-core/src/fleet_tests.rs
@@ -23,24 +23,24 @@
 fn weights_and_turns_only_rise() {
     let mut e = engine(1, EngineState::Ready);
     raise(&mut e, "m", 3);
-    e.turn = 4;
+    e.update_seq = 4;
     let mut old = engine(2, EngineState::Ready);
     raise(&mut old, "m", 2);
     assert!(!merge(&mut e, &old));
     assert_eq!(version_of(&e, "m"), Some(3));
-    assert_eq!(e.turn, 4);
-    assert!(!is_changing(&e, "m", Some(4)));
+    assert_eq!(e.update_seq, 4);
+    assert!(!is_updating(&e, "m", Some(4)));
 }
 
 #[test]
 fn an_engine_at_the_named_weights_is_no_longer_changing() {
     let mut e = engine(1, EngineState::Ready);
     raise(&mut e, "m", 2);
-    e.turn = 1;
-    assert!(is_changing(&e, "m", Some(3)));
+    e.update_seq = 1;
+    assert!(is_updating(&e, "m", Some(3)));
     let mut beat = engine(2, EngineState::Ready);
     raise(&mut beat, "m", 3);
     assert!(merge(&mut e, &beat));
-    assert_eq!(e.turn, 1, "nobody told the end of the turn");
-    assert!(!is_changing(&e, "m", Some(3)));
+    assert_eq!(e.update_seq, 1, "nobody told the end of the turn");
+    assert!(!is_updating(&e, "m", Some(3)));
 }
--- a/crates/fleet-core/src/link.rs
+++ b/crates/fleet-core/src/link.rs
@@ -116,7 +116,7 @@
     pub to: SocketAddr,
     own: Ipv4Addr,
     transport: Arc<dyn Transport>,
-    hello: crate::wire::Handshake,
+    handshake: crate::wire::Handshake,
     connected: parking_lot::Mutex<Option<Connected>>,
     calls: AtomicU64,
     rejected: AtomicU64,
@@ -126,7 +126,7 @@
 }
 
 /// How a node introduces itself on a new connection.
-fn hello(node: &crate::node::Node) -> crate::wire::Handshake {
+fn handshake(node: &crate::node::Node) -> crate::wire::Handshake {
     crate::wire::Handshake {
         name: node.name.clone(),
         ip: node.ip.to_string(),
@@ -165,7 +165,7 @@
             to,
             own: node.ip,
             transport,
-            hello: hello(node),
+            handshake: handshake(node),
             connected: parking_lot::Mutex::new(None),
             calls: AtomicU64::new(1),
             rejected: AtomicU64::new(0),
@@ -182,11 +182,11 @@
     async fn reconnect(weak: Weak<Link>, pushed: Option<tokio::sync::mpsc::Sender<Body>>) {
         loop {
             let Some(link) = weak.upgrade() else { return };
-            let (own, to, hello) = (link.own, link.to, link.hello.clone());
+            let (own, to, handshake) = (link.own, link.to, link.handshake.clone());
             let transport = link.transport.clone();
             drop(link);
-            if let Ok(stream) = transport.connect(own, to, constants::CONNECT_LIMIT).await {
-                Self::serve(&weak, stream, hello, pushed.as_ref()).await;
+            if let Ok(stream) = transport.connect(own, to, constants::CONNECT_TIMEOUT).await {
+                Self::serve(&weak, stream, handshake, pushed.as_ref()).await;
             }
             tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
         }
@@ -195,14 +195,14 @@
     async fn serve(
         weak: &Weak<Link>,
         stream: BoxedStream,
-        hello: crate::wire::Handshake,
+        handshake: crate::wire::Handshake,
         pushed: Option<&tokio::sync::mpsc::Sender<Body>>,
     ) {
         let (r, w) = stream.into_halves();
         let (tx, rx) = tokio::sync::mpsc::channel(constants::LINK_BACKLOG);
         let pending: PendingCalls = Arc::default();
         let writer = Writer::start(w, rx);
-        let first = Frame { call: 0, answer: false, body: Some(Body::Handshake(hello)) };
+        let first = Frame { call: 0, answer: false, body: Some(Body::Handshake(handshake)) };
         if tx.send(first).await.is_err() {
             return;
         }
@@ -318,7 +318,7 @@
 #[derive(Clone)]
 pub struct Peer {
     /// How it introduced itself.
-    pub hello: Arc<crate::wire::Handshake>,
+    pub handshake: Arc<crate::wire::Handshake>,
     tx: tokio::sync::mpsc::Sender<Frame>,
 }
 
@@ -343,9 +343,9 @@
 /// What the accepting end does with connections and messages.
 pub trait PeerHandler: Send + Sync + 'static {
     /// A peer has introduced itself.
-    fn joined(self: &Arc<Self>, peer: &Peer);
+    fn connected(self: &Arc<Self>, peer: &Peer);
     /// The connection of a peer has ended.
-    fn left(self: &Arc<Self>, peer: &Peer);
+    fn disconnected(self: &Arc<Self>, peer: &Peer);
     /// The answer to a message; none where it needs none.
     fn answer(
         self: &Arc<Self>,
@@ -373,11 +373,11 @@
     let (r, w) = stream.into_halves();
     let mut r = tokio::io::BufReader::with_capacity(4096, r);
     let first = tokio::time::timeout(constants::TCP_USER_TIMEOUT, read_frame(&mut r)).await;
-    let Ok(Ok(Frame { body: Some(Body::Handshake(hello)), .. })) = first else { return };
+    let Ok(Ok(Frame { body: Some(Body::Handshake(handshake)), .. })) = first else { return };
     let (tx, rx) = tokio::sync::mpsc::channel(constants::LINK_BACKLOG);
     let writer = Writer::start(w, rx);
-    let peer = Peer { hello: Arc::new(hello), tx };
-    serve_peers.joined(&peer);
+    let peer = Peer { handshake: Arc::new(handshake), tx };
+    serve_peers.connected(&peer);
     loop {
         let f = match read_frame(&mut r).await {
             Ok(f) => f,
@@ -409,7 +409,7 @@
         });
     }
     drop(writer);
-    serve_peers.left(&peer);
+    serve_peers.disconnected(&peer);
 }
 
 #[cfg(test)]
--- a/crates/fleet-core/src/link_backlog_tests.rs
+++ b/crates/fleet-core/src/link_backlog_tests.rs
@@ -9,13 +9,13 @@
 struct Shows(parking_lot::Mutex<Option<tokio::sync::oneshot::Sender<Peer>>>);
 
 impl PeerHandler for Shows {
-    fn joined(self: &Arc<Self>, peer: &Peer) {
+    fn connected(self: &Arc<Self>, peer: &Peer) {
         if let Some(shown) = self.0.lock().take() {
             let _ = shown.send(peer.clone());
         }
     }
 
-    fn left(self: &Arc<Self>, _: &Peer) {}
+    fn disconnected(self: &Arc<Self>, _: &Peer) {}
 
     async fn answer(self: &Arc<Self>, _: &Peer, _: Body) -> Option<Body> {
         None
@@ -38,10 +38,10 @@
     let host = Arc::new(Shows(parking_lot::Mutex::new(Some(shown))));
     let serving = tokio::spawn(serve_peer(Box::new(near), host));
     let (reader, mut writer) = tokio::io::split(far);
-    let mut hello = Vec::new();
+    let mut handshake = Vec::new();
     let first = Frame { call: 0, answer: false, body: Some(Body::Handshake(Handshake::default())) };
-    encode(&first, &mut hello);
-    writer.write_all(&hello).await.unwrap();
+    encode(&first, &mut handshake);
+    writer.write_all(&handshake).await.unwrap();
     let peer = peer.await.unwrap();
     assert_eq!(peer.backlog(), 0);
 
--- a/crates/fleet-core/src/link_tests.rs
+++ b/crates/fleet-core/src/link_tests.rs
@@ -39,7 +39,7 @@
 }
 
 fn fetched(known: bool) -> Body {
-    Body::RegisterResponse(RegisterResponse { known, register: None })
+    Body::RegisterResponse(RegisterResponse { is_known: known, register: None })
 }
 
 fn frame(call: u64, answer: bool, body: Option<Body>) -> Vec<u8> {
@@ -196,8 +196,8 @@
 }
 
 impl PeerHandler for Heard {
-    fn joined(self: &Arc<Self>, _peer: &Peer) {}
-    fn left(self: &Arc<Self>, _peer: &Peer) {}
+    fn connected(self: &Arc<Self>, _peer: &Peer) {}
+    fn disconnected(self: &Arc<Self>, _peer: &Peer) {}
     async fn answer(self: &Arc<Self>, _peer: &Peer, body: Body) -> Option<Body> {
         let large = matches!(body, Body::RegisterRequest(_));
         self.bodies.lock().push(body);
--- a/crates/fleet-core/src/program.rs
+++ b/crates/fleet-core/src/program.rs
@@ -177,7 +177,7 @@
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
                 _ = hangup.recv() => {}
-                () = tokio::time::sleep(constants::SETTINGS_REREAD) => {}
+                () = tokio::time::sleep(constants::SETTINGS_REREAD_INTERVAL) => {}
             }
             if let Some(settings) = rereader.reread() {
                 let _ = changed.send(settings).await;
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -55,12 +55,12 @@
     pub version: u64,
 }
 
-/// What the key `duty/NAME` holds.
+/// What the key `lease_name/NAME` holds.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseValue {
     /// Fencing token of the newest holder; rises by one with each raise and is never used again.
     #[prost(uint64, tag = "1")]
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Name of the node that raised it last.
     #[prost(string, tag = "2")]
     pub holder: String,
@@ -142,7 +142,7 @@
 pub struct RaiseFencingToken {
     /// Name of the duty.
     #[prost(string, tag = "1")]
-    pub duty: String,
+    pub lease_name: String,
     /// Name of the node that is about to hold it; it already has the lease.
     #[prost(string, tag = "2")]
     pub holder: String,
--- a/crates/fleet-core/src/wire/configurations.rs
+++ b/crates/fleet-core/src/wire/configurations.rs
@@ -32,7 +32,7 @@
 pub enum ConfigForm {
     /// all of it, packed
     #[prost(bytes = "bytes", tag = "4")]
-    Whole(bytes::Bytes),
+    Full(bytes::Bytes),
     /// a packed `ConfigDelta` against the body that the router told
     #[prost(bytes = "bytes", tag = "5")]
     Delta(bytes::Bytes),
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -41,15 +41,15 @@
     /// Weights that it has loaded, one entry a model.
     #[prost(message, repeated, tag = "8")]
     pub weights: Vec<Weights>,
-    /// No heartbeat for `SILENT_BEATS` periods, as the telling controller sees it.
+    /// No heartbeat for `MISSED_HEARTBEATS` periods, as the telling controller sees it.
     #[prost(bool, tag = "9")]
-    pub silent: bool,
+    pub heartbeat_missed: bool,
     /// Order of the roll-out: rises with each, odd while one runs. Routers then send no requests.
     #[prost(uint64, tag = "10")]
-    pub turn: u64,
+    pub update_seq: u64,
     /// Notice of an order to come: rises with each, odd while the engine gets no more long streams.
     #[prost(uint64, tag = "11")]
-    pub fade: u64,
+    pub drain_seq: u64,
 }
 
 /// Whether an engine takes requests.
@@ -72,7 +72,7 @@
     pub engines: Vec<Engine>,
     /// Asks for all engines that the receiver knows; the answer is empty otherwise.
     #[prost(bool, tag = "2")]
-    pub ask: bool,
+    pub request_all: bool,
 }
 
 /// Loads of engines, in parallel lists: from a router its own sends in flight, from a controller the
--- a/crates/fleet-core/src/wire/invalidations.rs
+++ b/crates/fleet-core/src/wire/invalidations.rs
@@ -8,7 +8,7 @@
 pub struct RingHead {
     /// The index-keeper's fencing token; a higher one is a later keeper.
     #[prost(uint64, tag = "1")]
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Random number of this ring; positions of two rings do not compare.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
@@ -17,7 +17,7 @@
     pub head: u64,
     /// The index-keeper's IP address, to which [`RingRequest`] goes.
     #[prost(string, tag = "4")]
-    pub keeper: String,
+    pub owner: String,
     /// Findings (parts that holders were found to keep) counted so far.
     #[prost(uint64, tag = "5")]
     pub found: u64,
@@ -28,7 +28,7 @@
 pub struct RingRequest {
     /// Fence of the ring that the cursor belongs to; 0 for none.
     #[prost(uint64, tag = "1")]
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Incarnation of the ring that the cursor belongs to; 0 for none.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
@@ -53,7 +53,7 @@
     #[prost(message, optional, tag = "1")]
     pub head: Option<RingHead>,
     /// The reader's whole view is void: it belongs to another ring, or was overrun. It starts again
-    /// from the snapshot in `digest`.
+    /// from the snapshot in `snapshot`.
     #[prost(bool, tag = "2")]
     pub reset: bool,
     /// Entries from the reader's cursor on, in order.
@@ -65,7 +65,7 @@
     /// On a reset, a snapshot of all that is kept; else what was found since. To be applied before the
     /// entries.
     #[prost(message, repeated, tag = "5")]
-    pub digest: Vec<CachedParts>,
+    pub snapshot: Vec<CachedParts>,
 }
 
 /// One invalidation.
@@ -110,7 +110,7 @@
     pub part: u64,
     /// Tokens of it that are left; 0 for none.
     #[prost(uint64, tag = "4")]
-    pub kept: u64,
+    pub cached_tokens: u64,
 }
 
 /// Parts that one holder keeps under one salt, in parallel lists. An empty salt only says that the
@@ -128,7 +128,7 @@
     pub parts: Vec<u64>,
     /// Tokens kept of each; 0 or missing where all of it is kept.
     #[prost(uint64, repeated, tag = "4")]
-    pub kept: Vec<u64>,
+    pub cached_tokens: Vec<u64>,
 }
 
 /// Shared parts that a router's own sends leave at holders. A hint: the keeper takes them in without
@@ -137,5 +137,5 @@
 pub struct CachedPrefixes {
     /// One entry for each holder and salt.
     #[prost(message, repeated, tag = "1")]
-    pub held: Vec<CachedParts>,
+    pub entries: Vec<CachedParts>,
 }
--- a/crates/fleet-core/src/wire/leases.rs
+++ b/crates/fleet-core/src/wire/leases.rs
@@ -8,7 +8,7 @@
 pub struct LeaseRequest {
     /// Name of the duty.
     #[prost(string, tag = "1")]
-    pub duty: String,
+    pub lease_name: String,
     /// Incarnation of the asking process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
@@ -17,7 +17,7 @@
     pub ms: u64,
     /// Gives the lease back.
     #[prost(bool, tag = "4")]
-    pub leave: bool,
+    pub release: bool,
     /// Name of the asking node. A new incarnation of the same node may stand in for the one before it
     /// at once.
     #[prost(string, tag = "5")]
--- a/crates/fleet-core/src/wire/registers.rs
+++ b/crates/fleet-core/src/wire/registers.rs
@@ -59,7 +59,7 @@
     pub recovery_epoch: u64,
     /// Accepted ballot of the proposer's own acceptor: values that are not newer may be left out.
     #[prost(message, required, tag = "5")]
-    pub known: Ballot,
+    pub own_accepted: Ballot,
 }
 
 /// Asks a voter whether the key's owner has gone silent, before any ballot is prepared.
@@ -181,7 +181,7 @@
 pub struct RegisterResponse {
     /// Whether there is an answer; not if a majority could not be reached.
     #[prost(bool, tag = "1")]
-    pub known: bool,
+    pub is_known: bool,
     /// The register, with its value.
     #[prost(message, optional, tag = "2")]
     pub register: Option<Register>,
--- a/crates/fleet-core/src/wire/views.rs
+++ b/crates/fleet-core/src/wire/views.rs
@@ -3,7 +3,7 @@
 use super::{Engine, Membership, RingHead};
 use prost::Message;
 
-/// A router tells each controller, once every `ROUTER_BEAT`, that it lives and what it has.
+/// A router tells each controller, once every `ROUTER_HEARTBEAT_INTERVAL`, that it lives and what it has.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouterHeartbeat {
     /// Version of the configuration in force at the router; 0 for none.
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -54,15 +54,16 @@
             holder: format!("i-{i:010x}"),
             salt: "daka510000|2|#1".into(),
             part: u64::MAX >> 16,
-            kept: 0,
+            cached_tokens: 0,
         })),
     };
     let ring = |n: usize| (0..n).map(|i| entry(i).encoded_len() + 2).sum::<usize>();
     assert!(slope("ring, an evicted part", ring) <= 48.0);
     let held = |n: usize| {
         let parts: Vec<u64> = (0..n as u64).map(|i| i << 20).collect();
-        let kept = vec![3780; n];
-        CachedParts { holder: "i-00".into(), salt: "m|2|#1".into(), parts, kept }.encoded_len()
+        let cached_tokens = vec![3780; n];
+        CachedParts { holder: "i-00".into(), salt: "m|2|#1".into(), parts, cached_tokens }
+            .encoded_len()
     };
     assert!(slope("finding at one holder, a part", held) <= 11.0);
 }
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -66,18 +66,23 @@
         slots: 9,
         state: EngineState::Draining as i32,
         weights: vec![Weights { model: "m".into(), version: 10 }],
-        silent: true,
-        turn: 11,
-        fade: 12,
+        heartbeat_missed: true,
+        update_seq: 11,
+        drain_seq: 12,
     }
 }
 
 fn ring_head() -> RingHead {
-    RingHead { fence: 1, incarnation: 2, head: 3, keeper: "10.0.0.2".into(), found: 4 }
+    RingHead { fencing_token: 1, incarnation: 2, head: 3, owner: "10.0.0.2".into(), found: 4 }
 }
 
 fn cached_parts() -> CachedParts {
-    CachedParts { holder: "e1".into(), salt: "salt".into(), parts: vec![5, 6], kept: vec![7, 0] }
+    CachedParts {
+        holder: "e1".into(),
+        salt: "salt".into(),
+        parts: vec![5, 6],
+        cached_tokens: vec![7, 0],
+    }
 }
 
 fn entry(what: Invalidation) -> RingEntry {
@@ -107,7 +112,7 @@
         membership: 1,
         ballot: ballot(2),
         recovery_epoch: 3,
-        known: ballot(4),
+        own_accepted: ballot(4),
     };
     let accept = Accept {
         key: "config".into(),
@@ -143,7 +148,7 @@
         ("10", Body::RegisterRequest(RegisterRequest { key: "config".into() })),
         (
             "11",
-            Body::RegisterResponse(RegisterResponse { known: true, register: Some(register()) }),
+            Body::RegisterResponse(RegisterResponse { is_known: true, register: Some(register()) }),
         ),
         ("12", Body::CommitNotice(CommitNotice { key: "config".into(), ballot: ballot(2) })),
         ("18", Body::JoinRequest(join)),
@@ -160,7 +165,7 @@
 fn change_bodies() -> Vec<(&'static str, Body)> {
     let replace = ReplaceConfig { base: 1, version: 2, packed: vec![3].into() };
     let raise = RaiseFencingToken {
-        duty: "roll-out".into(),
+        lease_name: "roll-out".into(),
         holder: "n1".into(),
         id: raise_id(),
         acts: true,
@@ -180,7 +185,7 @@
 
 /// Leases, engines, routers and what is pushed to these.
 fn fleet_bodies() -> Vec<(&'static str, Body)> {
-    let hello = Handshake {
+    let handshake = Handshake {
         name: "n1".into(),
         ip: "10.0.0.1".into(),
         zone: "z1".into(),
@@ -188,10 +193,10 @@
         incarnation: 3,
     };
     let lease = LeaseRequest {
-        duty: "roll-out".into(),
+        lease_name: "roll-out".into(),
         incarnation: 2,
         ms: 3,
-        leave: true,
+        release: true,
         node: "n1".into(),
         membership: 6,
         number: 7,
@@ -216,26 +221,35 @@
         Body::ConfigResponse(ConfigResponse { version: 1, isolation: 2, digest, form: Some(form) })
     };
     vec![
-        ("3", Body::Handshake(hello)),
+        ("3", Body::Handshake(handshake)),
         ("15", Body::LeaseRequest(lease)),
         ("16", Body::LeaseResponse(LeaseResponse { ok: true })),
-        ("17", Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine()], ask: true })),
+        (
+            "17",
+            Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine()], request_all: true }),
+        ),
         ("20", Body::RouterHeartbeat(RouterHeartbeat { version: 1, leaving: true })),
         ("21", Body::FleetUpdate(view)),
         ("24", Body::Empty(Empty {})),
         ("25", Body::Acknowledged(Empty {})),
         ("27", Body::LoadReport(loads)),
         ("32", Body::ConfigRequest(ConfigRequest { digest: vec![1].into() })),
-        ("33-whole", give(ConfigForm::Whole(vec![4].into()))),
+        ("33-whole", give(ConfigForm::Full(vec![4].into()))),
         ("33-delta", give(ConfigForm::Delta(vec![5].into()))),
     ]
 }
 
 /// The ring of invalidations and the prompt index.
 fn ring_bodies() -> Vec<(&'static str, Body)> {
-    let ask =
-        RingRequest { fence: 1, incarnation: 2, cursor: 3, reader: 4, refill: true, found: 6 };
-    let part = PartLocation { holder: "e1".into(), salt: "salt".into(), part: 3, kept: 4 };
+    let request_all = RingRequest {
+        fencing_token: 1,
+        incarnation: 2,
+        cursor: 3,
+        reader: 4,
+        refill: true,
+        found: 6,
+    };
+    let part = PartLocation { holder: "e1".into(), salt: "salt".into(), part: 3, cached_tokens: 4 };
     let entries = vec![
         entry(Invalidation::Part(part)),
         entry(Invalidation::Holder("e1".into())),
@@ -247,12 +261,12 @@
         reset: true,
         entries,
         cursor: 4,
-        digest: vec![cached_parts()],
+        snapshot: vec![cached_parts()],
     };
     vec![
-        ("22", Body::RingRequest(ask)),
+        ("22", Body::RingRequest(request_all)),
         ("23", Body::RingResponse(give)),
-        ("26", Body::CachedPrefixes(CachedPrefixes { held: vec![cached_parts()] })),
+        ("26", Body::CachedPrefixes(CachedPrefixes { entries: vec![cached_parts()] })),
     ]
 }
 
@@ -270,13 +284,17 @@
         digest: vec![5].into(),
         isolated: vec!["t".into()],
     };
-    let duty =
-        LeaseValue { fence: 1, holder: "n1".into(), acting: "n2".into(), raise: Some(raise_id()) };
+    let lease_name = LeaseValue {
+        fencing_token: 1,
+        holder: "n1".into(),
+        acting: "n2".into(),
+        raise: Some(raise_id()),
+    };
     let delta_op = DeltaOp { from: 1, length: 2, insert: vec![3] };
     vec![
         ("value-config", config.encode_to_vec()),
         ("value-weights", WeightsValue { version: 3 }.encode_to_vec()),
-        ("value-duty", duty.encode_to_vec()),
+        ("value-duty", lease_name.encode_to_vec()),
         ("value-membership", membership().encode_to_vec()),
         ("value-delta", ConfigDelta { ops: vec![delta_op] }.encode_to_vec()),
     ]
--- a/crates/fleetctl/src/ask.rs
+++ b/crates/fleetctl/src/ask.rs
@@ -1,6 +1,6 @@
 //! Reads what is in force and the fleet as seen; never writes.
 
-use control_plane::engines::outside::Line;
+use control_plane::engines::client::EngineClient;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -39,9 +39,11 @@
     /// Name of its service.
     pub service: String,
     /// `ready`, `draining` or `gone`.
-    pub standing: String,
+    #[serde(rename = "standing")]
+    pub state: String,
     /// Whether its heartbeats have stopped.
-    pub silent: bool,
+    #[serde(rename = "silent")]
+    pub heartbeat_missed: bool,
     /// Requests that it runs at a time.
     pub slots: u32,
 }
@@ -70,8 +72,8 @@
 async fn get(first: SocketAddr, path: &str, limit: Duration) -> Result<Response, String> {
     let mut to = first;
     for _ in 0..=REDIRECTS {
-        let mut line = Line::new(Ipv4Addr::UNSPECIFIED, to);
-        let answer = line
+        let mut client = EngineClient::new(Ipv4Addr::UNSPECIFIED, to);
+        let answer = client
             .call(http::Method::GET, path, &[("Connection", "close")], Vec::new(), limit)
             .await
             .map_err(|e| format!("{to}: {e}"))?;
--- a/crates/fleetctl/src/findings.rs
+++ b/crates/fleetctl/src/findings.rs
@@ -102,7 +102,7 @@
 /// Ready engines of a service, as far as they are heard.
 fn ready_engines(now: &AsItIs, service: &str) -> usize {
     let engines = now.fleet.engines.iter().filter(|engine| engine.service == service);
-    engines.filter(|engine| engine.standing == "ready" && !engine.silent).count()
+    engines.filter(|engine| engine.state == "ready" && !engine.heartbeat_missed).count()
 }
 
 /// Whether a route can be answered: some service with weight has a ready engine.
@@ -130,7 +130,7 @@
     for (i, service) in new.services.iter().enumerate() {
         let Some(facts) = &service.engine else { continue };
         let engines = now.fleet.engines.iter().filter(|engine| engine.service == service.name);
-        let live = engines.filter(|engine| engine.standing != "gone");
+        let live = engines.filter(|engine| engine.state != "gone");
         let differing = live.filter(|engine| engine.slots != facts.slots).count();
         if differing > 0 {
             let text = format!("{differing} engines report other slots than {}", facts.slots);
--- a/crates/fleetctl/src/findings_tests.rs
+++ b/crates/fleetctl/src/findings_tests.rs
@@ -14,10 +14,10 @@
 }
 
 fn now() -> AsItIs {
-    let e = |standing: &str| SeenEngine {
+    let e = |state: &str| SeenEngine {
         service: "s".into(),
-        standing: standing.into(),
-        silent: false,
+        state: state.into(),
+        heartbeat_missed: false,
         slots: 8,
     };
     AsItIs {
--- a/crates/fleetctl/src/members.rs
+++ b/crates/fleetctl/src/members.rs
@@ -2,12 +2,12 @@
 
 mod verdict;
 
-pub use control_plane::service::members::MembersView;
+pub use control_plane::service::membership::MembersView;
 pub use verdict::Verdict;
 
 use crate::ask::{AskError, NodeAnswer, answers};
 use crate::report;
-use control_plane::service::members::{DutyView, VoterView};
+use control_plane::service::membership::{LeaseView, VoterView};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -88,11 +88,11 @@
         ];
         lines.extend(view.voters.iter().map(|voter| self.voter_line(voter)));
         lines.extend(self.nodes.iter().filter_map(|node| self.learner_line(node)));
-        let key = |key: &control_plane::service::members::KeyView| {
+        let key = |key: &control_plane::service::membership::KeyView| {
             format!("key {}: owner {}, epoch {}", key.key, key.owner, key.epoch)
         };
         lines.extend(view.keys.iter().map(key));
-        lines.extend(view.duties.iter().map(|duty| self.duty_line(duty)));
+        lines.extend(view.leases.iter().map(|lease| self.lease_line(lease)));
         let errors = self.nodes.iter().filter_map(|node| node.error.as_ref());
         lines.extend(errors.map(|error| format!("no view of {error}")));
         lines.into_iter().map(|line| line + "\n").collect()
@@ -116,20 +116,20 @@
         (!is_voter).then(|| format!("learner {}: {}", view.ip, own(view)))
     }
 
-    fn duty_line(&self, duty: &DutyView) -> String {
-        let (name, holder, fence) = (&duty.duty, &duty.holder, duty.fence);
+    fn lease_line(&self, lease: &LeaseView) -> String {
+        let (name, holder, fencing_token) = (&lease.name, &lease.holder, lease.fencing_token);
         let told = self.nodes.iter().filter_map(|node| node.view.as_ref());
-        let seen = told.flat_map(|view| &view.duties).filter(|seen| seen.duty == *name);
+        let seen = told.flat_map(|view| &view.leases).filter(|seen| seen.name == *name);
         let grants: Vec<u64> = seen
             .filter_map(|seen| seen.granted.as_ref())
             .filter(|grant| grant.node == *holder)
-            .map(|grant| grant.left_ms)
+            .map(|grant| grant.remaining_ms)
             .collect();
         let left = match grants.iter().max() {
             Some(left) => format!("granted by {} for up to {left} ms more", grants.len()),
             None => "no lease is known to run".to_owned(),
         };
-        format!("duty {name}: holder {holder}, fencing token {fence}, {left}")
+        format!("duty {name}: holder {holder}, fencing token {fencing_token}, {left}")
     }
 }
 
@@ -155,15 +155,15 @@
 
 /// What a controller says of itself.
 fn own(view: &MembersView) -> String {
-    use control_plane::service::members::DiskState;
+    use control_plane::service::membership::DiskState;
     let contact = if view.in_contact { "in contact" } else { "out of contact" };
     let disk = match view.disk {
         DiskState::Works => "",
         DiskState::Refused => ", disk refused",
         DiskState::Absent => ", no disk",
     };
-    let leaving = if view.leaving { ", leaving" } else { "" };
-    format!("{contact}{disk}{leaving}")
+    let shutting_down = if view.shutting_down { ", leaving" } else { "" };
+    format!("{contact}{disk}{shutting_down}")
 }
 
 async fn ask_each(nodes: &[SocketAddr], limit: Duration) -> Vec<NodeView> {
--- a/crates/fleetctl/src/members/verdict_tests.rs
+++ b/crates/fleetctl/src/members/verdict_tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `verdict`.
 
 use super::*;
-use control_plane::service::members::VoterView;
+use control_plane::service::membership::VoterView;
 
 /// Voters of membership epoch 4, of which so many vote.
 fn view(voters: usize, voting: usize, tolerated_losses: usize) -> MembersView {
--- a/crates/fleetctl/src/rollout.rs
+++ b/crates/fleetctl/src/rollout.rs
@@ -2,7 +2,7 @@
 
 use crate::ask::{AskError, answers};
 use crate::report;
-pub use control_plane::duties::rollout::look::State;
+pub use control_plane::rollout::status::State;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -12,7 +12,8 @@
     /// Told by the node that carries it out.
     pub holds: bool,
     /// Engines that may change at once.
-    pub width: usize,
+    #[serde(rename = "width")]
+    pub concurrency: usize,
     /// All models with named weights.
     pub models: Vec<Model>,
 }
@@ -28,7 +29,8 @@
     /// Time since it was named, in ms.
     pub age_ms: u64,
     /// Time left until all requests have to begin on it, in ms; 0 once that has passed.
-    pub left_ms: u64,
+    #[serde(rename = "leftMs")]
+    pub remaining_ms: u64,
     /// Engines of the model.
     pub engines: Vec<Engine>,
 }
@@ -61,10 +63,10 @@
             self.revision,
             self.count(State::Ready),
             self.engines.len(),
-            self.count(State::Turning),
-            self.count(State::Fading),
+            self.count(State::Updating),
+            self.count(State::DrainingStreams),
             self.count(State::Waiting),
-            self.count(State::Silent)
+            self.count(State::HeartbeatMissed)
         )
     }
 
@@ -76,7 +78,7 @@
     /// Something is stuck, or the bound has passed.
     fn is_wrong(&self) -> bool {
         !self.is_done()
-            && (self.left_ms == 0 || self.engines.iter().any(|engine| engine.stuck.is_some()))
+            && (self.remaining_ms == 0 || self.engines.iter().any(|engine| engine.stuck.is_some()))
     }
 }
 
@@ -103,13 +105,14 @@
         let mut text = model.counts();
         if !model.is_done() {
             let progress = if self.holds {
-                format!("up to {} turn at once", self.width)
+                format!("up to {} turn at once", self.concurrency)
             } else {
                 "the node that carries it out did not answer".to_owned()
             };
-            let (age_ms, left_ms) = (model.age_ms, model.left_ms);
-            text +=
-                &format!("  named {age_ms} ms ago, {left_ms} ms left of the bound; {progress}\n");
+            let (age_ms, remaining_ms) = (model.age_ms, model.remaining_ms);
+            text += &format!(
+                "  named {age_ms} ms ago, {remaining_ms} ms left of the bound; {progress}\n"
+            );
         }
         for engine in &model.engines {
             if let Some(why) = &engine.stuck {
--- a/crates/invalidation/src/cache.rs
+++ b/crates/invalidation/src/cache.rs
@@ -8,10 +8,10 @@
 pub trait Cache {
     /// Hears of a holder that answers, with or without anything kept.
     fn meet(&mut self, holder: &str);
-    /// Learns that a holder keeps `kept` tokens of a part, or all of it where none are told.
-    fn found(&mut self, holder: &str, salt: &str, part: u64, kept: Option<u64>);
-    /// Learns that a holder keeps no more than `kept` tokens of a part.
-    fn evict(&mut self, holder: &str, salt: &str, part: u64, kept: u64);
+    /// Learns that a holder keeps `cached_tokens` tokens of a part, or all of it where none are told.
+    fn found(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>);
+    /// Learns that a holder keeps no more than `cached_tokens` tokens of a part.
+    fn evict(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64);
     /// Forgets all that a holder keeps.
     fn drop_holder(&mut self, holder: &str);
     /// Forgets all that is kept under the salts that are void.
@@ -40,8 +40,8 @@
         return false;
     }
     match &entry.what {
-        Some(Invalidation::Part(PartLocation { holder, salt, part, kept })) => {
-            cache.evict(holder, salt, *part, *kept);
+        Some(Invalidation::Part(PartLocation { holder, salt, part, cached_tokens })) => {
+            cache.evict(holder, salt, *part, *cached_tokens);
         }
         Some(Invalidation::Holder(holder)) => cache.drop_holder(holder),
         Some(Invalidation::Weights(weights)) => cache.drop_salts(&|salt| is_older(salt, weights)),
@@ -56,14 +56,18 @@
 
 /// Takes in what holders were found to keep.
 pub fn refill(cache: &mut impl Cache, snapshot: &[CachedParts]) {
-    for held in snapshot {
-        cache.meet(&held.holder);
-        if held.salt.is_empty() {
+    for parts_of_holder in snapshot {
+        cache.meet(&parts_of_holder.holder);
+        if parts_of_holder.salt.is_empty() {
             continue;
         }
-        for (index, part) in held.parts.iter().enumerate() {
-            let kept = held.kept.get(index).copied().filter(|kept| *kept > 0);
-            cache.found(&held.holder, &held.salt, *part, kept);
+        for (index, part) in parts_of_holder.parts.iter().enumerate() {
+            let cached_tokens = parts_of_holder
+                .cached_tokens
+                .get(index)
+                .copied()
+                .filter(|cached_tokens| *cached_tokens > 0);
+            cache.found(&parts_of_holder.holder, &parts_of_holder.salt, *part, cached_tokens);
         }
     }
 }
--- a/crates/invalidation/src/view_tests.rs
+++ b/crates/invalidation/src/view_tests.rs
@@ -22,7 +22,7 @@
             holder: "e1".into(),
             salt: a.clone(),
             part: 1,
-            kept: 0,
+            cached_tokens: 0,
         })),
         |_| true,
     );
--- a/crates/prompt-index/src/index.rs
+++ b/crates/prompt-index/src/index.rs
@@ -114,7 +114,7 @@
         }
         let seed = chain::seed(salt);
         let mut seeds = write(&self.seeds);
-        if seeds.len() >= constants::SALTS_KNOWN {
+        if seeds.len() >= constants::SALTS_CAPACITY {
             seeds.clear();
         }
         seeds.insert(salt.to_owned(), seed);
--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -1,6 +1,6 @@
 //! Judges a history by the invariants of the control plane.
 
-use crate::constants::PROGRESS_LIMIT;
+use crate::constants::PROGRESS_TIMEOUT;
 use crate::history::{History, Holder, Read, Reply, Version, Write};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -102,7 +102,7 @@
     }
 
     /// Whether it was in force before the other was even sent, and the other doesn't build on it.
-    fn was_forgotten_by(&self, other: &Change) -> bool {
+    fn was_superseded_by(&self, other: &Change) -> bool {
         self.in_force_by().is_some_and(|by| by < other.first_invoked)
     }
 
@@ -162,8 +162,8 @@
     }
 }
 
-fn earliest(known: Option<u64>, other: u64) -> Option<u64> {
-    Some(known.map_or(other, |at| at.min(other)))
+fn earliest(current: Option<u64>, other: u64) -> Option<u64> {
+    Some(current.map_or(other, |at| at.min(other)))
 }
 
 /// Versions rise, so each committed change spans base to version, and no two spans overlap. Of two
@@ -183,7 +183,7 @@
                 "{:?} on base {} and {:?} on base {} are both in force",
                 before.version, before.base, after.version, after.base
             );
-            let lost = before.was_forgotten_by(after) || after.was_forgotten_by(before);
+            let lost = before.was_superseded_by(after) || after.was_superseded_by(before);
             found.add(if lost { Invariant::CommitNotice } else { Invariant::Chain }, why);
         }
     }
@@ -276,19 +276,19 @@
 /// At one moment a duty has one holder; a fence has one holder ever, and later ones are higher.
 fn check_holders(history: &History, found: &mut Findings) {
     let mut at_moment: BTreeMap<(&str, u64), &Holder> = BTreeMap::new();
-    let mut of_fence: BTreeMap<(&str, u64), &Holder> = BTreeMap::new();
+    let mut of_token: BTreeMap<(&str, u64), &Holder> = BTreeMap::new();
     let mut newest: BTreeMap<&str, &Holder> = BTreeMap::new();
     for holder in &history.holders {
-        let together = at_moment.insert((holder.duty, holder.at), holder);
+        let together = at_moment.insert((holder.lease_name, holder.at), holder);
         if let Some(other) = together {
             found.add(Invariant::Holder, format!("two at once: {other:?} {holder:?}"));
         }
-        let same = of_fence.entry((holder.duty, holder.fence)).or_insert(holder);
+        let same = of_token.entry((holder.lease_name, holder.fencing_token)).or_insert(holder);
         if (same.machine, same.start) != (holder.machine, holder.start) {
             found.add(Invariant::Holder, format!("one fence for two: {same:?} {holder:?}"));
         }
-        let last = newest.entry(holder.duty).or_insert(holder);
-        if last.fence > holder.fence {
+        let last = newest.entry(holder.lease_name).or_insert(holder);
+        if last.fencing_token > holder.fencing_token {
             found.add(Invariant::Holder, format!("a fence fell: {last:?} {holder:?}"));
         }
         *last = holder;
@@ -298,11 +298,11 @@
 /// An epoch has one membership, and the next one differs by one member in and one out.
 fn check_memberships(history: &History, found: &mut Findings) {
     let mut of_epoch: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
-    for seen in &history.memberships {
-        let members: BTreeSet<&str> = seen.members.iter().map(String::as_str).collect();
-        let first = of_epoch.entry(seen.epoch).or_insert_with(|| members.clone());
+    for observation in &history.memberships {
+        let members: BTreeSet<&str> = observation.members.iter().map(String::as_str).collect();
+        let first = of_epoch.entry(observation.epoch).or_insert_with(|| members.clone());
         if *first != members {
-            found.add(Invariant::Members, format!("two memberships of one epoch: {seen:?}"));
+            found.add(Invariant::Members, format!("two memberships of one epoch: {observation:?}"));
         }
     }
     for ((epoch, before), (next, after)) in of_epoch.iter().zip(of_epoch.iter().skip(1)) {
@@ -318,7 +318,7 @@
 fn check_caught_up(history: &History, changes: &Changes, found: &mut Findings) {
     let newest = changes.newest_at(history.calm_from).map_or(0, |c| c.version.number);
     for member in &history.caught_up {
-        if !member.votes || member.held < newest {
+        if !member.votes || member.version < newest {
             let why = format!("version {newest} was in force before the calm: {member:?}");
             found.add(Invariant::CatchUp, why);
         }
@@ -327,10 +327,10 @@
 
 /// An acknowledged drain outlives the faults at every controller.
 fn check_drains(history: &History, found: &mut Findings) {
-    for seen in history.drains.iter().filter(|seen| seen.ready) {
+    for observation in history.drains.iter().filter(|observation| observation.ready) {
         found.add(
             Invariant::CommitNotice,
-            format!("a drain was acknowledged and is lost: {seen:?}"),
+            format!("a drain was acknowledged and is lost: {observation:?}"),
         );
     }
 }
@@ -338,7 +338,7 @@
 /// An answer belongs to its call, and no call is handled twice.
 fn check_calls(history: &History, found: &mut Findings) {
     for call in &history.calls {
-        let astray = call.answered.as_ref().is_some_and(|answer| *answer != call.asked);
+        let astray = call.answered.as_ref().is_some_and(|answer| *answer != call.question);
         let unheard = call.answered.is_some() && call.handled == 0;
         if astray || unheard || call.handled > 1 {
             found.add(Invariant::Calls, format!("{call:?}"));
@@ -356,7 +356,7 @@
 
 /// After the last fault a change is acknowledged within the limit.
 fn check_progress(history: &History, found: &mut Findings) {
-    let limit = history.calm_from + PROGRESS_LIMIT.as_micros() as u64;
+    let limit = history.calm_from + PROGRESS_TIMEOUT.as_micros() as u64;
     let acknowledged = |write: &Write| {
         write.reply == Reply::Acknowledged
             && write.invoked >= history.calm_from
--- a/crates/simulation/src/checker_tests.rs
+++ b/crates/simulation/src/checker_tests.rs
@@ -1,7 +1,7 @@
 //! Each rule of the checker, on histories written by hand.
 
 use super::*;
-use crate::history::{CaughtUp, DrainSeen, LinkCall, MembershipSeen};
+use crate::history::{CaughtUp, DrainObservation, LinkCall, MembershipObservation};
 
 fn version(number: u64) -> Version {
     Version { number, digest: number }
@@ -152,8 +152,8 @@
     assert_eq!(broken(&history), []);
 }
 
-fn holder(machine: usize, fence: u64, at: u64) -> Holder {
-    Holder { duty: "roll-out", machine, start: 0, fence, at }
+fn holder(machine: usize, fencing_token: u64, at: u64) -> Holder {
+    Holder { lease_name: "roll-out", machine, start: 0, fencing_token, at }
 }
 
 #[test]
@@ -165,9 +165,9 @@
     assert_eq!(judged(vec![holder(0, 2, 10), holder(1, 1, 20)]), [Invariant::Holder]);
 }
 
-fn membership(epoch: u64, members: &[&str]) -> MembershipSeen {
+fn membership(epoch: u64, members: &[&str]) -> MembershipObservation {
     let members = members.iter().map(|ip| (*ip).to_owned()).collect();
-    MembershipSeen { machine: 0, epoch, members, at: 0 }
+    MembershipObservation { machine: 0, epoch, members, at: 0 }
 }
 
 #[test]
@@ -186,9 +186,9 @@
 fn members_that_were_away_catch_up() {
     let mut history = acknowledged(&[(0, 1)]);
     history.calm_from = 500;
-    history.caught_up = vec![CaughtUp { machine: Some(2), votes: true, held: 1 }];
+    history.caught_up = vec![CaughtUp { machine: Some(2), votes: true, version: 1 }];
     assert_eq!(broken(&history), []);
-    history.caught_up = vec![CaughtUp { machine: Some(2), votes: true, held: 0 }];
+    history.caught_up = vec![CaughtUp { machine: Some(2), votes: true, version: 0 }];
     assert_eq!(broken(&history), [Invariant::CatchUp]);
 }
 
@@ -196,8 +196,9 @@
 fn an_acknowledged_drain_stays() {
     let judged = |ready| {
         let engine = "engine".to_owned();
-        let seen = DrainSeen { engine, acknowledged_by: 0, acknowledged: 10, machine: 1, ready };
-        broken(&History { drains: vec![seen], ..History::default() })
+        let observation =
+            DrainObservation { engine, acknowledged_by: 0, acknowledged: 10, machine: 1, ready };
+        broken(&History { drains: vec![observation], ..History::default() })
     };
     assert_eq!(judged(false), []);
     assert_eq!(judged(true), [Invariant::CommitNotice]);
@@ -207,7 +208,7 @@
 fn calls_have_their_own_answer_and_are_handled_once() {
     let call = |answered: Option<&str>, handled| {
         let answered = answered.map(str::to_owned);
-        let call = LinkCall { asked: "x".to_owned(), answered, handled };
+        let call = LinkCall { question: "x".to_owned(), answered, handled };
         broken(&History { calls: vec![call], ..History::default() })
     };
     assert_eq!(call(Some("x"), 1), []);
--- a/crates/simulation/src/constants.rs
+++ b/crates/simulation/src/constants.rs
@@ -13,7 +13,7 @@
 /// connections; what a listener holds before it accepts them.
 pub const BACKLOG: usize = 256;
 /// ms; bytes held up by a cut for so long end their connection, as the kernel's user timeout does.
-pub const CUT_ENDS_STREAM: Duration = fleet_core::constants::TCP_USER_TIMEOUT;
+pub const BLOCKED_STREAM_TIMEOUT: Duration = fleet_core::constants::TCP_USER_TIMEOUT;
 /// us; least time of a synced write.
 pub const SYNC_LEAST_US: u64 = 300;
 /// us; what a synced write may take beyond that.
@@ -21,28 +21,28 @@
 /// ms; what each synced write of a slow disk takes besides.
 pub const SLOW_SYNC: Duration = Duration::from_millis(150);
 /// s; the silence after which a caller of `control` tries another node.
-pub const CALLER_SILENCE: Duration = Duration::from_secs(1);
+pub const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
 /// ms; an operator's first pause before it sends an order again; grows.
-pub const RESEND_PAUSE_MS: u64 = 60;
+pub const RESEND_BACKOFF_MS: u64 = 60;
 /// ms; an operator's longest pause before it sends an order again.
-pub const RESEND_PAUSE_MOST_MS: u64 = 1000;
+pub const RESEND_BACKOFF_MAX_MS: u64 = 1000;
 /// sendings; an operator gives an order up after so many without a clear answer.
 pub const SENDINGS_MOST: usize = 12;
 /// ms; the pause between two orders of one operator.
-pub const ORDER_PAUSE_MS: u64 = 250;
+pub const ORDER_INTERVAL_MS: u64 = 250;
 /// ms; the pause between two reads of one reader.
-pub const READ_PAUSE_MS: u64 = 120;
+pub const READ_INTERVAL_MS: u64 = 120;
 /// ms; how often duties and memberships are looked at.
-pub const SAMPLE_PAUSE: Duration = Duration::from_millis(20);
+pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 /// s; the machines found their membership, and grow it to five, in this time before the first fault.
 pub const WARM_UP: Duration = Duration::from_secs(8);
 /// s; faults begin within this time after the warm-up.
 pub const FAULTS_SPAN: Duration = Duration::from_secs(25);
 /// s; a change is acknowledged within this time after the last fault: an election, a recovery and
 /// a link that comes up again, several times over.
-pub const PROGRESS_LIMIT: Duration = Duration::from_secs(12);
+pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(12);
 /// s; the longest that one fault lasts.
-pub const FAULT_LONGEST: Duration = Duration::from_secs(12);
+pub const FAULT_MAX_DURATION: Duration = Duration::from_secs(12);
 /// port; where controllers hear each other.
 pub const PEER_PORT: u16 = 7100;
 /// port; where callers of `control` would reach a controller.
@@ -59,9 +59,9 @@
 /// ms; the longest time until an engine begins to drain.
 pub const DRAIN_WITHIN_MS: u64 = 30_000;
 /// s; a reader tries so long for the last read at one node.
-pub const LAST_READ_LIMIT: Duration = Duration::from_secs(10);
+pub const LAST_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// s; an operator's last order may be under way for so long when the run ends.
-pub const LAST_ORDER_LIMIT: Duration = Duration::from_secs(3);
+pub const LAST_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
 /// of 100; orders that must be refused as invalid.
 pub const INVALID_IN_100: u64 = 8;
 /// of 100; acknowledged orders that are sent again later.
@@ -75,11 +75,11 @@
 /// port; where the test service of the link's own calls listens.
 pub const ECHO_PORT: u16 = 7300;
 /// ms; the link's own calls are given up after this.
-pub const ECHO_LIMIT: Duration = Duration::from_millis(300);
+pub const ECHO_TIMEOUT: Duration = Duration::from_millis(300);
 /// ms; the test service takes up to this long for an answer, so that some come too late.
 pub const ECHO_LONGEST_MS: u64 = 400;
 /// ms; the pause between two of the link's own calls.
-pub const ECHO_PAUSE_MS: u64 = 40;
+pub const ECHO_INTERVAL_MS: u64 = 40;
 /// ms; a router changes the controller that it is linked with after at most this long.
 pub const ROUTER_STAYS_MS: u64 = 6000;
 /// s; a leaving process ends after this at the latest, as the platform's grace.
@@ -89,4 +89,4 @@
 /// ms; the lease as the defect of a long lease has it at one node.
 pub const LONG_LEASE_MS: u64 = 30_000;
 /// reads; an operator asks so often which version is current before it goes on.
-pub const LOOK_UPS_MOST: usize = 6;
+pub const RESOLVES_MOST: usize = 6;
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,8 +1,8 @@
 //! A simulated disk: records are kept in the order of their queue, late, or not at all.
 
 use crate::constants;
-use control_plane::disk::DiskError;
-use control_plane::disk::format::{Record, State};
+use control_plane::storage::DiskError;
+use control_plane::storage::format::{Record, State};
 use parking_lot::Mutex;
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 
 /// What a machine's disk holds, over all starts of its process.
 #[derive(Clone)]
-pub struct Platter {
+pub struct SimulatedDisk {
     image: Arc<Mutex<State>>,
     condition: watch::Sender<Condition>,
     rng: Arc<Mutex<fastrand::Rng>>,
@@ -42,10 +42,10 @@
     done: oneshot::Sender<Result<(), DiskError>>,
 }
 
-impl Platter {
+impl SimulatedDisk {
     /// An empty disk.
-    pub fn new(seed: u64, lies: bool) -> Platter {
-        Platter {
+    pub fn new(seed: u64, lies: bool) -> SimulatedDisk {
+        SimulatedDisk {
             image: Arc::default(),
             condition: watch::channel(Condition::default()).0,
             rng: Arc::new(Mutex::new(fastrand::Rng::with_seed(seed))),
@@ -88,13 +88,13 @@
         if self.condition.borrow().slow { usual + constants::SLOW_SYNC } else { usual }
     }
 
-    async fn keep(&self, record: &Record) -> Result<(), DiskError> {
+    async fn append(&self, record: &Record) -> Result<(), DiskError> {
         tokio::time::sleep(self.sync_time()).await;
         let mut condition = self.condition.subscribe();
         let _ = condition.wait_for(|now| !now.hung).await;
         if self.condition.borrow().full {
             let kind = std::io::ErrorKind::StorageFull;
-            return Err(DiskError::Refused { what: "write log", kind });
+            return Err(DiskError::Io { what: "write log", kind });
         }
         if !self.lies || self.rng.lock().bool() {
             self.image.lock().apply(record);
@@ -104,7 +104,7 @@
 }
 
 async fn write_until(
-    platter: Platter,
+    disk: SimulatedDisk,
     jobs: mpsc::UnboundedReceiver<Job>,
     refused: watch::Sender<bool>,
     mut is_ended: watch::Receiver<bool>,
@@ -112,13 +112,13 @@
     tokio::select! {
         biased;
         _ = is_ended.wait_for(|ended| *ended) => {}
-        () = write_all(platter, jobs, refused) => {}
+        () = write_all(disk, jobs, refused) => {}
     }
 }
 
 /// As the real writer: after a refusal nothing more is taken until the disk takes all of it.
 async fn write_all(
-    platter: Platter,
+    disk: SimulatedDisk,
     mut jobs: mpsc::UnboundedReceiver<Job>,
     refused: watch::Sender<bool>,
 ) {
@@ -127,7 +127,7 @@
         owed.push(job.record);
         let mut result = Ok(());
         while let Some(record) = owed.first() {
-            result = platter.keep(record).await;
+            result = disk.append(record).await;
             if result.is_err() {
                 break;
             }
@@ -140,15 +140,15 @@
 
 impl Queue {
     /// Queues a record; its answer comes once it is on the disk.
-    pub fn keep(
+    pub fn append(
         &self,
         record: Record,
     ) -> impl Future<Output = Result<(), DiskError>> + Send + use<> {
-        let (done, kept) = oneshot::channel();
+        let (done, appended) = oneshot::channel();
         let sent = self.jobs.send(Job { record, done }).map_err(|_| DiskError::Ended);
         async move {
             sent?;
-            kept.await.map_err(|_| DiskError::Ended)?
+            appended.await.map_err(|_| DiskError::Ended)?
         }
     }
 
--- a/crates/simulation/src/disk_tests.rs
+++ b/crates/simulation/src/disk_tests.rs
@@ -8,61 +8,61 @@
     Record { registers: vec![register], voting: true, ..Record::default() }
 }
 
-fn keys(platter: &Platter) -> Vec<String> {
-    platter.state().registers.into_iter().map(|register| register.key).collect()
+fn keys(disk: &SimulatedDisk) -> Vec<String> {
+    disk.state().registers.into_iter().map(|register| register.key).collect()
 }
 
 #[tokio::test(start_paused = true)]
 async fn records_are_kept_in_order() {
-    let platter = Platter::new(1, false);
-    let queue = platter.open();
-    let (first, second) = (queue.keep(record("a")), queue.keep(record("b")));
+    let disk = SimulatedDisk::new(1, false);
+    let queue = disk.open();
+    let (first, second) = (queue.append(record("a")), queue.append(record("b")));
     assert_eq!((first.await, second.await), (Ok(()), Ok(())));
-    assert_eq!(keys(&platter), ["a", "b"]);
+    assert_eq!(keys(&disk), ["a", "b"]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_dead_process_writes_nothing_more() {
-    let platter = Platter::new(1, false);
-    let queue = platter.open();
-    let kept = queue.keep(record("a"));
+    let disk = SimulatedDisk::new(1, false);
+    let queue = disk.open();
+    let appended = queue.append(record("a"));
     queue.end();
-    assert!(kept.await.is_err());
-    assert!(platter.is_empty());
+    assert!(appended.await.is_err());
+    assert!(disk.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_full_disk_refuses_and_then_keeps_all() {
-    let platter = Platter::new(1, false);
-    let queue = platter.open();
-    platter.behave(|now| now.full = true);
-    assert!(queue.keep(record("a")).await.is_err());
+    let disk = SimulatedDisk::new(1, false);
+    let queue = disk.open();
+    disk.behave(|now| now.full = true);
+    assert!(queue.append(record("a")).await.is_err());
     assert!(queue.is_refused());
-    platter.behave(|now| now.full = false);
-    assert_eq!(queue.keep(record("b")).await, Ok(()));
+    disk.behave(|now| now.full = false);
+    assert_eq!(queue.append(record("b")).await, Ok(()));
     assert!(!queue.is_refused());
-    assert_eq!(keys(&platter), ["a", "b"]);
+    assert_eq!(keys(&disk), ["a", "b"]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_hung_disk_answers_once_it_works_again() {
-    let platter = Platter::new(1, false);
-    let queue = platter.open();
-    platter.behave(|now| now.hung = true);
-    let mut kept = std::pin::pin!(queue.keep(record("a")));
-    let waited = tokio::time::timeout(Duration::from_secs(5), &mut kept).await;
+    let disk = SimulatedDisk::new(1, false);
+    let queue = disk.open();
+    disk.behave(|now| now.hung = true);
+    let mut appended = std::pin::pin!(queue.append(record("a")));
+    let waited = tokio::time::timeout(Duration::from_secs(5), &mut appended).await;
     assert!(waited.is_err());
-    platter.behave(|now| now.hung = false);
-    assert_eq!(kept.await, Ok(()));
+    disk.behave(|now| now.hung = false);
+    assert_eq!(appended.await, Ok(()));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_lying_disk_keeps_some_of_what_it_says() {
-    let platter = Platter::new(1, true);
-    let queue = platter.open();
+    let disk = SimulatedDisk::new(1, true);
+    let queue = disk.open();
     for key in 0..40 {
-        assert_eq!(queue.keep(record(&key.to_string())).await, Ok(()));
+        assert_eq!(queue.append(record(&key.to_string())).await, Ok(()));
     }
-    let kept = keys(&platter).len();
-    assert!((5..35).contains(&kept), "{kept} of 40");
+    let appended = keys(&disk).len();
+    assert!((5..35).contains(&appended), "{appended} of 40");
 }
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine_workload.rs
@@ -1,7 +1,7 @@
 //! Engines: heartbeats, a drain that is acknowledged, a farewell.
 
 use crate::constants;
-use crate::history::{DrainSeen, Micros};
+use crate::history::{DrainObservation, Micros};
 use crate::world::World;
 use bytes::Bytes;
 use control_plane::service::instances;
@@ -58,16 +58,18 @@
 }
 
 /// How a drained engine stands at each member that runs: routers hear of engines from members.
-pub fn look_up(world: &World, drained: &Drained) -> Vec<DrainSeen> {
-    let mut seen = Vec::new();
+pub fn inspect(world: &World, drained: &Drained) -> Vec<DrainObservation> {
+    let mut observation = Vec::new();
     for machine in world.machines() {
         let Some((_, controller)) = machine.controller() else { continue };
         if !controller.acceptor.lock().is_member() {
             continue;
         }
-        let state = controller.look(|known| known.engines.get(&drained.engine).map(|e| e.state()));
+        let state = controller.read_state(|cluster_state| {
+            cluster_state.engines.get(&drained.engine).map(|e| e.state())
+        });
         let ready = state == Some(EngineState::Ready);
-        seen.push(DrainSeen {
+        observation.push(DrainObservation {
             engine: drained.engine.clone(),
             acknowledged_by: drained.by,
             acknowledged: drained.at,
@@ -75,5 +77,5 @@
             ready,
         });
     }
-    seen
+    observation
 }
