--- a/crates/simulation/src/fault.rs
+++ b/crates/simulation/src/fault.rs
@@ -8,7 +8,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Point {
     /// Machines cut off, one way and both.
-    CutOff,
+    #[serde(rename = "cut-off")]
+    Isolation,
     /// Several operators with the same numbers, answers lost.
     Race,
     /// A second loss right after a repair or a replacement.
@@ -23,13 +24,19 @@
 
 impl Point {
     /// Every point, in the order of `--help`.
-    pub const EVERY: [Point; 6] =
-        [Point::CutOff, Point::Race, Point::SecondLoss, Point::Hundreds, Point::Calls, Point::All];
+    pub const EVERY: [Point; 6] = [
+        Point::Isolation,
+        Point::Race,
+        Point::SecondLoss,
+        Point::Hundreds,
+        Point::Calls,
+        Point::All,
+    ];
 
     /// The name on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Point::CutOff => "cut-off",
+            Point::Isolation => "cut-off",
             Point::Race => "race",
             Point::SecondLoss => "second-loss",
             Point::Hundreds => "hundreds",
@@ -55,9 +62,10 @@
 /// One kind of trouble; machines are numbers from 0.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
-pub enum Trouble {
+pub enum FaultKind {
     /// The machine hears no other machine and none hears it; callers may still reach it.
-    CutOff {
+    #[serde(rename = "cut-off")]
+    Isolation {
         /// which machine
         machine: usize,
         /// whether callers are cut off from it as well
@@ -78,7 +86,8 @@
         other: usize,
     },
     /// The callers outside don't reach a machine, or its answers don't reach them.
-    CallersCut {
+    #[serde(rename = "callers-cut")]
+    ClientPartition {
         /// which machine
         machine: usize,
         /// whether calls still come through
@@ -148,33 +157,33 @@
     },
 }
 
-impl Trouble {
+impl FaultKind {
     /// The machine that can't be counted on meanwhile, if any.
-    pub fn loses(&self) -> Option<usize> {
+    pub fn machine_lost(&self) -> Option<usize> {
         match self {
-            Trouble::Reset { .. }
-            | Trouble::CallersCut { .. }
-            | Trouble::AllDown { .. }
-            | Trouble::Reseed { .. } => None,
-            Trouble::OneWay { from, .. } => Some(*from),
-            Trouble::CutOff { machine, .. }
-            | Trouble::Kill { machine }
-            | Trouble::Leave { machine }
-            | Trouble::PowerLoss { machine }
-            | Trouble::LoseDisk { machine }
-            | Trouble::Freeze { machine }
-            | Trouble::SlowLinks { machine }
-            | Trouble::SlowDisk { machine }
-            | Trouble::HungDisk { machine }
-            | Trouble::FullDisk { machine }
-            | Trouble::Replace { machine } => Some(*machine),
+            FaultKind::Reset { .. }
+            | FaultKind::ClientPartition { .. }
+            | FaultKind::AllDown { .. }
+            | FaultKind::Reseed { .. } => None,
+            FaultKind::OneWay { from, .. } => Some(*from),
+            FaultKind::Isolation { machine, .. }
+            | FaultKind::Kill { machine }
+            | FaultKind::Leave { machine }
+            | FaultKind::PowerLoss { machine }
+            | FaultKind::LoseDisk { machine }
+            | FaultKind::Freeze { machine }
+            | FaultKind::SlowLinks { machine }
+            | FaultKind::SlowDisk { machine }
+            | FaultKind::HungDisk { machine }
+            | FaultKind::FullDisk { machine }
+            | FaultKind::Replace { machine } => Some(*machine),
         }
     }
 }
 
-impl Trouble {
+impl FaultKind {
     fn downs_all(&self) -> bool {
-        matches!(self, Trouble::AllDown { .. })
+        matches!(self, FaultKind::AllDown { .. })
     }
 }
 
@@ -187,7 +196,7 @@
     pub for_ms: u64,
     /// What goes wrong.
     #[serde(flatten)]
-    pub trouble: Trouble,
+    pub kind: FaultKind,
 }
 
 impl Fault {
@@ -217,14 +226,15 @@
     /// Operators that send configurations.
     pub operators: usize,
     /// ms; the pause between two orders of one operator.
-    pub order_pause_ms: u64,
+    #[serde(rename = "order_pause_ms")]
+    pub order_interval_ms: u64,
     /// What goes wrong, by time.
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
     /// Draws a run from a seed.
-    pub fn draw(seed: u64, point: Point) -> Plan {
+    pub fn random(seed: u64, point: Point) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed);
         let shape = Shape::of(point, &mut rng);
         let mut plan = Plan {
@@ -233,7 +243,7 @@
             members: shape.members,
             standbys: shape.standbys,
             operators: shape.operators,
-            order_pause_ms: shape.order_pause_ms,
+            order_interval_ms: shape.order_interval_ms,
             faults: Vec::new(),
         };
         for _ in 0..shape.tries {
@@ -261,15 +271,17 @@
     /// lost for the time of catching up, and while all are down nothing else is lost.
     fn bears(&self, new: &Fault) -> bool {
         let met: Vec<&Fault> = self.faults.iter().filter(|fault| fault.meets(new)).collect();
-        let counts = |fault: &&&Fault| fault.trouble.loses().is_some() || fault.trouble.downs_all();
-        if new.trouble.downs_all() {
+        let counts =
+            |fault: &&&Fault| fault.kind.machine_lost().is_some() || fault.kind.downs_all();
+        if new.kind.downs_all() {
             return !met.iter().any(|fault| counts(&fault));
         }
-        let Some(machine) = new.trouble.loses() else { return true };
-        if met.iter().any(|fault| fault.trouble.downs_all()) || self.outlives(machine, new) {
+        let Some(machine) = new.kind.machine_lost() else { return true };
+        if met.iter().any(|fault| fault.kind.downs_all()) || self.outlives(machine, new) {
             return false;
         }
-        let mut others: Vec<usize> = met.iter().filter_map(|fault| fault.trouble.loses()).collect();
+        let mut others: Vec<usize> =
+            met.iter().filter_map(|fault| fault.kind.machine_lost()).collect();
         others.sort_unstable();
         others.dedup();
         !others.contains(&machine) && others.len() < self.losses()
@@ -277,14 +289,13 @@
 
     /// Whether a machine would have a fault after it was gone for good.
     fn outlives(&self, machine: usize, new: &Fault) -> bool {
-        let goes = |fault: &Fault| fault.trouble == Trouble::Replace { machine };
-        let gone_before = self.faults.iter().any(goes);
+        let goes = |fault: &Fault| fault.kind == FaultKind::Replace { machine };
+        let removed_before = self.faults.iter().any(goes);
         let goes_too_soon = goes(new)
-            && self
-                .faults
-                .iter()
-                .any(|fault| fault.trouble.loses() == Some(machine) && fault.from_ms > new.from_ms);
-        gone_before || goes_too_soon
+            && self.faults.iter().any(|fault| {
+                fault.kind.machine_lost() == Some(machine) && fault.from_ms > new.from_ms
+            });
+        removed_before || goes_too_soon
     }
 }
 
@@ -294,7 +305,7 @@
     members: usize,
     standbys: usize,
     operators: usize,
-    order_pause_ms: u64,
+    order_interval_ms: u64,
     tries: usize,
 }
 
@@ -306,80 +317,80 @@
             members,
             standbys: rng.usize(0..=1),
             operators: rng.usize(1..=2),
-            order_pause_ms: constants::ORDER_PAUSE_MS,
+            order_interval_ms: constants::ORDER_INTERVAL_MS,
             tries: rng.usize(3..=8),
         };
         match point {
-            Point::CutOff | Point::Calls | Point::All => usual,
-            Point::Race => Shape { operators: rng.usize(2..=4), order_pause_ms: 80, ..usual },
+            Point::Isolation | Point::Calls | Point::All => usual,
+            Point::Race => Shape { operators: rng.usize(2..=4), order_interval_ms: 80, ..usual },
             Point::SecondLoss => Shape { standbys: rng.usize(1..=2), ..usual },
-            Point::Hundreds => Shape { operators: 1, order_pause_ms: 30, ..usual },
+            Point::Hundreds => Shape { operators: 1, order_interval_ms: 30, ..usual },
         }
     }
 
     fn fault(&self, plan: &Plan, rng: &mut fastrand::Rng) -> Fault {
         let begin = constants::WARM_UP.as_millis() as u64;
         let span = constants::FAULTS_SPAN.as_millis() as u64;
-        let longest = constants::FAULT_LONGEST.as_millis() as u64;
+        let longest = constants::FAULT_MAX_DURATION.as_millis() as u64;
         let short = rng.bool();
         let for_ms = if short { rng.u64(20..1500) } else { rng.u64(1500..longest) };
         let machine = rng.usize(0..plan.members);
         let other = (machine + rng.usize(1..plan.members)) % plan.members;
-        let trouble = self.trouble(plan, machine, other, rng);
-        Fault { from_ms: begin + rng.u64(0..span), for_ms, trouble }
+        let kind = self.kind(plan, machine, other, rng);
+        Fault { from_ms: begin + rng.u64(0..span), for_ms, kind }
     }
 
-    fn trouble(
+    fn kind(
         &self,
         plan: &Plan,
         machine: usize,
         other: usize,
         rng: &mut fastrand::Rng,
-    ) -> Trouble {
+    ) -> FaultKind {
         let all_down = all_down(plan, rng);
-        let cut_off = Trouble::CutOff { machine, callers_too: rng.bool() };
-        let calls_cut = Trouble::CallersCut { machine, answers_only: rng.bool() };
-        let slow_links = Trouble::SlowLinks { machine };
-        let one_way = Trouble::OneWay { from: machine, to: other };
-        let reset = Trouble::Reset { one: machine, other };
-        let copies = [Trouble::LoseDisk { machine }, Trouble::Replace { machine }];
+        let isolation = FaultKind::Isolation { machine, callers_too: rng.bool() };
+        let client_partition = FaultKind::ClientPartition { machine, answers_only: rng.bool() };
+        let slow_links = FaultKind::SlowLinks { machine };
+        let one_way = FaultKind::OneWay { from: machine, to: other };
+        let reset = FaultKind::Reset { one: machine, other };
+        let copies = [FaultKind::LoseDisk { machine }, FaultKind::Replace { machine }];
         let mut from = match self.point {
-            Point::CutOff => vec![cut_off, one_way, slow_links, Trouble::Freeze { machine }],
-            Point::Race => vec![calls_cut, cut_off, reset, Trouble::Kill { machine }],
+            Point::Isolation => vec![isolation, one_way, slow_links, FaultKind::Freeze { machine }],
+            Point::Race => vec![client_partition, isolation, reset, FaultKind::Kill { machine }],
             Point::SecondLoss => [copies.to_vec(), vec![all_down]].concat(),
-            Point::Hundreds => vec![Trouble::PowerLoss { machine }, cut_off, all_down],
-            Point::Calls => vec![reset.clone(), reset, one_way, slow_links, cut_off],
+            Point::Hundreds => vec![FaultKind::PowerLoss { machine }, isolation, all_down],
+            Point::Calls => vec![reset.clone(), reset, one_way, slow_links, isolation],
             Point::All => {
-                everything(machine, [cut_off, calls_cut, one_way, reset, all_down], copies)
+                everything(machine, [isolation, client_partition, one_way, reset, all_down], copies)
             }
         };
         if self.point == Point::SecondLoss {
-            from.push(Trouble::Leave { machine });
-            from.push(Trouble::Kill { machine });
+            from.push(FaultKind::Leave { machine });
+            from.push(FaultKind::Kill { machine });
         }
         from.swap_remove(rng.usize(0..from.len()))
     }
 }
 
-fn all_down(plan: &Plan, rng: &mut fastrand::Rng) -> Trouble {
+fn all_down(plan: &Plan, rng: &mut fastrand::Rng) -> FaultKind {
     let power = rng.bool();
     let count = if power { rng.usize(0..=plan.losses()) } else { 0 };
     let mut wiped = rng.choose_multiple(0..plan.members, count);
     wiped.sort_unstable();
-    Trouble::AllDown { power, wiped }
+    FaultKind::AllDown { power, wiped }
 }
 
-fn everything(machine: usize, others: [Trouble; 5], copies: [Trouble; 2]) -> Vec<Trouble> {
+fn everything(machine: usize, others: [FaultKind; 5], copies: [FaultKind; 2]) -> Vec<FaultKind> {
     let mut all = vec![
-        Trouble::Freeze { machine },
-        Trouble::Kill { machine },
-        Trouble::Leave { machine },
-        Trouble::PowerLoss { machine },
-        Trouble::SlowLinks { machine },
-        Trouble::SlowDisk { machine },
-        Trouble::HungDisk { machine },
-        Trouble::FullDisk { machine },
-        Trouble::Reseed { machine },
+        FaultKind::Freeze { machine },
+        FaultKind::Kill { machine },
+        FaultKind::Leave { machine },
+        FaultKind::PowerLoss { machine },
+        FaultKind::SlowLinks { machine },
+        FaultKind::SlowDisk { machine },
+        FaultKind::HungDisk { machine },
+        FaultKind::FullDisk { machine },
+        FaultKind::Reseed { machine },
     ];
     all.extend(others);
     all.extend(copies);
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -65,20 +65,20 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Holder {
     /// The duty's name.
-    pub duty: &'static str,
+    pub lease_name: &'static str,
     /// The machine that held it.
     pub machine: usize,
     /// Which start of that machine.
     pub start: u64,
     /// The fencing token that it would have used.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// When it was seen.
     pub at: Micros,
 }
 
 /// The members that one controller held to be in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct MembershipSeen {
+pub struct MembershipObservation {
     /// Where it was seen.
     pub machine: usize,
     /// The membership's epoch.
@@ -93,7 +93,7 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct LinkCall {
     /// The question.
-    pub asked: String,
+    pub question: String,
     /// The answer that the caller was given, if any.
     pub answered: Option<String>,
     /// How often the server was given the question.
@@ -108,12 +108,12 @@
     /// Whether it votes.
     pub votes: bool,
     /// The newest configuration that it holds itself.
-    pub held: u64,
+    pub version: u64,
 }
 
 /// What an acknowledged drain came to at one controller after all faults had ended.
 #[derive(Debug, Clone, Serialize)]
-pub struct DrainSeen {
+pub struct DrainObservation {
     /// The engine that was told to have been drained.
     pub engine: String,
     /// The machine that acknowledged it.
@@ -136,13 +136,13 @@
     /// Every moment at which a controller was seen to hold a duty.
     pub holders: Vec<Holder>,
     /// Every membership that was seen in force.
-    pub memberships: Vec<MembershipSeen>,
+    pub memberships: Vec<MembershipObservation>,
     /// Calls over links.
     pub calls: Vec<LinkCall>,
     /// How the members stood at the end.
     pub caught_up: Vec<CaughtUp>,
     /// What acknowledged drains came to.
-    pub drains: Vec<DrainSeen>,
+    pub drains: Vec<DrainObservation>,
     /// Panics of controllers, each with its place.
     pub panics: Vec<String>,
     /// When the last fault ended.
--- a/crates/simulation/src/mutant.rs
+++ b/crates/simulation/src/injected_bug.rs
@@ -6,7 +6,7 @@
 /// One defect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Mutant {
+pub enum InjectedBug {
     /// Disks say that they kept what they didn't, half of the time.
     LyingDisk,
     /// A node acknowledges a change that it couldn't carry out.
@@ -25,41 +25,41 @@
     RepeatedCall,
 }
 
-impl Mutant {
+impl InjectedBug {
     /// Every defect, in the order of the invariants.
-    pub const EVERY: [Mutant; 8] = [
-        Mutant::LyingDisk,
-        Mutant::EarlyAcknowledgement,
-        Mutant::HastyRefusal,
-        Mutant::StaleRead,
-        Mutant::LongLease,
-        Mutant::SecondFounding,
-        Mutant::StuckMember,
-        Mutant::RepeatedCall,
+    pub const EVERY: [InjectedBug; 8] = [
+        InjectedBug::LyingDisk,
+        InjectedBug::EarlyAcknowledgement,
+        InjectedBug::HastyRefusal,
+        InjectedBug::StaleRead,
+        InjectedBug::LongLease,
+        InjectedBug::SecondFounding,
+        InjectedBug::StuckMember,
+        InjectedBug::RepeatedCall,
     ];
 
     /// The mix of faults that shows it best.
     pub fn shown_by(self) -> Point {
         match self {
-            Mutant::LyingDisk | Mutant::StuckMember => Point::Hundreds,
-            Mutant::EarlyAcknowledgement | Mutant::HastyRefusal => Point::Race,
-            Mutant::StaleRead | Mutant::LongLease => Point::CutOff,
-            Mutant::SecondFounding => Point::SecondLoss,
-            Mutant::RepeatedCall => Point::Calls,
+            InjectedBug::LyingDisk | InjectedBug::StuckMember => Point::Hundreds,
+            InjectedBug::EarlyAcknowledgement | InjectedBug::HastyRefusal => Point::Race,
+            InjectedBug::StaleRead | InjectedBug::LongLease => Point::Isolation,
+            InjectedBug::SecondFounding => Point::SecondLoss,
+            InjectedBug::RepeatedCall => Point::Calls,
         }
     }
 
     /// The invariant that this defect breaks.
     pub fn breaks(self) -> Invariant {
         match self {
-            Mutant::LyingDisk => Invariant::CommitNotice,
-            Mutant::EarlyAcknowledgement => Invariant::Chain,
-            Mutant::HastyRefusal => Invariant::Answers,
-            Mutant::StaleRead => Invariant::Fresh,
-            Mutant::LongLease => Invariant::Holder,
-            Mutant::SecondFounding => Invariant::Members,
-            Mutant::StuckMember => Invariant::CatchUp,
-            Mutant::RepeatedCall => Invariant::Calls,
+            InjectedBug::LyingDisk => Invariant::CommitNotice,
+            InjectedBug::EarlyAcknowledgement => Invariant::Chain,
+            InjectedBug::HastyRefusal => Invariant::Answers,
+            InjectedBug::StaleRead => Invariant::Fresh,
+            InjectedBug::LongLease => Invariant::Holder,
+            InjectedBug::SecondFounding => Invariant::Members,
+            InjectedBug::StuckMember => Invariant::CatchUp,
+            InjectedBug::RepeatedCall => Invariant::Calls,
         }
     }
 }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,19 +5,20 @@
 //! engines and routers record what they asked and were told; a checker judges that history.
 
 pub mod checker;
+mod config_body;
 mod constants;
 mod disk;
-mod driver;
-mod echo;
-mod engine;
+mod engine_workload;
 pub mod fault;
 pub mod history;
+pub mod injected_bug;
+mod link_workload;
 mod machine;
-pub mod mutant;
+mod nemesis;
 mod network;
-mod operator;
+mod operator_workload;
 mod panics;
-mod reader;
+mod read_workload;
 mod run;
 mod sampler;
 mod shrink;
--- a/crates/simulation/src/echo.rs
+++ b/crates/simulation/src/link_workload.rs
@@ -2,8 +2,8 @@
 
 use crate::constants;
 use crate::history::LinkCall;
+use crate::injected_bug::InjectedBug;
 use crate::machine::address;
-use crate::mutant::Mutant;
 use crate::transport::ProcessTransport;
 use crate::world::World;
 use fleet_core::link::{Link, LinkError, Peer, PeerHandler, serve_peers};
@@ -17,15 +17,15 @@
 use std::time::Duration;
 
 /// Counts each question that it was given.
-struct Echo {
+struct EchoServer {
     rng: Mutex<fastrand::Rng>,
     handled: Mutex<BTreeMap<String, usize>>,
 }
 
-impl PeerHandler for Echo {
-    fn joined(self: &Arc<Self>, _: &Peer) {}
+impl PeerHandler for EchoServer {
+    fn connected(self: &Arc<Self>, _: &Peer) {}
 
-    fn left(self: &Arc<Self>, _: &Peer) {}
+    fn disconnected(self: &Arc<Self>, _: &Peer) {}
 
     async fn answer(self: &Arc<Self>, _: &Peer, body: Body) -> Option<Body> {
         let Body::RegisterRequest(RegisterRequest { key, .. }) = body else { return None };
@@ -33,7 +33,7 @@
         let takes = self.rng.lock().u64(0..constants::ECHO_LONGEST_MS);
         tokio::time::sleep(Duration::from_millis(takes)).await;
         let register = Some(Register { key, ..Register::default() });
-        Some(Body::RegisterResponse(RegisterResponse { known: true, register }))
+        Some(Body::RegisterResponse(RegisterResponse { is_known: true, register }))
     }
 
     fn message_rejected(self: &Arc<Self>, _: &LinkError) {}
@@ -44,18 +44,19 @@
     let (from, to) = (0, 1);
     let at = SocketAddr::new(address(to).into(), constants::ECHO_PORT);
     let transport: Arc<dyn Transport> = Arc::new(ProcessTransport::new(world.network.clone()));
-    let echo = Arc::new(Echo { rng: Mutex::new(world.rng("echo", 0)), handled: Mutex::default() });
+    let echo =
+        Arc::new(EchoServer { rng: Mutex::new(world.rng("echo", 0)), handled: Mutex::default() });
     let serving = tokio::spawn(serve(world.clone(), at, transport.clone(), echo.clone()));
     let link = Link::keep_over(transport, &caller(&world, from), at, None);
     let mut calls = Vec::new();
     while !world.is_over() {
-        tokio::time::sleep(Duration::from_millis(constants::ECHO_PAUSE_MS)).await;
-        let asked = format!("call-{}", calls.len());
-        calls.push(tokio::spawn(call(world.clone(), link.clone(), asked)));
+        tokio::time::sleep(Duration::from_millis(constants::ECHO_INTERVAL_MS)).await;
+        let question = format!("call-{}", calls.len());
+        calls.push(tokio::spawn(call(world.clone(), link.clone(), question)));
     }
     for call in calls {
         let Ok(mut call) = call.await else { continue };
-        call.handled = echo.handled.lock().get(&call.asked).copied().unwrap_or(0);
+        call.handled = echo.handled.lock().get(&call.question).copied().unwrap_or(0);
         world.history.lock().calls.push(call);
     }
     serving.abort();
@@ -72,7 +73,12 @@
 }
 
 /// Listens again whenever the machine's death has taken the port away.
-async fn serve(world: Arc<World>, at: SocketAddr, transport: Arc<dyn Transport>, echo: Arc<Echo>) {
+async fn serve(
+    world: Arc<World>,
+    at: SocketAddr,
+    transport: Arc<dyn Transport>,
+    echo: Arc<EchoServer>,
+) {
     let mut serving: Option<tokio::task::JoinHandle<()>> = None;
     loop {
         if !world.network.is_listening(at)
@@ -83,20 +89,20 @@
             }
             serving = Some(tokio::spawn(serve_peers(listener, echo.clone())));
         }
-        tokio::time::sleep(constants::CALLER_SILENCE).await;
+        tokio::time::sleep(constants::CALLER_TIMEOUT).await;
     }
 }
 
-async fn call(world: Arc<World>, link: Arc<Link>, asked: String) -> LinkCall {
-    let question = Body::RegisterRequest(RegisterRequest { key: asked.clone() });
-    let mut answer = link.call(question.clone(), constants::ECHO_LIMIT).await;
-    let repeats = world.mutant == Some(Mutant::RepeatedCall);
+async fn call(world: Arc<World>, link: Arc<Link>, question: String) -> LinkCall {
+    let request = Body::RegisterRequest(RegisterRequest { key: question.clone() });
+    let mut answer = link.call(request.clone(), constants::ECHO_TIMEOUT).await;
+    let repeats = world.injected_bug == Some(InjectedBug::RepeatedCall);
     if repeats && answer == Err(LinkError::Late) {
-        answer = link.call(question, constants::ECHO_LIMIT).await;
+        answer = link.call(request, constants::ECHO_TIMEOUT).await;
     }
     let answered = match answer {
         Ok(Body::RegisterResponse(fetched)) => fetched.register.map(|register| register.key),
         _ => None,
     };
-    LinkCall { asked, answered, handled: 0 }
+    LinkCall { question, answered, handled: 0 }
 }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,13 +1,13 @@
 //! One simulated machine, and the starts of the controller on it.
 
 use crate::constants;
-use crate::disk::{Platter, Queue};
-use crate::mutant::Mutant;
+use crate::disk::{Queue, SimulatedDisk};
+use crate::injected_bug::InjectedBug;
 use crate::network::Network;
 use crate::transport::ProcessTransport;
-use control_plane::disk::format::Record;
-use control_plane::disk::{DiskError, RecordQueue};
-use control_plane::{Controller, Environment, Running};
+use control_plane::storage::format::Record;
+use control_plane::storage::{DiskError, RecordQueue};
+use control_plane::{Controller, Environment, RunningController};
 use fleet_core::settings::Settings;
 use fleet_core::transport::BoxFuture;
 use parking_lot::Mutex;
@@ -16,8 +16,8 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 impl RecordQueue for Queue {
-    fn keep(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
-        Box::pin(Queue::keep(self, record))
+    fn append(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
+        Box::pin(Queue::append(self, record))
     }
 
     fn is_broken(&self) -> bool {
@@ -36,15 +36,15 @@
     /// Its address, which nobody else is ever given.
     pub ip: Ipv4Addr,
     /// What its disk holds.
-    pub platter: Platter,
+    pub disk: SimulatedDisk,
     /// Its zone; a machine that stands in for another has that one's.
     pub zone: u8,
     /// True once another machine stands in for it.
-    pub gone: AtomicBool,
+    pub removed: AtomicBool,
     network: Network,
     seeds: Mutex<Vec<Ipv4Addr>>,
     losses: usize,
-    mutant: Option<Mutant>,
+    injected_bug: Option<InjectedBug>,
     seed: u64,
     starts: AtomicU64,
     process: Mutex<Option<Process>>,
@@ -55,7 +55,7 @@
     start: u64,
     controller: Arc<Controller>,
     /// taken out by whoever ends it in good order
-    running: Option<Running>,
+    running: Option<RunningController>,
     ends: Ends,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl Ends {
-    fn cut(&self) {
+    fn close_connections(&self) {
         self.transport.end();
         self.queue.end();
     }
@@ -84,7 +84,7 @@
     /// The run's seed.
     pub seed: u64,
     /// A defect of the world.
-    pub mutant: Option<Mutant>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 /// The address of a machine that was there from the beginning.
@@ -113,12 +113,12 @@
             number,
             ip: address_in(zone, number),
             zone,
-            platter: Platter::new(seed, common.mutant == Some(Mutant::LyingDisk)),
-            gone: AtomicBool::new(false),
+            disk: SimulatedDisk::new(seed, common.injected_bug == Some(InjectedBug::LyingDisk)),
+            removed: AtomicBool::new(false),
             network: common.network.clone(),
             seeds: Mutex::new(common.seeds.clone()),
             losses: common.losses,
-            mutant: common.mutant,
+            injected_bug: common.injected_bug,
             seed,
             starts: AtomicU64::new(0),
             process: Mutex::new(None),
@@ -147,14 +147,14 @@
         let start = self.starts.load(Ordering::Relaxed);
         let ends = Ends {
             transport: ProcessTransport::new(self.network.clone()),
-            queue: self.platter.open(),
+            queue: self.disk.open(),
         };
         let environment = self.environment(&ends, bootstrap, start);
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let begun = Controller::start(self.settings(bootstrap), log, environment).await;
         let Ok(running) = begun else { return };
         if self.starts.load(Ordering::Relaxed) != start {
-            ends.cut();
+            ends.close_connections();
             return;
         }
         let controller = running.controller.clone();
@@ -163,25 +163,26 @@
 
     fn environment(&self, ends: &Ends, bootstrap: bool, start: u64) -> Environment {
         let is_seed = self.seeds.lock().contains(&self.ip);
-        let founds_again = self.mutant == Some(Mutant::SecondFounding) && start > 1;
+        let founds_again = self.injected_bug == Some(InjectedBug::SecondFounding) && start > 1;
         Environment {
             transport: Arc::new(ends.transport.clone()),
             disk: Arc::new(ends.queue.clone()),
-            state: self.platter.state(),
-            first_start: self.platter.is_empty() && (bootstrap && is_seed || founds_again),
+            state: self.disk.state(),
+            first_start: self.disk.is_empty() && (bootstrap && is_seed || founds_again),
             seed: self.seed.wrapping_add(start),
         }
     }
 
     fn settings(&self, bootstrap: bool) -> Settings {
-        let founds_alone =
-            self.mutant == Some(Mutant::SecondFounding) && !bootstrap && self.platter.is_empty();
+        let founds_alone = self.injected_bug == Some(InjectedBug::SecondFounding)
+            && !bootstrap
+            && self.disk.is_empty();
         let seeds: Vec<String> = if founds_alone {
             vec![control_at(self.ip).to_string()]
         } else {
             self.seeds.lock().iter().map(|ip| control_at(*ip).to_string()).collect()
         };
-        let counts_longer = self.mutant == Some(Mutant::LongLease) && self.number == 0;
+        let counts_longer = self.injected_bug == Some(InjectedBug::LongLease) && self.number == 0;
         let lease = if counts_longer { constants::LONG_LEASE_MS } else { constants::LEASE_MS };
         let text = format!(
             "nodeName=machine-{}\nip={}\nzone=zone-{}\nportRange={},{}\nseeds={}\n\
@@ -205,7 +206,7 @@
         self.starts.fetch_add(1, Ordering::Relaxed);
         let ended = self.process.lock().take();
         if let Some(process) = ended {
-            process.ends.cut();
+            process.ends.close_connections();
             if let Some(running) = process.running {
                 running.abort();
             }
@@ -215,11 +216,11 @@
 
     /// Ends the process without a word to anybody: its connections hang.
     pub fn lose_power(&self) {
-        self.network.darken(self.ip);
+        self.network.power_off(self.ip);
         self.starts.fetch_add(1, Ordering::Relaxed);
         let ended = self.process.lock().take();
         if let Some(process) = ended {
-            process.ends.cut();
+            process.ends.close_connections();
             if let Some(running) = process.running {
                 running.abort();
             }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -4,7 +4,7 @@
 use simulation::checker::Violation;
 use simulation::fault::{Plan, Point, UnknownPoint};
 use simulation::history::History;
-use simulation::mutant::Mutant;
+use simulation::injected_bug::InjectedBug;
 use std::hash::{BuildHasher, Hasher};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -104,23 +104,23 @@
     }
     let first = words.seed.unwrap_or_else(drawn_seed);
     if words.mutants {
-        return find_mutants(first, words.runs);
+        return find_injected_bugs(first, words.runs);
     }
     run_many(words, point, first)
 }
 
 fn run_many(words: &Words, point: Point, first: u64) -> Result<u8, CommandError> {
     println!("{} runs of {} from seed {first}", words.runs, point.name());
-    let mut told = Instant::now();
+    let mut last_progress = Instant::now();
     let mut failed = 0;
     for run in 0..words.runs {
-        let code = play(&Plan::draw(first.wrapping_add(run), point), &words.out)?;
+        let code = play(&Plan::random(first.wrapping_add(run), point), &words.out)?;
         failed += u64::from(code != CLEAN);
         if failed > 0 && !words.keep_going {
             return Ok(BROKEN);
         }
-        if told.elapsed() >= PROGRESS {
-            told = Instant::now();
+        if last_progress.elapsed() >= PROGRESS {
+            last_progress = Instant::now();
             println!("{} of {} runs, {failed} failed", run + 1, words.runs);
         }
     }
@@ -130,19 +130,19 @@
 
 /// One line for each defect: how many seeds it took until its invariant was seen broken in a run
 /// that keeps it without the defect.
-fn find_mutants(first: u64, runs: u64) -> Result<u8, CommandError> {
+fn find_injected_bugs(first: u64, runs: u64) -> Result<u8, CommandError> {
     let mut code = CLEAN;
-    for mutant in Mutant::EVERY {
+    for injected_bug in InjectedBug::EVERY {
         let mut found = None;
         for run in 0..runs {
-            let plan = Plan::draw(first.wrapping_add(run), mutant.shown_by());
-            if simulation::shows(&plan, mutant).map_err(CommandError::Start)? {
+            let plan = Plan::random(first.wrapping_add(run), injected_bug.shown_by());
+            if simulation::shows(&plan, injected_bug).map_err(CommandError::Start)? {
                 found = Some(run + 1);
                 break;
             }
         }
-        let (name, point) = (format!("{mutant:?}"), mutant.shown_by().name());
-        let invariant = mutant.breaks().code();
+        let (name, point) = (format!("{injected_bug:?}"), injected_bug.shown_by().name());
+        let invariant = injected_bug.breaks().code();
         match found {
             Some(seeds) => println!("{name}: {invariant} broken after {seeds} seeds of {point}"),
             None => {
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -78,7 +78,7 @@
     }
 
     /// Cuts one direction; cuts add up.
-    pub fn cut(&self, from: Ipv4Addr, to: Ipv4Addr) {
+    pub fn block(&self, from: Ipv4Addr, to: Ipv4Addr) {
         *self.state.lock().cuts.entry((from, to)).or_default() += 1;
         self.touch();
     }
@@ -94,13 +94,13 @@
     }
 
     /// A dark machine loses its connections without a word, and nobody reaches it.
-    pub fn darken(&self, machine: Ipv4Addr) {
+    pub fn power_off(&self, machine: Ipv4Addr) {
         self.state.lock().dark.insert(machine);
         self.touch();
     }
 
     /// Ends darkness.
-    pub fn lighten(&self, machine: Ipv4Addr) {
+    pub fn power_on(&self, machine: Ipv4Addr) {
         self.state.lock().dark.remove(&machine);
         self.touch();
     }
@@ -129,7 +129,7 @@
 
     /// Whether somebody accepts connections there.
     pub fn is_listening(&self, at: SocketAddr) -> bool {
-        self.state.lock().listeners.get(&at).is_some_and(|known| !known.is_closed())
+        self.state.lock().listeners.get(&at).is_some_and(|registered| !registered.is_closed())
     }
 
     /// Resets the connections between two machines; what was on its way is lost.
@@ -161,10 +161,10 @@
     /// Whether bytes pass in this direction now.
     pub fn is_open(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
         let state = self.state.lock();
-        let is_cut = state.cuts.get(&(from, to)).is_some_and(|count| *count > 0);
+        let is_blocked = state.cuts.get(&(from, to)).is_some_and(|count| *count > 0);
         let apart = |one, other| state.isolated.contains(&one) && !is_outside(other);
         let is_apart = apart(from, to) || apart(to, from);
-        !is_cut && !is_apart && !state.dark.contains(&from) && !state.dark.contains(&to)
+        !is_blocked && !is_apart && !state.dark.contains(&from) && !state.dark.contains(&to)
     }
 
     /// Waits until bytes pass in this direction.
@@ -196,7 +196,7 @@
     pub fn listen(&self, at: SocketAddr) -> std::io::Result<Listener> {
         let (tx, incoming) = mpsc::channel(constants::BACKLOG);
         let mut state = self.state.lock();
-        if state.listeners.get(&at).is_some_and(|known| !known.is_closed()) {
+        if state.listeners.get(&at).is_some_and(|registered| !registered.is_closed()) {
             return Err(std::io::ErrorKind::AddrInUse.into());
         }
         state.listeners.insert(at, tx);
@@ -247,7 +247,7 @@
                 biased;
                 _ = is_lost.wait_for(|lost| *lost) => {}
                 _ = async { tokio::join!(there, back) } => {}
-                () = network.held_up(ends) => {}
+                () = network.delayed(ends) => {}
             }
             network.state.lock().streams.remove(&number);
         });
@@ -276,7 +276,7 @@
     }
 
     /// Ends once one direction was shut for as long as the kernel bears it.
-    async fn held_up(&self, ends: [Ipv4Addr; 2]) {
+    async fn delayed(&self, ends: [Ipv4Addr; 2]) {
         loop {
             let changed = self.changed.notified();
             let is_open = self.is_open(ends[0], ends[1]) && self.is_open(ends[1], ends[0]);
@@ -287,7 +287,7 @@
             let healed = async {
                 tokio::join!(self.opened(ends[0], ends[1]), self.opened(ends[1], ends[0]))
             };
-            if tokio::time::timeout(constants::CUT_ENDS_STREAM, healed).await.is_err() {
+            if tokio::time::timeout(constants::BLOCKED_STREAM_TIMEOUT, healed).await.is_err() {
                 return;
             }
         }
--- a/crates/simulation/src/network_tests.rs
+++ b/crates/simulation/src/network_tests.rs
@@ -38,7 +38,7 @@
 async fn a_cut_holds_bytes_up_one_way_only() {
     let network = Network::new(1);
     let (mut near, mut far) = connected(&network).await;
-    network.cut(ONE, TWO);
+    network.block(ONE, TWO);
     near.write_all(b"abcd").await.expect("taken");
     far.write_all(b"efgh").await.expect("taken");
     assert_eq!(reads(&mut far, 1000).await, None);
@@ -51,9 +51,9 @@
 async fn a_long_cut_ends_the_connection_at_both_ends() {
     let network = Network::new(1);
     let (mut near, mut far) = connected(&network).await;
-    network.cut(ONE, TWO);
+    network.block(ONE, TWO);
     near.write_all(b"abcd").await.expect("taken");
-    tokio::time::sleep(constants::CUT_ENDS_STREAM * 2).await;
+    tokio::time::sleep(constants::BLOCKED_STREAM_TIMEOUT * 2).await;
     network.heal(ONE, TWO);
     assert_eq!(far.read(&mut [0; 4]).await.ok(), Some(0));
     assert!(near.write_all(b"abcd").await.is_err());
@@ -74,7 +74,7 @@
     let network = Network::new(1);
     let refused = network.connect(ONE, at(TWO)).await.map(|_| ());
     assert_eq!(refused.map_err(|e| e.kind()), Err(std::io::ErrorKind::ConnectionRefused));
-    network.darken(TWO);
+    network.power_off(TWO);
     let hanging = network.connect(ONE, at(TWO));
     assert!(tokio::time::timeout(Duration::from_secs(60), hanging).await.is_err());
 }
--- a/crates/simulation/src/operator.rs
+++ b/crates/simulation/src/operator_workload.rs
@@ -1,9 +1,10 @@
 //! Operators: each sends configurations one after the other, and again after silence.
 
+use crate::config_body::digest;
 use crate::constants;
 use crate::history::{Reply, Version, Write};
+use crate::injected_bug::InjectedBug;
 use crate::machine::Machine;
-use crate::mutant::Mutant;
 use crate::world::World;
 use bytes::Bytes;
 use control_plane::service::{Rejection, configuration};
@@ -33,27 +34,16 @@
 /// Sends orders until the run is over.
 pub async fn operate(world: Arc<World>, number: usize) {
     let rng = world.rng("operator", number);
-    let pause_ms = world.plan.order_pause_ms;
+    let backoff_ms = world.plan.order_interval_ms;
     let mut operator = Operator { world, number, rng, base: 0, drawn: 0, acknowledged: Vec::new() };
     while !operator.world.is_over() {
-        let pause = operator.rng.u64(pause_ms / 2..pause_ms * 3 / 2);
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+        let backoff = operator.rng.u64(backoff_ms / 2..backoff_ms * 3 / 2);
+        tokio::time::sleep(Duration::from_millis(backoff)).await;
         let order = operator.next();
         operator.send(order).await;
     }
 }
 
-/// What tells a configuration from others of its number.
-pub fn digest(body: &[u8]) -> u64 {
-    fleet_core::node::stable_hash(&[body])
-}
-
-/// The number that a configuration's body bears.
-pub fn number_of(body: &[u8]) -> Option<u64> {
-    let read = fleet_core::configuration::Configuration::read(body);
-    read.ok().map(|configuration| configuration.revision)
-}
-
 fn body_of(number: u64, label: &str, service: &str) -> Bytes {
     let text = serde_json::json!({
         "revision": number,
@@ -86,7 +76,7 @@
 
     /// Sends an order until its answer is clear.
     async fn send(&mut self, order: Order) {
-        let mut pause = constants::RESEND_PAUSE_MS;
+        let mut backoff = constants::RESEND_BACKOFF_MS;
         for _ in 0..constants::SENDINGS_MOST {
             match self.send_once(&order).await {
                 Reply::Acknowledged => {
@@ -100,16 +90,16 @@
             if self.world.is_over() {
                 return;
             }
-            tokio::time::sleep(Duration::from_millis(pause / 2 + self.rng.u64(0..pause))).await;
-            pause = (pause * 2).min(constants::RESEND_PAUSE_MOST_MS);
+            tokio::time::sleep(Duration::from_millis(backoff / 2 + self.rng.u64(0..backoff))).await;
+            backoff = (backoff * 2).min(constants::RESEND_BACKOFF_MAX_MS);
         }
-        self.look_up().await;
+        self.resolve().await;
     }
 
     async fn send_once(&mut self, order: &Order) -> Reply {
         let machines = self.world.machines();
         let machine = machines[self.rng.usize(0..machines.len())].clone();
-        let place = self.note(order, &machine);
+        let place = self.record(order, &machine);
         let reply = self.exchange(&machine, order).await;
         let completed = self.world.now();
         let mut history = self.world.history.lock();
@@ -119,7 +109,7 @@
     }
 
     /// Records a sending before it is sent; it may take effect at any time from now on.
-    fn note(&self, order: &Order, machine: &Machine) -> usize {
+    fn record(&self, order: &Order, machine: &Machine) -> usize {
         let mut history = self.world.history.lock();
         history.writes.push(Write {
             operator: self.number,
@@ -143,23 +133,23 @@
     }
 
     fn as_mutant(&self, reply: Reply) -> Reply {
-        match (self.world.mutant, reply) {
-            (Some(Mutant::EarlyAcknowledgement), Reply::Unknown) => Reply::Acknowledged,
-            (Some(Mutant::HastyRefusal), Reply::Unknown) => Reply::Refused,
+        match (self.world.injected_bug, reply) {
+            (Some(InjectedBug::EarlyAcknowledgement), Reply::Unknown) => Reply::Acknowledged,
+            (Some(InjectedBug::HastyRefusal), Reply::Unknown) => Reply::Refused,
             (_, reply) => reply,
         }
     }
 
     /// Finds out which version is current, if anybody says so.
-    async fn look_up(&mut self) {
-        for _ in 0..constants::LOOK_UPS_MOST {
+    async fn resolve(&mut self) {
+        for _ in 0..constants::RESOLVES_MOST {
             let machines = self.world.machines();
             let machine = machines[self.rng.usize(0..machines.len())].clone();
-            if let Some(version) = crate::reader::read_once(&self.world, &machine).await {
+            if let Some(version) = crate::read_workload::read_once(&self.world, &machine).await {
                 self.base = version.number;
                 return;
             }
-            tokio::time::sleep(Duration::from_millis(constants::RESEND_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(constants::RESEND_BACKOFF_MS)).await;
         }
     }
 }
--- a/crates/simulation/src/panics.rs
+++ b/crates/simulation/src/panics.rs
@@ -7,7 +7,7 @@
 
 thread_local! {
     /// none while no run is under way on this thread
-    static SEEN: RefCell<Option<Vec<String>>> = const { RefCell::new(None) };
+    static RECORDED: RefCell<Option<Vec<String>>> = const { RefCell::new(None) };
 }
 
 /// Collects the panics of this thread from now on; a run stays on one thread.
@@ -15,9 +15,9 @@
     HOOK.call_once(|| {
         let former = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |panic| {
-            let taken = SEEN.with_borrow_mut(|seen| match seen {
-                Some(seen) => {
-                    seen.push(panic.to_string());
+            let taken = RECORDED.with_borrow_mut(|observation| match observation {
+                Some(observation) => {
+                    observation.push(panic.to_string());
                     true
                 }
                 None => false,
@@ -27,10 +27,10 @@
             }
         }));
     });
-    SEEN.set(Some(Vec::new()));
+    RECORDED.set(Some(Vec::new()));
 }
 
 /// Ends the collection, and gives what it holds.
 pub fn take() -> Vec<String> {
-    SEEN.take().unwrap_or_default()
+    RECORDED.take().unwrap_or_default()
 }
--- a/crates/simulation/src/reader.rs
+++ b/crates/simulation/src/read_workload.rs
@@ -1,16 +1,16 @@
 //! Those who read the configuration: callers of `control`, and routers over their links.
 
+use crate::config_body::{digest, number_of};
 use crate::constants;
 use crate::history::{Read, Version};
+use crate::injected_bug::InjectedBug;
 use crate::machine::Machine;
-use crate::mutant::Mutant;
-use crate::operator::{digest, number_of};
 use crate::transport::ProcessTransport;
 use crate::world::World;
 use bytes::Bytes;
 use control_plane::Controller;
-use control_plane::control::values;
-use data_plane::fleet_view::config_fetch::{HeldBody, rebuild};
+use control_plane::consensus::state_machine;
+use data_plane::fleet_view::config_fetch::{ConfigBody, rebuild};
 use fleet_core::link::Link;
 use fleet_core::node::{Node, Role};
 use fleet_core::wire::{Body, ConfigRequest, ConfigValue, RouterHeartbeat};
@@ -23,7 +23,7 @@
 pub async fn read_on(world: Arc<World>, number: usize) {
     let mut rng = world.rng("reader", number);
     while !world.is_over() {
-        let pause = rng.u64(constants::READ_PAUSE_MS / 2..constants::READ_PAUSE_MS * 2);
+        let pause = rng.u64(constants::READ_INTERVAL_MS / 2..constants::READ_INTERVAL_MS * 2);
         tokio::time::sleep(Duration::from_millis(pause)).await;
         let machines = world.machines();
         let machine = machines[rng.usize(0..machines.len())].clone();
@@ -46,17 +46,17 @@
             if let Some(body) = fetch(world, machine).await {
                 return read_of(world, machine.number, &body, invoked);
             }
-            tokio::time::sleep(Duration::from_millis(constants::READ_PAUSE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(constants::READ_INTERVAL_MS)).await;
         }
     };
-    tokio::time::timeout(constants::LAST_READ_LIMIT, reading).await.ok().flatten()
+    tokio::time::timeout(constants::LAST_READ_TIMEOUT, reading).await.ok().flatten()
 }
 
 async fn fetch(world: &World, machine: &Arc<Machine>) -> Option<Bytes> {
-    let is_stale = world.mutant == Some(Mutant::StaleRead);
+    let is_stale = world.injected_bug == Some(InjectedBug::StaleRead);
     let call = async move |controller: Arc<Controller>| {
         if is_stale {
-            return held(&controller);
+            return current(&controller);
         }
         control_plane::service::configuration::fetch(&controller).await.ok()
     };
@@ -64,8 +64,8 @@
 }
 
 /// What a controller holds itself, whatever the others have.
-fn held(controller: &Controller) -> Option<Bytes> {
-    let register = controller.acceptor.lock().register(values::CONFIG)?.clone();
+fn current(controller: &Controller) -> Option<Bytes> {
+    let register = controller.acceptor.lock().register(state_machine::CONFIG)?.clone();
     let value = ConfigValue::decode(register.value).ok()?;
     if value.version == 0 {
         return None;
@@ -111,29 +111,32 @@
 }
 
 async fn fetch_on(world: &World, machine: &Machine, link: &Link) {
-    let mut held: Option<HeldBody> = None;
+    let mut current: Option<ConfigBody> = None;
     while !world.is_over() {
-        tokio::time::sleep(Duration::from_millis(constants::READ_PAUSE_MS)).await;
+        tokio::time::sleep(Duration::from_millis(constants::READ_INTERVAL_MS)).await;
         let heartbeat = RouterHeartbeat::default();
-        if link.call(Body::RouterHeartbeat(heartbeat), constants::CALLER_SILENCE).await.is_err() {
+        if link.call(Body::RouterHeartbeat(heartbeat), constants::CALLER_TIMEOUT).await.is_err() {
             continue;
         }
         let invoked = world.now();
-        if let Some(newest) = fetch_newest(link, held.as_ref()).await {
+        if let Some(newest) = fetch_newest(link, current.as_ref()).await {
             record(world, machine.number, &newest.body, invoked);
-            held = Some(newest);
+            current = Some(newest);
         }
     }
 }
 
 /// The configuration that a majority confirms, put together as the real router does it.
-async fn fetch_newest(link: &Link, held: Option<&HeldBody>) -> Option<HeldBody> {
-    let digest = held.map(|held| Bytes::copy_from_slice(held.digest.as_bytes()));
+async fn fetch_newest(link: &Link, current: Option<&ConfigBody>) -> Option<ConfigBody> {
+    let digest = current.map(|current| Bytes::copy_from_slice(current.digest.as_bytes()));
     let ask = ConfigRequest { digest: digest.unwrap_or_default() };
-    let answer = link.call(Body::ConfigRequest(ask), fleet_core::constants::CONFIG_ASK_LIMIT).await;
-    let Ok(Body::ConfigResponse(given)) = answer else { return None };
-    if given.form.is_none() {
-        return held.filter(|held| held.digest.as_bytes() == &given.digest[..]).cloned();
+    let answer =
+        link.call(Body::ConfigRequest(ask), fleet_core::constants::CONFIG_FETCH_TIMEOUT).await;
+    let Ok(Body::ConfigResponse(response)) = answer else { return None };
+    if response.form.is_none() {
+        return current
+            .filter(|current| current.digest.as_bytes() == &response.digest[..])
+            .cloned();
     }
-    rebuild(&given, held).ok()
+    rebuild(&response, current).ok()
 }
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -4,9 +4,11 @@
 use crate::constants;
 use crate::fault::Plan;
 use crate::history::History;
-use crate::mutant::Mutant;
+use crate::injected_bug::InjectedBug;
 use crate::world::World;
-use crate::{driver, echo, engine, operator, panics, reader, sampler};
+use crate::{
+    engine_workload, link_workload, nemesis, operator_workload, panics, read_workload, sampler,
+};
 use std::sync::Arc;
 
 /// Readers that call `control`.
@@ -30,11 +32,11 @@
 /// # Errors
 ///
 /// When the runtime can't be made.
-pub fn run(plan: &Plan, mutant: Option<Mutant>) -> std::io::Result<Outcome> {
+pub fn run(plan: &Plan, injected_bug: Option<InjectedBug>) -> std::io::Result<Outcome> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     panics::listen();
-    let mut history = runtime.block_on(play(plan.clone(), mutant));
+    let mut history = runtime.block_on(play(plan.clone(), injected_bug));
     history.panics = panics::take();
     let violations = check(&history);
     Ok(Outcome { history, violations })
@@ -45,26 +47,26 @@
 /// # Errors
 ///
 /// When a runtime can't be made.
-pub fn shows(plan: &Plan, mutant: Mutant) -> std::io::Result<bool> {
+pub fn shows(plan: &Plan, injected_bug: InjectedBug) -> std::io::Result<bool> {
     let breaks = |outcome: &Outcome| {
-        outcome.violations.iter().any(|violation| violation.invariant == mutant.breaks())
+        outcome.violations.iter().any(|violation| violation.invariant == injected_bug.breaks())
     };
-    Ok(breaks(&run(plan, Some(mutant))?) && !breaks(&run(plan, None)?))
+    Ok(breaks(&run(plan, Some(injected_bug))?) && !breaks(&run(plan, None)?))
 }
 
-async fn play(plan: Plan, mutant: Option<Mutant>) -> History {
-    let world = Arc::new(World::new(plan, mutant));
-    driver::start_all(&world).await;
-    let (stand_ins, engines) = spawn_stand_ins(&world);
-    driver::play(&world).await;
+async fn play(plan: Plan, injected_bug: Option<InjectedBug>) -> History {
+    let world = Arc::new(World::new(plan, injected_bug));
+    nemesis::start_all(&world).await;
+    let (workloads, engines) = spawn_workloads(&world);
+    nemesis::play(&world).await;
     world.history.lock().calm_from = world.now();
-    tokio::time::sleep(constants::PROGRESS_LIMIT).await;
+    tokio::time::sleep(constants::PROGRESS_TIMEOUT).await;
     world.history.lock().finished = true;
     world.end();
-    for stand_in in stand_ins {
-        let _ = tokio::time::timeout(constants::LAST_ORDER_LIMIT, stand_in).await;
+    for workload in workloads {
+        let _ = tokio::time::timeout(constants::LAST_ORDER_TIMEOUT, workload).await;
     }
-    look_last(&world, engines).await;
+    read_final_state(&world, engines).await;
     let history = std::mem::take(&mut *world.history.lock());
     for machine in world.machines() {
         machine.kill();
@@ -72,39 +74,40 @@
     history
 }
 
-type Engines = Vec<tokio::task::JoinHandle<Option<engine::Drained>>>;
+type Engines = Vec<tokio::task::JoinHandle<Option<engine_workload::Drained>>>;
 
-fn spawn_stand_ins(world: &Arc<World>) -> (Vec<tokio::task::JoinHandle<()>>, Engines) {
-    let mut stand_ins = vec![
+fn spawn_workloads(world: &Arc<World>) -> (Vec<tokio::task::JoinHandle<()>>, Engines) {
+    let mut workloads = vec![
         tokio::spawn(sampler::sample(world.clone())),
-        tokio::spawn(echo::call_on(world.clone())),
+        tokio::spawn(link_workload::call_on(world.clone())),
     ];
     for number in 0..world.plan.operators {
-        stand_ins.push(tokio::spawn(operator::operate(world.clone(), number)));
+        workloads.push(tokio::spawn(operator_workload::operate(world.clone(), number)));
     }
     for number in 0..READERS {
-        stand_ins.push(tokio::spawn(reader::read_on(world.clone(), number)));
+        workloads.push(tokio::spawn(read_workload::read_on(world.clone(), number)));
     }
     for number in 0..ROUTERS {
-        stand_ins.push(tokio::spawn(reader::route(world.clone(), number)));
+        workloads.push(tokio::spawn(read_workload::route(world.clone(), number)));
     }
-    let engines = (0..ENGINES).map(|number| tokio::spawn(engine::live(world.clone(), number)));
-    (stand_ins, engines.collect())
+    let engines =
+        (0..ENGINES).map(|number| tokio::spawn(engine_workload::live(world.clone(), number)));
+    (workloads, engines.collect())
 }
 
 /// With all stand-ins ended: the last reads, how members stand, what drains came to.
-async fn look_last(world: &Arc<World>, engines: Engines) {
+async fn read_final_state(world: &Arc<World>, engines: Engines) {
     for machine in world.machines() {
-        if let Some(read) = reader::read_last(world, &machine).await {
+        if let Some(read) = read_workload::read_last(world, &machine).await {
             world.history.lock().last_reads.push(read);
         }
     }
-    let stand = sampler::catch_up(world);
-    world.history.lock().caught_up = stand;
+    let final_state = sampler::catch_up(world);
+    world.history.lock().caught_up = final_state;
     for engine in engines {
         if let Ok(Some(drained)) = engine.await {
-            let seen = engine::look_up(world, &drained);
-            world.history.lock().drains.extend(seen);
+            let observation = engine_workload::inspect(world, &drained);
+            world.history.lock().drains.extend(observation);
         }
     }
 }
--- a/crates/simulation/src/sampler.rs
+++ b/crates/simulation/src/sampler.rs
@@ -1,9 +1,9 @@
 //! Looks into the controllers: who holds a duty, and which members are in force.
 
 use crate::constants;
-use crate::history::{CaughtUp, Holder, MembershipSeen};
+use crate::history::{CaughtUp, Holder, MembershipObservation};
 use crate::world::World;
-use control_plane::duties::ROLL_OUT;
+use control_plane::leases::ROLLOUT_LEASE;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
     let mut held: Vec<(usize, u64, u64)> = Vec::new();
     let mut epochs: BTreeMap<usize, u64> = BTreeMap::new();
     while !world.is_over() {
-        tokio::time::sleep(constants::SAMPLE_PAUSE).await;
+        tokio::time::sleep(constants::SAMPLE_INTERVAL).await;
         sample_holders(&world, &mut held);
         sample_memberships(&world, &mut epochs);
     }
@@ -22,19 +22,19 @@
     let mut now = Vec::new();
     for machine in world.machines() {
         let Some((start, controller)) = machine.controller() else { continue };
-        if let Some(fence) = controller.duties.fence(ROLL_OUT) {
-            now.push((machine.number, start, fence));
+        if let Some(fencing_token) = controller.leases.fencing_token(ROLLOUT_LEASE) {
+            now.push((machine.number, start, fencing_token));
         }
     }
     if *last == now {
         return;
     }
     let at = world.now();
-    let holders = now.iter().map(|&(machine, start, fence)| Holder {
-        duty: ROLL_OUT,
+    let holders = now.iter().map(|&(machine, start, fencing_token)| Holder {
+        lease_name: ROLLOUT_LEASE,
         machine,
         start,
-        fence,
+        fencing_token,
         at,
     });
     world.history.lock().holders.extend(holders);
@@ -52,19 +52,25 @@
         }
         let mut members: Vec<String> = membership.members.into_iter().map(|m| m.ip).collect();
         members.sort();
-        let seen = MembershipSeen {
+        let observation = MembershipObservation {
             machine: machine.number,
             epoch: membership.epoch,
             members,
             at: world.now(),
         };
-        world.history.lock().memberships.push(seen);
+        world.history.lock().memberships.push(observation);
     }
 }
 
 /// How each member of the newest membership stands; one that is gone for good counts too.
 pub fn catch_up(world: &World) -> Vec<CaughtUp> {
-    let newest = world.history.lock().memberships.iter().max_by_key(|seen| seen.epoch).cloned();
+    let newest = world
+        .history
+        .lock()
+        .memberships
+        .iter()
+        .max_by_key(|observation| observation.epoch)
+        .cloned();
     let Some(newest) = newest else { return Vec::new() };
     let running = world.machines();
     let mut stand = Vec::new();
@@ -75,7 +81,8 @@
         stand.push(CaughtUp {
             machine: number,
             votes: controller.as_ref().is_some_and(|(_, c)| c.acceptor.lock().votes()),
-            held: controller.map_or(0, |(_, c)| c.look(|k| k.config.map_or(0, |(v, _)| v))),
+            version: controller
+                .map_or(0, |(_, c)| c.read_state(|k| k.config.map_or(0, |(v, _)| v))),
         });
     }
     stand
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -3,8 +3,8 @@
 use crate::constants;
 use crate::fault::Plan;
 use crate::history::{History, Micros};
+use crate::injected_bug::InjectedBug;
 use crate::machine::{Common, Machine, address, zone_of};
-use crate::mutant::Mutant;
 use crate::network::Network;
 use control_plane::Controller;
 use parking_lot::Mutex;
@@ -21,7 +21,7 @@
     /// What the run was drawn as.
     pub plan: Plan,
     /// A defect of the world, to see that the checker finds it.
-    pub mutant: Option<Mutant>,
+    pub injected_bug: Option<InjectedBug>,
     /// What all machines are connected by.
     pub network: Network,
     /// What is recorded.
@@ -34,7 +34,7 @@
 
 impl World {
     /// The machines of a plan, none of them started.
-    pub fn new(plan: Plan, mutant: Option<Mutant>) -> World {
+    pub fn new(plan: Plan, injected_bug: Option<InjectedBug>) -> World {
         let network = Network::new(plan.seed);
         let seeds = (0..constants::SEEDS).map(address).collect();
         let common = Common {
@@ -42,14 +42,14 @@
             seeds,
             losses: plan.losses(),
             seed: plan.seed,
-            mutant,
+            injected_bug,
         };
         let count = plan.members + plan.standbys;
         let machine = |number| Arc::new(Machine::new(number, zone_of(number), &common));
         let machines = (0..count).map(machine).collect();
         World {
             plan,
-            mutant,
+            injected_bug,
             network,
             history: Mutex::default(),
             common,
@@ -89,7 +89,7 @@
     /// All machines that are not gone for good.
     pub fn machines(&self) -> Vec<Arc<Machine>> {
         let machines = self.machines.lock();
-        machines.iter().filter(|m| !m.gone.load(Ordering::Relaxed)).cloned().collect()
+        machines.iter().filter(|m| !m.removed.load(Ordering::Relaxed)).cloned().collect()
     }
 
     /// One machine by its number.
@@ -127,6 +127,6 @@
             self.network.pass(machine.ip, CALLERS).await;
             Some(answer)
         };
-        tokio::time::timeout(constants::CALLER_SILENCE, asking).await.ok().flatten()
+        tokio::time::timeout(constants::CALLER_TIMEOUT, asking).await.ok().flatten()
     }
 }
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -5,7 +5,7 @@
 #[test]
 fn a_seed_gives_the_same_history_again() {
     for point in [Point::All, Point::SecondLoss] {
-        let plan = Plan::draw(41, point);
+        let plan = Plan::random(41, point);
         let first = simulation::run(&plan, None).expect("a runtime");
         let again = simulation::run(&plan, None).expect("a runtime");
         assert!(first.history.writes.len() > 20, "{} orders", first.history.writes.len());
@@ -16,7 +16,7 @@
 #[test]
 fn another_seed_gives_another_history() {
     let fingerprint = |seed| {
-        let plan = Plan::draw(seed, Point::CutOff);
+        let plan = Plan::random(seed, Point::Isolation);
         simulation::run(&plan, None).expect("a runtime").history.fingerprint()
     };
     assert_ne!(fingerprint(1), fingerprint(2));
--- a/crates/simulation/tests/seeds.rs
+++ b/crates/simulation/tests/seeds.rs
@@ -5,7 +5,7 @@
 
 fn assert_clean(point: Point, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
-        let plan = Plan::draw(seed, point);
+        let plan = Plan::random(seed, point);
         let outcome = simulation::run(&plan, None).expect("a runtime");
         assert!(!outcome.history.writes.is_empty());
         let broken = &outcome.violations;
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn machines_cut_off() {
-    assert_clean(Point::CutOff, [200, 201, 202]);
+fn machines_isolated() {
+    assert_clean(Point::Isolation, [200, 201, 202]);
 }
 
 #[test]
