--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -22,7 +22,7 @@
         let acceptor = controller.acceptor.lock();
         (acceptor.membership().clone(), acceptor.votes(), acceptor.recovery_epoch())
     };
-    let answers = ask_voters(controller, &membership).await;
+    let answers = query_voters(controller, &membership).await;
     let highest = highest_accepted(&answers, state_machine::CONFIG);
     let voter = |member: &Member| voter_view(controller, member, &answers, highest);
     MembersView {
@@ -50,7 +50,7 @@
 }
 
 /// What each voter answers, this one too; one that says nothing in time is left out.
-async fn ask_voters(
+async fn query_voters(
     controller: &Arc<Controller>,
     membership: &Membership,
 ) -> BTreeMap<u64, BallotReport> {
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -1,6 +1,6 @@
 //! Keeps the configuration up to date: one fetch under way at a time, always for the newest.
 
-use super::table::Table;
+use super::routing_table::Table;
 use crate::Router;
 use fleet_core::configuration::ConfigError;
 use fleet_core::digest::BodyDigest;
@@ -47,21 +47,21 @@
 
 /// The body that was given, with the digest that a majority confirmed.
 pub fn rebuild(
-    given: &ConfigResponse,
-    held: Option<&ConfigBody>,
+    response: &ConfigResponse,
+    current: Option<&ConfigBody>,
 ) -> Result<ConfigBody, FetchError> {
     const MOST: usize = constants::CONFIG_BYTES;
-    let body = match (&given.form, held) {
+    let body = match (&response.form, current) {
         (Some(ConfigForm::Full(packed)), _) => packing::unpack(packed, MOST)?,
-        (Some(ConfigForm::Delta(packed)), Some(held)) => {
+        (Some(ConfigForm::Delta(packed)), Some(current)) => {
             let plain = packing::unpack(packed, MOST)?;
             let delta = ConfigDelta::decode(plain).map_err(|_| FetchError::Undecodable)?;
-            delta::apply(&delta, &held.body, MOST)?
+            delta::apply(&delta, &current.body, MOST)?
         }
         (Some(ConfigForm::Delta(_)), None) | (None, _) => return Err(FetchError::NotNewer),
     };
     let digest = BodyDigest::of(&body);
-    if digest.as_bytes() != &given.digest[..] {
+    if digest.as_bytes() != &response.digest[..] {
         return Err(FetchError::OtherDigest);
     }
     Ok(ConfigBody { digest, body })
@@ -71,21 +71,21 @@
 #[derive(Default)]
 struct Fetcher {
     /// the body that the table in force was made of
-    held: Option<ConfigBody>,
+    current: Option<ConfigBody>,
     /// failed fetches since the last one that brought something
     failures: u32,
     /// place of the next link to be asked, among those that are up
-    turn: usize,
+    next_index: usize,
     /// the last delta didn't fit: the next body is asked for whole
-    whole_next: bool,
+    full_next: bool,
 }
 
 impl Fetcher {
     /// How long a controller may take: short while another may do better, then longer after each
     /// failure, for slow lines.
     fn limit(&self) -> Duration {
-        let comes_whole = self.held.is_none() || self.whole_next;
-        let first = if comes_whole {
+        let comes_full = self.current.is_none() || self.full_next;
+        let first = if comes_full {
             constants::CONFIG_FULL_FETCH_TIMEOUT
         } else {
             constants::CONFIG_FETCH_TIMEOUT
@@ -96,47 +96,52 @@
     }
 
     /// The longest pause before the next try, in ms.
-    fn longest_pause(&self) -> u64 {
+    fn max_backoff_ms(&self) -> u64 {
         constants::CONFIG_FETCH_BACKOFF_MS << self.failures.min(5)
     }
 
-    fn ask(&self) -> ConfigRequest {
-        let held = self.held.as_ref().filter(|_| !self.whole_next);
-        let digest = held.map(|held| bytes::Bytes::copy_from_slice(held.digest.as_bytes()));
+    fn request(&self) -> ConfigRequest {
+        let current = self.current.as_ref().filter(|_| !self.full_next);
+        let digest =
+            current.map(|current| bytes::Bytes::copy_from_slice(current.digest.as_bytes()));
         ConfigRequest { digest: digest.unwrap_or_default() }
     }
 
     /// The links take turns, from a start that is drawn for each router.
-    fn next_link(&mut self, d: &Router) -> Option<Arc<Link>> {
-        let links = d.fleet_view.links_up();
+    fn next_link(&mut self, router: &Router) -> Option<Arc<Link>> {
+        let links = router.fleet_view.links_up();
         if self.failures == 0 {
-            self.turn = d.rng_state() as usize;
+            self.next_index = router.random() as usize;
         }
-        let at = self.turn.checked_rem(links.len())?;
-        self.turn = self.turn.wrapping_add(1);
+        let at = self.next_index.checked_rem(links.len())?;
+        self.next_index = self.next_index.wrapping_add(1);
         links.into_iter().nth(at)
     }
 
     /// One call, and what it gave in force.
-    async fn fetch(&mut self, d: &Arc<Router>) -> Result<(), FetchError> {
+    async fn fetch(&mut self, router: &Arc<Router>) -> Result<(), FetchError> {
         let begun = Instant::now();
-        let link = self.next_link(d).ok_or(FetchError::NoLink)?;
-        let answer = link.call(Body::ConfigRequest(self.ask()), self.limit()).await?;
-        let Body::ConfigResponse(given) = answer else {
+        let link = self.next_link(router).ok_or(FetchError::NoLink)?;
+        let answer = link.call(Body::ConfigRequest(self.request()), self.limit()).await?;
+        let Body::ConfigResponse(response) = answer else {
             return Err(FetchError::Link(LinkError::UnexpectedAnswer));
         };
-        if d.fleet_view.table().is_some_and(|table| table.version >= given.version) {
+        if router
+            .fleet_view
+            .routing_table()
+            .is_some_and(|routing_table| routing_table.version >= response.version)
+        {
             return Err(FetchError::NotNewer);
         }
-        let (version, bytes) = (given.version, given.encoded_len());
-        let held = self.held.clone();
-        let made = tokio::task::spawn_blocking(move || make_table(&given, held.as_ref()));
+        let (version, bytes) = (response.version, response.encoded_len());
+        let current = self.current.clone();
+        let made = tokio::task::spawn_blocking(move || make_table(&response, current.as_ref()));
         let made = made.await.map_err(|_| FetchError::Aborted)?;
-        self.whole_next = made.is_err();
-        let (held, table) = made?;
-        self.held = Some(held);
-        if d.fleet_view.set_table(table) {
-            fleet_core::log_event!(d.log, Event::ConfigInForce, "version" => version,
+        self.full_next = made.is_err();
+        let (current, routing_table) = made?;
+        self.current = Some(current);
+        if router.fleet_view.set_table(routing_table) {
+            fleet_core::log_event!(router.log, Event::ConfigInForce, "version" => version,
                 "bytes" => bytes, "took_ms" => begun.elapsed().as_millis() as u64);
         }
         Ok(())
@@ -145,35 +150,37 @@
 
 /// Reads a body once; on a thread of its own, beside the requests.
 fn make_table(
-    given: &ConfigResponse,
-    held: Option<&ConfigBody>,
+    response: &ConfigResponse,
+    current: Option<&ConfigBody>,
 ) -> Result<(ConfigBody, Table), FetchError> {
-    let held = rebuild(given, held)?;
-    let table = Table::compile(&held.body, given.isolation)?;
-    Ok((held, table))
+    let current = rebuild(response, current)?;
+    let routing_table = Table::compile(&current.body, response.isolation)?;
+    Ok((current, routing_table))
 }
 
 /// Fetches whenever a controller told of a version above the one in force.
-pub async fn fetching(d: Arc<Router>) {
-    let mut told = d.fleet_view.told_config();
+pub async fn run_config_fetch(router: Arc<Router>) {
+    let mut announced = router.fleet_view.announced_config();
     let mut fetcher = Fetcher::default();
     loop {
-        let wanted = *told.borrow_and_update();
-        if d.fleet_view.table().map_or(0, |table| table.version) >= wanted {
-            if told.changed().await.is_err() {
+        let wanted = *announced.borrow_and_update();
+        if router.fleet_view.routing_table().map_or(0, |routing_table| routing_table.version)
+            >= wanted
+        {
+            if announced.changed().await.is_err() {
                 return;
             }
             continue;
         }
-        let Err(error) = fetcher.fetch(&d).await else {
+        let Err(error) = fetcher.fetch(&router).await else {
             fetcher.failures = 0;
             continue;
         };
-        if fetcher.whole_next {
-            fleet_core::log_event!(d.log, Event::PeerRejected, "why" => error.to_string());
+        if fetcher.full_next {
+            fleet_core::log_event!(router.log, Event::PeerRejected, "why" => error.to_string());
         }
-        let pause = 1 + d.rng_state() % fetcher.longest_pause();
-        tokio::time::sleep(Duration::from_millis(pause)).await;
+        let backoff_ms = 1 + router.random() % fetcher.max_backoff_ms();
+        tokio::time::sleep(Duration::from_millis(backoff_ms)).await;
         fetcher.failures += u32::from(!matches!(error, FetchError::NoLink));
     }
 }
--- a/crates/data-plane/src/fleet_view/config_fetch_tests.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch_tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-fn held(body: &'static str) -> ConfigBody {
+fn current(body: &'static str) -> ConfigBody {
     ConfigBody { digest: BodyDigest::of(body.as_bytes()), body: body.into() }
 }
 
-fn given(body: &str, form: ConfigForm) -> ConfigResponse {
+fn response(body: &str, form: ConfigForm) -> ConfigResponse {
     let digest = BodyDigest::of(body.as_bytes());
     ConfigResponse {
         version: 2,
@@ -24,43 +24,44 @@
 #[test]
 fn a_body_is_rebuilt_from_the_whole_and_from_a_delta() {
     let (former, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
-    let whole = given(new, ConfigForm::Full(packing::pack(new.as_bytes())));
-    assert_eq!(rebuild(&whole, None).unwrap(), held(new));
-    assert_eq!(rebuild(&whole, Some(&held(former))).unwrap(), held(new));
-    let delta = given(new, delta_form(former, new));
-    assert_eq!(rebuild(&delta, Some(&held(former))).unwrap(), held(new));
+    let full = response(new, ConfigForm::Full(packing::pack(new.as_bytes())));
+    assert_eq!(rebuild(&full, None).unwrap(), current(new));
+    assert_eq!(rebuild(&full, Some(&current(former))).unwrap(), current(new));
+    let delta = response(new, delta_form(former, new));
+    assert_eq!(rebuild(&delta, Some(&current(former))).unwrap(), current(new));
 }
 
 #[test]
 fn a_body_with_another_digest_is_not_taken() {
     let (former, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
-    let damaged = given(new, ConfigForm::Full(packing::pack(former.as_bytes())));
+    let damaged = response(new, ConfigForm::Full(packing::pack(former.as_bytes())));
     assert!(matches!(rebuild(&damaged, None), Err(FetchError::OtherDigest)));
     let (shared, next) = ("{\"routes\":[{\"name\":\"one\"}", ",{\"name\":\"two\"}]}");
-    let unfitting = given(&[shared, next].concat(), delta_form(shared, &[shared, next].concat()));
-    let other = held("{\"routes\":[{\"name\":\"six\"}");
+    let unfitting =
+        response(&[shared, next].concat(), delta_form(shared, &[shared, next].concat()));
+    let other = current("{\"routes\":[{\"name\":\"six\"}");
     assert!(matches!(rebuild(&unfitting, Some(&other)), Err(FetchError::OtherDigest)));
     assert!(rebuild(&unfitting, None).is_err());
-    let garbled = given(new, ConfigForm::Delta(packing::pack(&[0xff; 20])));
+    let garbled = response(new, ConfigForm::Delta(packing::pack(&[0xff; 20])));
     assert!(matches!(rebuild(&garbled, Some(&other)), Err(FetchError::Undecodable)));
 }
 
 #[test]
 fn after_a_delta_that_does_not_fit_the_whole_is_asked_for() {
-    let mut fetcher = Fetcher { held: Some(held("{}")), ..Default::default() };
-    assert_eq!(fetcher.ask().digest, BodyDigest::of(b"{}").as_bytes());
-    fetcher.whole_next = true;
-    assert!(fetcher.ask().digest.is_empty());
+    let mut fetcher = Fetcher { current: Some(current("{}")), ..Default::default() };
+    assert_eq!(fetcher.request().digest, BodyDigest::of(b"{}").as_bytes());
+    fetcher.full_next = true;
+    assert!(fetcher.request().digest.is_empty());
 }
 
 #[test]
 fn waits_and_pauses_grow_with_failures_and_stay_bounded() {
     assert_eq!(Fetcher::default().limit(), constants::CONFIG_FULL_FETCH_TIMEOUT);
-    let mut fetcher = Fetcher { held: Some(held("{}")), ..Default::default() };
+    let mut fetcher = Fetcher { current: Some(current("{}")), ..Default::default() };
     let mut waits = Vec::new();
     for failures in 0..40 {
         fetcher.failures = failures;
-        waits.push((fetcher.limit(), fetcher.longest_pause()));
+        waits.push((fetcher.limit(), fetcher.max_backoff_ms()));
     }
     assert!(waits.is_sorted());
     assert_eq!(waits[2].0, constants::CONFIG_FETCH_TIMEOUT, "three controllers are asked soon");
--- a/crates/data-plane/src/fleet_view/roll.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -9,21 +9,21 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// One engine, with what placement asks of it.
-pub struct Row {
+pub struct Endpoint {
     /// The engine.
     pub engine: Arc<EngineHandle>,
     /// Where the prompt index has it.
     pub at: At,
     /// What was known of it when the row was made.
-    pub news: Engine,
+    pub state: Engine,
     /// Whether it stands in the router's zone.
     pub near: bool,
     /// heavy requests settle here: alike at all routers, and stable as engines come and go
-    pub heavy: bool,
+    pub prefill_heavy: bool,
     rank: u64,
 }
 
-impl Row {
+impl Endpoint {
     /// Rendezvous of a part with this engine.
     pub fn rank(&self, part: u64) -> u64 {
         let mixed = (self.rank ^ part).wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -34,11 +34,13 @@
 
 /// Engines that heavy requests settle at: two thirds, or fewer where long streams fill the others.
 /// `interactive` is the sum of runs that people wait for.
-pub fn heavies(engines: usize, slots: u32, interactive: f64) -> usize {
+pub fn prefill_heavy_count(engines: usize, slots: u32, interactive: f64) -> usize {
     let all = engines as f64;
     let light = (interactive / (f64::from(slots.max(1)) * constants::LIGHT_FILL)).ceil();
-    (all * constants::HEAVY_SHARE).min(all - light).max(all * constants::HEAVY_LEAST).ceil()
-        as usize
+    (all * constants::PREFILL_HEAVY_SHARE)
+        .min(all - light)
+        .max(all * constants::PREFILL_HEAVY_MIN_SHARE)
+        .ceil() as usize
 }
 
 /// No row has this number.
@@ -48,66 +50,68 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Key {
     /// news of engines
-    news: u64,
+    state: u64,
     /// moves of the index
     moves: u64,
 }
 
 /// The engines of one service, one row each.
-pub struct Roll {
+pub struct EndpointSet {
     key: Key,
     /// All engines that are not gone.
-    pub rows: Vec<Row>,
+    pub endpoints: Vec<Endpoint>,
     /// cell and holder's number, to the row
     numbers: Vec<[u16; 256]>,
 }
 
-impl Roll {
-    /// Rows for these engines; `news` tells how new they are.
+impl EndpointSet {
+    /// Rows for these engines; `state` tells how new they are.
     pub fn new(
         engines: Vec<(Arc<EngineHandle>, Engine)>,
         zone: &str,
         index: &Index,
         interactive: f64,
-        news: u64,
+        state: u64,
     ) -> Self {
-        let mut rows: Vec<Row> = engines
+        let mut endpoints: Vec<Endpoint> = engines
             .into_iter()
-            .map(|(engine, news)| Row {
+            .map(|(engine, state)| Endpoint {
                 at: index.admit(&engine.id),
-                near: news.zone == zone,
-                heavy: false,
+                near: state.zone == zone,
+                prefill_heavy: false,
                 rank: fleet_core::node::stable_hash(&[engine.id.as_bytes()]),
                 engine,
-                news,
+                state,
             })
             .collect();
-        Self::divide(&mut rows, interactive);
-        let cells = rows.iter().map(|row| row.at.cell + 1).max().unwrap_or(0);
+        Self::assign_prefill_heavy(&mut endpoints, interactive);
+        let cells = endpoints.iter().map(|endpoint| endpoint.at.cell + 1).max().unwrap_or(0);
         let mut numbers = vec![[NONE; 256]; cells];
-        for (i, row) in rows.iter().enumerate() {
-            numbers[row.at.cell][usize::from(row.at.no.index)] = i as u16;
+        for (i, endpoint) in endpoints.iter().enumerate() {
+            numbers[endpoint.at.cell][usize::from(endpoint.at.no.index)] = i as u16;
         }
-        Roll { key: Key { news, moves: index.moves() }, rows, numbers }
+        EndpointSet { key: Key { state, moves: index.moves() }, endpoints, numbers }
     }
 
     /// Marks the engines that heavy requests settle at.
-    fn divide(rows: &mut [Row], interactive: f64) {
-        let ready =
-            |row: &Row| row.news.state() == EngineState::Ready && !row.news.heartbeat_missed;
-        let mut order: Vec<usize> = (0..rows.len()).filter(|i| ready(&rows[*i])).collect();
-        order.sort_unstable_by_key(|i| (rows[*i].rank, *i));
-        let slots = rows.iter().map(|row| row.news.slots).max().unwrap_or(0);
-        let heavies = heavies(order.len(), slots, interactive);
-        for i in order.into_iter().take(heavies) {
-            rows[i].heavy = true;
+    fn assign_prefill_heavy(endpoints: &mut [Endpoint], interactive: f64) {
+        let ready = |endpoint: &Endpoint| {
+            endpoint.state.state() == EngineState::Ready && !endpoint.state.heartbeat_missed
+        };
+        let mut order: Vec<usize> =
+            (0..endpoints.len()).filter(|i| ready(&endpoints[*i])).collect();
+        order.sort_unstable_by_key(|i| (endpoints[*i].rank, *i));
+        let slots = endpoints.iter().map(|endpoint| endpoint.state.slots).max().unwrap_or(0);
+        let prefill_heavy_count = prefill_heavy_count(order.len(), slots, interactive);
+        for i in order.into_iter().take(prefill_heavy_count) {
+            endpoints[i].prefill_heavy = true;
         }
     }
 
     /// The row of a holder, by its cell and its number there.
-    pub fn row(&self, cell: usize, number: u8) -> Option<usize> {
-        let row = *self.numbers.get(cell)?.get(usize::from(number))?;
-        (row != NONE).then_some(usize::from(row))
+    pub fn endpoint(&self, cell: usize, number: u8) -> Option<usize> {
+        let endpoint = *self.numbers.get(cell)?.get(usize::from(number))?;
+        (endpoint != NONE).then_some(usize::from(endpoint))
     }
 }
 
@@ -122,24 +126,24 @@
 
 /// The rolls in use; a count that rises with all news of engines tells when one is out of date.
 #[derive(Default)]
-pub struct Rolls {
-    news: AtomicU64,
+pub struct Endpoints {
+    state: AtomicU64,
     interactive: parking_lot::Mutex<Interactive>,
-    made: parking_lot::Mutex<hashbrown::HashMap<String, Arc<Roll>, ahash::RandomState>>,
+    made: parking_lot::Mutex<hashbrown::HashMap<String, Arc<EndpointSet>, ahash::RandomState>>,
 }
 
-impl Rolls {
+impl Endpoints {
     /// Something of the engines has changed.
     pub fn stale(&self) {
-        self.news.fetch_add(1, Ordering::Release);
+        self.state.fetch_add(1, Ordering::Release);
     }
 
     /// The newest sum of runs that people wait for, at so many engines.
-    pub fn hear_interactive(&self, runs: u32, engines: usize, slots: u32) {
+    pub fn record_interactive(&self, runs: u32, engines: usize, slots: u32) {
         let mut sums = self.interactive.lock();
         sums.smoothed += (f64::from(runs) - sums.smoothed) * constants::DIVISION_WEIGHT;
-        let wanted = heavies(engines, slots, sums.smoothed);
-        let off = wanted.abs_diff(heavies(engines, slots, sums.applied));
+        let wanted = prefill_heavy_count(engines, slots, sums.smoothed);
+        let off = wanted.abs_diff(prefill_heavy_count(engines, slots, sums.applied));
         if off as f64 >= (engines as f64 * constants::DIVISION_STEP).max(1.0) {
             sums.applied = sums.smoothed;
             drop(sums);
@@ -154,23 +158,25 @@
         zone: &str,
         handles: &parking_lot::RwLock<EngineHandles>,
         index: &Index,
-    ) -> Arc<Roll> {
-        let key = Key { news: self.news.load(Ordering::Acquire), moves: index.moves() };
-        if let Some(roll) = self.made.lock().get(service).filter(|roll| roll.key == key) {
-            return roll.clone();
+    ) -> Arc<EndpointSet> {
+        let key = Key { state: self.state.load(Ordering::Acquire), moves: index.moves() };
+        if let Some(endpoint_set) =
+            self.made.lock().get(service).filter(|endpoint_set| endpoint_set.key == key)
+        {
+            return endpoint_set.clone();
         }
         let engines = handles
             .read()
             .values()
             .filter_map(|engine| {
-                let news = engine.news();
-                let wanted = news.service == service && news.state() != EngineState::Deregistered;
-                wanted.then(|| (engine.clone(), news.clone()))
+                let state = engine.state();
+                let wanted = state.service == service && state.state() != EngineState::Deregistered;
+                wanted.then(|| (engine.clone(), state.clone()))
             })
             .collect();
         let interactive = self.interactive.lock().applied;
-        let roll = Arc::new(Roll::new(engines, zone, index, interactive, key.news));
-        self.made.lock().insert(service.to_owned(), roll.clone());
-        roll
+        let endpoint_set = Arc::new(EndpointSet::new(engines, zone, index, interactive, key.state));
+        self.made.lock().insert(service.to_owned(), endpoint_set.clone());
+        endpoint_set
     }
 }
--- a/crates/data-plane/src/fleet_view/purge.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// What one fetch brought.
-pub struct Change {
+pub struct ViewUpdate {
     /// The whole view gives way.
     pub reset: bool,
     /// What holders were found to keep; on a reset, all of it.
@@ -20,7 +20,7 @@
     pub entries: Vec<RingEntry>,
 }
 
-impl Change {
+impl ViewUpdate {
     /// Applies all of it to a cache.
     pub fn apply(&self, cache: &mut impl Cache) {
         if self.reset {
@@ -41,16 +41,16 @@
         self.0.admit(holder);
     }
 
-    fn found(&mut self, holder: &str, salt: &str, part: u64, kept: Option<u64>) {
-        self.0.registered(holder, salt, part, kept);
+    fn found(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>) {
+        self.0.registered(holder, salt, part, cached_tokens);
     }
 
-    fn evict(&mut self, holder: &str, salt: &str, part: u64, kept: u64) {
-        self.0.evicted(holder, salt, part, kept);
+    fn evict(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64) {
+        self.0.evicted(holder, salt, part, cached_tokens);
     }
 
     fn drop_holder(&mut self, holder: &str) {
-        self.0.gone(holder);
+        self.0.remove(holder);
     }
 
     fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool) {
@@ -66,7 +66,7 @@
 pub struct PrefixView {
     index: Index,
     pending: AtomicBool,
-    inbox: parking_lot::Mutex<Vec<Change>>,
+    inbox: parking_lot::Mutex<Vec<ViewUpdate>>,
     found: parking_lot::Mutex<Vec<CachedParts>>,
     /// own findings, newest last, for a keeper that starts from nothing
     again: parking_lot::Mutex<std::collections::VecDeque<CachedParts>>,
@@ -85,18 +85,18 @@
     }
 
     /// Leaves a change to be applied before the next look.
-    pub fn put(&self, change: Change) {
-        self.inbox.lock().push(change);
+    pub fn put(&self, update: ViewUpdate) {
+        self.inbox.lock().push(update);
         self.pending.store(true, Ordering::Release);
     }
 
     /// The index with all applied that has come; the flag is read without a lock.
-    pub fn look(&self) -> &Index {
+    pub fn current_index(&self) -> &Index {
         if self.pending.load(Ordering::Acquire) {
             let mut inbox = self.inbox.lock();
             self.pending.store(false, Ordering::Relaxed);
-            for change in inbox.drain(..) {
-                change.apply(&mut Indexed(&self.index));
+            for update in inbox.drain(..) {
+                update.apply(&mut Indexed(&self.index));
             }
         }
         &self.index
@@ -104,14 +104,14 @@
 
     /// An own send has left this prompt at a holder; its shared parts are told if they are news.
     pub fn sent(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
-        let index = self.look();
-        let at = index.admit(holder);
-        let Some(cell) = index.cell(at.cell) else { return };
+        let index = self.current_index();
+        let position = index.admit(holder);
+        let Some(cell) = index.cell(position.cell) else { return };
         let shared = &parts[..parts.len().saturating_sub(1)];
         let chain = index.chain(salt, parts.iter().copied());
         index.learn(salt, &chain);
-        let one = prompt_index::HolderBitmap::one(at.no.index);
-        let depth = cell.query(&chain, &one).of(at.no.index);
+        let one = prompt_index::HolderBitmap::one(position.no.index);
+        let depth = cell.query(&chain, &one).of(position.no.index);
         for (part, _) in &parts[depth.min(parts.len())..] {
             index.registered(holder, salt, *part, None);
         }
@@ -121,20 +121,20 @@
     }
 
     /// Keeps a finding to be told, unless too many wait already.
-    fn remember(&self, holder: &str, salt: &str, news: &[(u64, u64)]) {
+    fn remember(&self, holder: &str, salt: &str, new_parts: &[(u64, u64)]) {
         let mut found = self.found.lock();
         if found.len() >= constants::PENDING_FINDINGS_CAPACITY {
             return;
         }
-        let held = CachedParts {
+        let entries = CachedParts {
             holder: holder.to_owned(),
             salt: salt.to_owned(),
-            parts: news.iter().map(|(part, _)| *part).collect(),
-            cached_tokens: news.iter().map(|(_, tokens)| *tokens).collect(),
+            parts: new_parts.iter().map(|(part, _)| *part).collect(),
+            cached_tokens: new_parts.iter().map(|(_, tokens)| *tokens).collect(),
         };
-        found.push(held.clone());
+        found.push(entries.clone());
         let mut again = self.again.lock();
-        again.push_back(held);
+        again.push_back(entries);
         if again.len() > constants::REPEATED_FINDINGS_CAPACITY {
             again.pop_front();
         }
@@ -146,8 +146,8 @@
     }
 
     /// Forgets a holder at once.
-    pub fn forget(&self, holder: &str) {
-        self.index.gone(holder);
+    pub fn remove_holder(&self, holder: &str) {
+        self.index.remove(holder);
     }
 }
 
@@ -158,7 +158,7 @@
 }
 
 /// Tells the index-keeper what own sends have left behind.
-pub async fn telling(router: Arc<Router>) {
+pub async fn run_findings_reporter(router: Arc<Router>) {
     loop {
         tokio::time::sleep(constants::FINDINGS_REPORT_INTERVAL).await;
         let entries = std::mem::take(&mut *router.fleet_view.prefix_view.found.lock());
@@ -173,7 +173,7 @@
 }
 
 /// Clears what gone holders have left in the index, a little at a time.
-pub async fn scrubbing(router: Arc<Router>) {
+pub async fn run_index_scrubber(router: Arc<Router>) {
     loop {
         let done = router.fleet_view.prefix_view.index.scrub(constants::SCRUB_ENTRIES);
         tokio::time::sleep(if done {
@@ -187,17 +187,17 @@
 
 /// Where this reader stands, and in which incarnation of the ring.
 #[derive(Default, Clone, Copy, PartialEq, Eq, Debug)]
-pub struct Place {
+pub struct RingPosition {
     fencing_token: u64,
     incarnation: u64,
     cursor: u64,
     found: u64,
 }
 
-impl Place {
+impl RingPosition {
     /// A place in a ring.
-    pub fn new(fencing_token: u64, incarnation: u64, cursor: u64, found: u64) -> Place {
-        Place { fencing_token, incarnation, cursor, found }
+    pub fn new(fencing_token: u64, incarnation: u64, cursor: u64, found: u64) -> RingPosition {
+        RingPosition { fencing_token, incarnation, cursor, found }
     }
 
     /// The index-keeper's fencing token.
@@ -218,42 +218,47 @@
 
 /// What an answer of the keeper does to the reader: its next place, and what to apply. None if the
 /// answer cannot be used: it is of an older keeper, of another ring without a reset, or without a head.
-pub fn step(at: Place, answer: RingResponse) -> Option<(Place, Option<Change>)> {
+pub fn step(
+    position: RingPosition,
+    answer: RingResponse,
+) -> Option<(RingPosition, Option<ViewUpdate>)> {
     let head = answer.head?;
-    if head.fencing_token < at.fencing_token {
+    if head.fencing_token < position.fencing_token {
         return None;
     }
-    if !answer.reset && (head.fencing_token, head.incarnation) != (at.fencing_token, at.incarnation)
+    if !answer.reset
+        && (head.fencing_token, head.incarnation) != (position.fencing_token, position.incarnation)
     {
         return None;
     }
-    let next = Place {
+    let next = RingPosition {
         fencing_token: head.fencing_token,
         incarnation: head.incarnation,
         cursor: answer.cursor,
         found: head.found,
     };
     let RingResponse { reset, snapshot, entries, .. } = answer;
-    let has_news = reset || !entries.is_empty() || !snapshot.is_empty();
-    Some((next, has_news.then_some(Change { reset, snapshot, entries })))
+    let has_changes = reset || !entries.is_empty() || !snapshot.is_empty();
+    Some((next, has_changes.then_some(ViewUpdate { reset, snapshot, entries })))
 }
 
 /// Fetches behind the head whenever it has moved or the keeper has nudged.
-pub async fn reading(router: Arc<Router>) {
+pub async fn run_invalidation_reader(router: Arc<Router>) {
     let view = &router.fleet_view;
-    let mut at = Place::default();
-    let mut told = (0, 0);
+    let mut position = RingPosition::default();
+    let mut announced = (0, 0);
     loop {
-        let _ = tokio::time::timeout(constants::READER_TIMEOUT / 4, view.news.notified()).await;
+        let _ =
+            tokio::time::timeout(constants::READER_TIMEOUT / 4, view.ring_moved.notified()).await;
         tokio::time::sleep(constants::RING_FETCH_DELAY).await;
         let Some(head) = view.ring.lock().clone() else { continue };
         let Some(link) = view.link_to(&head.owner) else { continue };
-        if told != (head.fencing_token, head.incarnation) {
-            told = (head.fencing_token, head.incarnation);
+        if announced != (head.fencing_token, head.incarnation) {
+            announced = (head.fencing_token, head.incarnation);
             let entries = view.prefix_view.found_before();
             let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { entries }));
         }
-        while fetch(&router, &link, &mut at).await == Fetch::More {}
+        while fetch(&router, &link, &mut position).await == Fetch::More {}
     }
 }
 
@@ -267,26 +272,26 @@
 }
 
 /// Fetches once, and leaves what came to be applied.
-async fn fetch(router: &Router, link: &Link, at: &mut Place) -> Fetch {
-    let ask = RingRequest {
-        fencing_token: at.fencing_token,
-        incarnation: at.incarnation,
-        cursor: at.cursor,
+async fn fetch(router: &Router, link: &Link, position: &mut RingPosition) -> Fetch {
+    let request = RingRequest {
+        fencing_token: position.fencing_token,
+        incarnation: position.incarnation,
+        cursor: position.cursor,
         reader: router.node.incarnation,
-        refill: *at == Place::default(),
-        found: at.found,
+        refill: *position == RingPosition::default(),
+        found: position.found,
     };
-    let limit = if ask.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
-    let Ok(Body::RingResponse(answer)) = link.call(Body::RingRequest(ask), limit).await else {
+    let limit = if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
+    let Ok(Body::RingResponse(answer)) = link.call(Body::RingRequest(request), limit).await else {
         return Fetch::Done;
     };
     let head = answer.head.as_ref().map_or(0, |head| head.head);
-    let Some((next, change)) = step(*at, answer) else { return Fetch::Done };
-    *at = next;
-    let Some(change) = change else { return Fetch::Done };
-    if change.reset {
-        fleet_core::log_event!(router.log, Event::ReaderReset, "cursor" => at.cursor);
+    let Some((next, update)) = step(*position, answer) else { return Fetch::Done };
+    *position = next;
+    let Some(update) = update else { return Fetch::Done };
+    if update.reset {
+        fleet_core::log_event!(router.log, Event::ReaderReset, "cursor" => position.cursor);
     }
-    router.fleet_view.prefix_view.put(change);
-    if at.cursor < head { Fetch::More } else { Fetch::Done }
+    router.fleet_view.prefix_view.put(update);
+    if position.cursor < head { Fetch::More } else { Fetch::Done }
 }
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -9,13 +9,18 @@
 use std::sync::Arc;
 
 /// The controllers to be linked with: the membership's, and the seeds while they may help.
-fn wanted(d: &Router) -> hashbrown::HashSet<Ipv4Addr> {
+fn addresses(router: &Router) -> hashbrown::HashSet<Ipv4Addr> {
     let mut out: hashbrown::HashSet<Ipv4Addr> =
-        d.fleet_view.membership.lock().members.iter().filter_map(|m| m.addr()).collect();
-    let up =
-        d.fleet_view.links.lock().iter().filter(|(ip, l)| out.contains(*ip) && l.is_up()).count();
+        router.fleet_view.membership.lock().members.iter().filter_map(|m| m.addr()).collect();
+    let up = router
+        .fleet_view
+        .links
+        .lock()
+        .iter()
+        .filter(|(ip, l)| out.contains(*ip) && l.is_up())
+        .count();
     if up == 0 {
-        out.extend(d.settings().seeds.iter().filter_map(|a| match a.ip() {
+        out.extend(router.settings().seeds.iter().filter_map(|a| match a.ip() {
             std::net::IpAddr::V4(ip) => Some(ip),
             std::net::IpAddr::V6(_) => None,
         }));
@@ -24,25 +29,26 @@
 }
 
 /// Keeps the links to the controllers, and tells each once a second that this router is alive.
-pub async fn watching(d: Arc<Router>) {
+pub async fn run_link_maintenance(router: Arc<Router>) {
     loop {
-        let want = wanted(&d);
+        let addresses = addresses(&router);
         {
-            let mut links = d.fleet_view.links.lock();
-            links.retain(|ip, _| want.contains(ip));
-            for ip in want {
+            let mut links = router.fleet_view.links.lock();
+            links.retain(|ip, _| addresses.contains(ip));
+            for ip in addresses {
                 links.entry(ip).or_insert_with(|| {
                     let (tx, rx) = tokio::sync::mpsc::channel(constants::LINK_BACKLOG);
-                    let link = Link::keep(&d.node, d.settings().peer_addr(ip.into()), Some(tx));
-                    tokio::spawn(hearing(d.clone(), Arc::downgrade(&link), rx));
+                    let link =
+                        Link::keep(&router.node, router.settings().peer_addr(ip.into()), Some(tx));
+                    tokio::spawn(receive_updates(router.clone(), Arc::downgrade(&link), rx));
                     link
                 });
             }
         }
-        let links: Vec<Arc<Link>> = d.fleet_view.links.lock().values().cloned().collect();
+        let links: Vec<Arc<Link>> = router.fleet_view.links.lock().values().cloned().collect();
         let heartbeat = RouterHeartbeat {
-            version: d.fleet_view.table().map_or(0, |t| t.version),
-            leaving: d.leaving.load(std::sync::atomic::Ordering::Relaxed),
+            version: router.fleet_view.routing_table().map_or(0, |t| t.version),
+            shutting_down: router.shutting_down.load(std::sync::atomic::Ordering::Relaxed),
         };
         for l in links {
             let heartbeat = heartbeat.clone();
@@ -56,8 +62,8 @@
     }
 }
 
-async fn hearing(
-    d: Arc<Router>,
+async fn receive_updates(
+    router: Arc<Router>,
     link: std::sync::Weak<Link>,
     mut rx: tokio::sync::mpsc::Receiver<Body>,
 ) {
@@ -67,8 +73,8 @@
             b = rx.recv() => b,
             changed = up.changed() => {
                 if changed.is_ok() && !*up.borrow_and_update() {
-                    d.fleet_view.disturb();
-                    fleet_core::log_event!(d.log, Event::LinkDown);
+                    router.fleet_view.disturb();
+                    fleet_core::log_event!(router.log, Event::LinkDown);
                 }
                 if changed.is_err() {
                     return;
@@ -79,12 +85,12 @@
         let v = match body {
             Some(Body::FleetUpdate(v)) => v,
             Some(Body::LoadReport(l)) => {
-                d.fleet_view.hear_loads(&l);
+                router.fleet_view.update_loads(&l);
                 continue;
             }
             Some(_) => continue,
             None => return,
         };
-        d.fleet_view.hear(&v);
+        router.fleet_view.apply(&v);
     }
 }
--- a/crates/data-plane/src/fleet_view/loads.rs
+++ b/crates/data-plane/src/fleet_view/load_reports.rs
@@ -31,39 +31,39 @@
     }
 
     /// The sum over all routers; the own part is counted as it is now, not as it was told.
-    pub fn hear_loads(&self, message: &LoadReport) {
+    pub fn update_loads(&self, message: &LoadReport) {
         let all: ByEngine = load::unpack(message).collect();
         let now = Instant::now();
         let (mut engines, mut slots) = (0, 0);
         for engine in self.engines.read().values() {
-            let news = engine.news();
-            if news.state() == EngineState::Ready && !news.heartbeat_missed {
+            let state = engine.state();
+            if state.state() == EngineState::Ready && !state.heartbeat_missed {
                 engines += 1;
-                slots = news.slots.max(slots);
+                slots = state.slots.max(slots);
             }
-            drop(news);
+            drop(state);
             let total = all.get(&engine.key).copied().unwrap_or_default();
             let mut work = engine.work();
-            work.others = total.less(&work.reported);
+            work.others = total.less(&work.last_published);
             work.others_at = Some(now);
         }
         let runs = all.values().map(|load| load.interactive).sum();
-        self.rolls.hear_interactive(runs, engines, slots);
+        self.endpoints.record_interactive(runs, engines, slots);
     }
 
     fn own_loads(&self) -> ByEngine {
         let mut own = ByEngine::default();
         for engine in self.engines.read().values() {
             let mut work = engine.work();
-            work.reported = work.own();
-            own.entry(engine.key).or_default().add(&work.reported);
+            work.last_published = work.own();
+            own.entry(engine.key).or_default().add(&work.last_published);
         }
         own
     }
 }
 
 /// Tells one controller the own loads whenever they are due.
-pub async fn telling(router: Arc<Router>) {
+pub async fn run_load_reporter(router: Arc<Router>) {
     let mut last = ReportSchedule::default();
     loop {
         tokio::time::sleep(constants::LOAD_REPORT_INTERVAL).await;
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -1,11 +1,11 @@
 //! What a router sees of the fleet; it never goes back within an incarnation.
 
 pub mod config_fetch;
+pub mod endpoints;
+pub mod invalidations;
 pub mod links;
-pub mod loads;
-pub mod purge;
-pub mod roll;
-pub mod table;
+pub mod load_reports;
+pub mod routing_table;
 
 use crate::pool::EngineHandle;
 use fleet_core::constants;
@@ -19,7 +19,7 @@
 
 /// Newest named weights of a model, and since when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Named {
+pub struct TargetVersion {
     /// The named version.
     pub version: u64,
     /// When it was named, or when the roll-out was last disturbed.
@@ -29,23 +29,23 @@
 /// What this router was told of the fleet, and what it saw itself. Nothing in it goes back to an older
 /// state.
 pub struct FleetView {
-    table: parking_lot::RwLock<Option<Arc<table::Table>>>,
+    routing_table: parking_lot::RwLock<Option<Arc<routing_table::Table>>>,
     /// The highest version of a configuration that a controller told of.
-    told_config: tokio::sync::watch::Sender<u64>,
+    announced_config: tokio::sync::watch::Sender<u64>,
     /// All engines that are known.
     pub engines: parking_lot::RwLock<EngineHandles>,
-    named: parking_lot::RwLock<hashbrown::HashMap<String, Named, ahash::RandomState>>,
+    target: parking_lot::RwLock<hashbrown::HashMap<String, TargetVersion, ahash::RandomState>>,
     /// when a controller was lost last
     disturbed: parking_lot::Mutex<Option<Instant>>,
     membership: parking_lot::Mutex<Membership>,
     /// Where the ring of invalidations stands.
     pub ring: parking_lot::Mutex<Option<RingHead>>,
     /// Wakes the reader of the ring.
-    pub news: tokio::sync::Notify,
+    pub ring_moved: tokio::sync::Notify,
     routers: AtomicUsize,
     /// What holders keep.
-    pub prefix_view: purge::PrefixView,
-    rolls: roll::Rolls,
+    pub prefix_view: invalidations::PrefixView,
+    endpoints: endpoints::Endpoints,
     links: parking_lot::Mutex<hashbrown::HashMap<std::net::Ipv4Addr, Arc<fleet_core::link::Link>>>,
 }
 
@@ -53,30 +53,30 @@
     /// A view that knows nothing.
     pub fn new() -> Self {
         FleetView {
-            table: parking_lot::RwLock::new(None),
-            told_config: tokio::sync::watch::channel(0).0,
+            routing_table: parking_lot::RwLock::new(None),
+            announced_config: tokio::sync::watch::channel(0).0,
             engines: parking_lot::RwLock::default(),
-            named: parking_lot::RwLock::default(),
+            target: parking_lot::RwLock::default(),
             disturbed: parking_lot::Mutex::default(),
             membership: parking_lot::Mutex::default(),
             ring: parking_lot::Mutex::default(),
-            news: tokio::sync::Notify::new(),
+            ring_moved: tokio::sync::Notify::new(),
             routers: AtomicUsize::new(1),
-            prefix_view: purge::PrefixView::new(),
-            rolls: roll::Rolls::default(),
+            prefix_view: invalidations::PrefixView::new(),
+            endpoints: endpoints::Endpoints::default(),
             links: parking_lot::Mutex::default(),
         }
     }
 
     /// The configuration in force, compiled; none before the first.
-    pub fn table(&self) -> Option<Arc<table::Table>> {
-        self.table.read().clone()
+    pub fn routing_table(&self) -> Option<Arc<routing_table::Table>> {
+        self.routing_table.read().clone()
     }
 
     /// Puts a configuration in force; false if a newer one, or the same, is.
-    pub fn set_table(&self, newer: table::Table) -> bool {
-        let mut current = self.table.write();
-        if current.as_ref().is_some_and(|table| table.version >= newer.version) {
+    pub fn set_table(&self, newer: routing_table::Table) -> bool {
+        let mut current = self.routing_table.write();
+        if current.as_ref().is_some_and(|routing_table| routing_table.version >= newer.version) {
             return false;
         }
         *current = Some(Arc::new(newer));
@@ -84,10 +84,10 @@
     }
 
     /// The weights named for a model.
-    pub fn named(&self, model: &str) -> Option<Named> {
-        let named = self.named.read().get(model).copied()?;
-        let since = self.disturbed.lock().map_or(named.since, |at| at.max(named.since));
-        Some(Named { since, ..named })
+    pub fn target(&self, model: &str) -> Option<TargetVersion> {
+        let target = self.target.read().get(model).copied()?;
+        let since = self.disturbed.lock().map_or(target.since, |at| at.max(target.since));
+        Some(TargetVersion { since, ..target })
     }
 
     /// A controller was lost: the roll-out may be held up, and its bound counts anew from here.
@@ -111,50 +111,51 @@
         self.links.lock().values().map(|link| link.rejected()).sum()
     }
 
-    fn hear_engine(&self, news: &Engine) {
-        let known = self.engines.read().get(&news.id).cloned();
-        self.rolls.stale();
-        match known {
+    fn update_engine(&self, update: &Engine) {
+        let current = self.engines.read().get(&update.id).cloned();
+        self.endpoints.stale();
+        match current {
             Some(engine) => {
-                engine.hear(news);
-                if news.state() == EngineState::Deregistered {
-                    self.prefix_view.forget(&news.id);
+                engine.update(update);
+                if update.state() == EngineState::Deregistered {
+                    self.prefix_view.remove_holder(&update.id);
                 }
             }
             None => {
-                if let Some(engine) = EngineHandle::new(news) {
-                    self.engines.write().insert(news.id.clone(), Arc::new(engine));
+                if let Some(engine) = EngineHandle::new(update) {
+                    self.engines.write().insert(update.id.clone(), Arc::new(engine));
                 }
             }
         }
     }
 
     /// The engines of a service, as placement weighs them.
-    pub fn roll(&self, service: &str, zone: &str) -> Arc<roll::Roll> {
-        self.rolls.of(service, zone, &self.engines, self.prefix_view.look())
+    pub fn endpoints_of(&self, service: &str, zone: &str) -> Arc<endpoints::EndpointSet> {
+        self.endpoints.of(service, zone, &self.engines, self.prefix_view.current_index())
     }
 
     /// Weights seen in an answer of an engine.
     pub fn saw_weights(&self, engine: &EngineHandle, model: &str, version: u64) {
         if engine.saw_weights(model, version) {
-            self.rolls.stale();
+            self.endpoints.stale();
         }
     }
 
-    fn hear_weights(&self, news: &TargetWeights) {
+    fn update_target(&self, update: &TargetWeights) {
         let since = Instant::now()
-            .checked_sub(std::time::Duration::from_millis(news.age_ms))
+            .checked_sub(std::time::Duration::from_millis(update.age_ms))
             .unwrap_or_else(Instant::now);
-        let mut all = self.named.write();
-        let named = all.entry_ref(news.model.as_str()).or_insert(Named { version: 0, since });
-        if news.version > named.version {
-            *named = Named { version: news.version, since };
+        let mut all = self.target.write();
+        let target =
+            all.entry_ref(update.model.as_str()).or_insert(TargetVersion { version: 0, since });
+        if update.version > target.version {
+            *target = TargetVersion { version: update.version, since };
         }
     }
 
     /// The highest version of a configuration that a controller told of.
-    pub fn told_config(&self) -> tokio::sync::watch::Receiver<u64> {
-        self.told_config.subscribe()
+    pub fn announced_config(&self) -> tokio::sync::watch::Receiver<u64> {
+        self.announced_config.subscribe()
     }
 
     /// The links to controllers that are up, in the order of their addresses; those that were
@@ -164,7 +165,8 @@
         let mut up: Vec<_> = links.iter().filter(|(_, link)| link.is_up()).collect();
         up.sort_unstable_by_key(|(ip, _)| **ip);
         let fresh = |link: &fleet_core::link::Link| {
-            link.time_since_received().is_some_and(|silence| silence < constants::CONTROLLER_FRESH)
+            link.time_since_received()
+                .is_some_and(|silent_for| silent_for < constants::CONTROLLER_FRESH)
         };
         if up.iter().any(|(_, link)| fresh(link)) {
             up.retain(|(_, link)| fresh(link));
@@ -173,45 +175,46 @@
     }
 
     /// Takes what a controller pushed.
-    pub fn hear(&self, view: &FleetUpdate) {
+    pub fn apply(&self, view: &FleetUpdate) {
         for engine in &view.engines {
-            self.hear_engine(engine);
+            self.update_engine(engine);
         }
         for weights in &view.weights {
-            self.hear_weights(weights);
+            self.update_target(weights);
         }
         if let Some(membership) = &view.membership {
-            self.hear_membership(membership);
+            self.update_membership(membership);
         }
         if let Some(head) = &view.ring {
-            self.hear_ring(head);
+            self.update_ring(head);
         }
         if view.routers > 0 {
             self.routers.store(view.routers as usize, Ordering::Relaxed);
         }
         if view.ring.is_some() || view.nudge {
-            self.news.notify_one();
+            self.ring_moved.notify_one();
         }
-        self.told_config.send_if_modified(|told| {
-            let rises = view.config > *told;
-            *told = view.config.max(*told);
+        self.announced_config.send_if_modified(|announced| {
+            let rises = view.config > *announced;
+            *announced = view.config.max(*announced);
             rises
         });
     }
 
-    fn hear_membership(&self, news: &Membership) {
+    fn update_membership(&self, update: &Membership) {
         let mut current = self.membership.lock();
-        if news.epoch > current.epoch {
-            *current = news.clone();
+        if update.epoch > current.epoch {
+            *current = update.clone();
         }
     }
 
-    fn hear_ring(&self, news: &RingHead) {
+    fn update_ring(&self, update: &RingHead) {
         let mut current = self.ring.lock();
-        let is_older =
-            |known: &RingHead| (news.fencing_token, news.head) < (known.fencing_token, known.head);
+        let is_older = |current: &RingHead| {
+            (update.fencing_token, update.head) < (current.fencing_token, current.head)
+        };
         if !current.as_ref().is_some_and(is_older) {
-            *current = Some(news.clone());
+            *current = Some(update.clone());
         }
     }
 }
--- a/crates/data-plane/src/fleet_view/table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -91,12 +91,12 @@
     /// The route of a host with the longest prefix of the path; a port in `host` is left out.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(h, _)| h);
-        let rows = self.routes.get(host).or_else(|| self.routes.get(name));
-        let rows = match rows {
+        let routes = self.routes.get(host).or_else(|| self.routes.get(name));
+        let routes = match routes {
             Some(r) => r,
             None => self.routes.get(name.to_ascii_lowercase().as_str())?,
         };
-        rows.iter().find(|r| path.starts_with(&r.path_prefix))
+        routes.iter().find(|r| path.starts_with(&r.path_prefix))
     }
 
     /// No tenants at all: all may pass, nameless.
@@ -125,11 +125,11 @@
         &self.stores
     }
 
-    /// Picks a service by weight; `rng_state` is any number.
-    pub fn pick<'a>(&self, r: &'a Route, rng_state: u64) -> Option<&'a str> {
+    /// Picks a service by weight; `random` is any number.
+    pub fn pick<'a>(&self, r: &'a Route, random: u64) -> Option<&'a str> {
         let shares = r.shares();
         let sum: u64 = shares.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut at = rng_state.checked_rem(sum)?;
+        let mut at = random.checked_rem(sum)?;
         for (s, w) in shares {
             if at < u64::from(w) {
                 return Some(s);
@@ -150,5 +150,5 @@
 }
 
 #[cfg(test)]
-#[path = "table_tests.rs"]
+#[path = "routing_table_tests.rs"]
 mod tests;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,10 +1,10 @@
 //! The data plane: what the router program is made of.
 
-pub mod budget;
 pub mod fleet_view;
-pub mod place;
+pub mod load_balancer;
 pub mod pool;
-pub mod serve;
+pub mod proxy;
+pub mod retry_budget;
 
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -24,27 +24,27 @@
 #[derive(Default)]
 pub struct Counters {
     /// Requests with a route and a service.
-    pub taken: AtomicU64,
+    pub requests: AtomicU64,
     /// Answers of engines that have begun.
-    pub begun: AtomicU64,
+    pub responses: AtomicU64,
     /// Requests turned away unsent.
-    pub refused: AtomicU64,
+    pub rejected: AtomicU64,
     /// Requests that were sent and got no answer of an engine.
     pub failed: AtomicU64,
     /// Streams that went on at another engine.
     pub resumed: AtomicU64,
     /// Second sends.
-    pub again: AtomicU64,
+    pub retries: AtomicU64,
     /// New connections to engines.
     pub connections: AtomicU64,
     /// Sends on a rested connection that was reset: the engine had perhaps forgotten it.
-    pub forgotten: AtomicU64,
+    pub idle_resets: AtomicU64,
     /// Tokens of prompts that the chosen engine was known to keep.
-    pub parts_held: AtomicU64,
+    pub cached_tokens: AtomicU64,
     /// Tokens of prompts that it was not known to keep.
-    pub parts_missing: AtomicU64,
+    pub missing_tokens: AtomicU64,
     /// Sends with a source that is known to keep what is missing.
-    pub moves: AtomicU64,
+    pub transfers: AtomicU64,
     /// Sends with a source that is only guessed.
     pub guesses: AtomicU64,
     /// Sends with a sink.
@@ -54,9 +54,9 @@
     /// Tokens of shared parts that were missing and had no known source.
     pub shared_missing: AtomicU64,
     /// Answers to requests that are heavy to read.
-    pub heavy_answers: AtomicU64,
+    pub prefill_heavy_answers: AtomicU64,
     /// Their waits for a first event, added up, in microseconds.
-    pub heavy_wait_us: AtomicU64,
+    pub prefill_heavy_wait_us: AtomicU64,
 }
 
 /// All state of a router. Lock order: table, engines, one engine's work, inbox, index; never two
@@ -70,20 +70,20 @@
     /// What is known of the fleet.
     pub fleet_view: fleet_view::FleetView,
     /// Budgets of second sends.
-    pub budgets: budget::Budgets,
+    pub budgets: retry_budget::Budgets,
     /// How long engines keep idle connections.
-    pub idle_lives: pool::idle_life::IdleLives,
+    pub idle_timeouts: pool::idle_timeout::IdleTimeouts,
     /// Counters.
     pub counters: Counters,
     /// When it was assembled.
     pub started: tokio::time::Instant,
     /// what was said of readiness last
     ready: AtomicBool,
-    leaving: AtomicBool,
+    shutting_down: AtomicBool,
     /// Open connections of clients.
     pub open: AtomicUsize,
     closing: tokio::sync::watch::Sender<bool>,
-    rng_state: AtomicU64,
+    random: AtomicU64,
 }
 
 impl Router {
@@ -91,14 +91,14 @@
     pub fn assemble(settings: fleet_core::settings::Settings, log: slog::Logger) -> Arc<Router> {
         let node = fleet_core::node::Node::start(&settings, fleet_core::node::Role::Router);
         Arc::new(Router {
-            rng_state: AtomicU64::new(node.incarnation),
+            random: AtomicU64::new(node.incarnation),
             fleet_view: fleet_view::FleetView::new(),
-            budgets: budget::Budgets::default(),
-            idle_lives: pool::idle_life::IdleLives::default(),
+            budgets: retry_budget::Budgets::default(),
+            idle_timeouts: pool::idle_timeout::IdleTimeouts::default(),
             counters: Counters::default(),
             started: tokio::time::Instant::now(),
             ready: AtomicBool::new(false),
-            leaving: AtomicBool::new(false),
+            shutting_down: AtomicBool::new(false),
             open: AtomicUsize::new(0),
             closing: tokio::sync::watch::channel(false).0,
             settings: parking_lot::RwLock::new(Arc::new(settings)),
@@ -113,32 +113,33 @@
     }
 
     /// A random number; not for secrets.
-    pub fn rng_state(&self) -> u64 {
-        let state = self.rng_state.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
+    pub fn random(&self) -> u64 {
+        let state = self.random.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
         fleet_core::node::stable_hash(&[&state.to_le_bytes()])
     }
 
     /// Whether clients may come: a configuration is in force, and the router is not leaving.
     pub fn is_ready(&self) -> bool {
-        let now = !self.leaving.load(Ordering::Relaxed) && self.fleet_view.table().is_some();
+        let now = !self.shutting_down.load(Ordering::Relaxed)
+            && self.fleet_view.routing_table().is_some();
         if self.ready.swap(now, Ordering::Relaxed) != now {
             fleet_core::log_event!(self.log, if now { Event::Ready } else { Event::Unready });
         }
         now
     }
 
-    fn count_out(&self) {
+    fn log_counters(&self) {
         let counters = &self.counters;
         let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         fleet_core::log_event!(self.log, Event::Counters,
-            "taken" => get(&counters.taken), "begun" => get(&counters.begun), "refused" => get(&counters.refused),
-            "failed" => get(&counters.failed), "resumed" => get(&counters.resumed), "again" => get(&counters.again),
-            "connections" => get(&counters.connections), "forgotten" => get(&counters.forgotten),
+            "taken" => get(&counters.requests), "begun" => get(&counters.responses), "refused" => get(&counters.rejected),
+            "failed" => get(&counters.failed), "resumed" => get(&counters.resumed), "again" => get(&counters.retries),
+            "connections" => get(&counters.connections), "forgotten" => get(&counters.idle_resets),
             "links_rejected" => self.fleet_view.links_rejected(),
-            "parts_held" => get(&counters.parts_held),
-            "parts_missing" => get(&counters.parts_missing), "moves" => get(&counters.moves),
+            "parts_held" => get(&counters.cached_tokens),
+            "parts_missing" => get(&counters.missing_tokens), "moves" => get(&counters.transfers),
             "guesses" => get(&counters.guesses), "sinks" => get(&counters.sinks), "stored" => get(&counters.stored),
-            "shared_missing" => get(&counters.shared_missing), "index" => self.fleet_view.prefix_view.look().entries());
+            "shared_missing" => get(&counters.shared_missing), "index" => self.fleet_view.prefix_view.current_index().entries());
     }
 }
 
@@ -158,16 +159,16 @@
     let (front, probe) = (listen(front)?, listen(probe)?);
     let router = Router::assemble(settings, log.clone());
     let tasks = [
-        tokio::spawn(serve::probes(router.clone(), probe)),
-        tokio::spawn(fleet_view::links::watching(router.clone())),
-        tokio::spawn(fleet_view::config_fetch::fetching(router.clone())),
-        tokio::spawn(fleet_view::purge::reading(router.clone())),
-        tokio::spawn(fleet_view::purge::telling(router.clone())),
-        tokio::spawn(fleet_view::loads::telling(router.clone())),
-        tokio::spawn(fleet_view::purge::scrubbing(router.clone())),
-        tokio::spawn(pool::sweeping(router.clone())),
+        tokio::spawn(proxy::run_readiness(router.clone(), probe)),
+        tokio::spawn(fleet_view::links::run_link_maintenance(router.clone())),
+        tokio::spawn(fleet_view::config_fetch::run_config_fetch(router.clone())),
+        tokio::spawn(fleet_view::invalidations::run_invalidation_reader(router.clone())),
+        tokio::spawn(fleet_view::invalidations::run_findings_reporter(router.clone())),
+        tokio::spawn(fleet_view::load_reports::run_load_reporter(router.clone())),
+        tokio::spawn(fleet_view::invalidations::run_index_scrubber(router.clone())),
+        tokio::spawn(pool::run_idle_sweeper(router.clone())),
     ];
-    let accepting = tokio::spawn(serve::accepting(router.clone(), front));
+    let accepting = tokio::spawn(proxy::run_client_listener(router.clone(), front));
     fleet_core::log_event!(log, Event::Started, "incarnation" => router.node.incarnation);
     let mut counted = tokio::time::interval(constants::COUNTERS_INTERVAL);
     counted.tick().await;
@@ -175,12 +176,12 @@
         tokio::select! {
             _ = stop.wait_for(|stopped| *stopped) => break,
             Some(newer) = reread.recv() => *router.settings.write() = Arc::new(newer),
-            _ = counted.tick() => router.count_out(),
+            _ = counted.tick() => router.log_counters(),
         }
     }
     fleet_core::log_event!(log, Event::Stopping);
     leave(&router, accepting).await;
-    router.count_out();
+    router.log_counters();
     for task in tasks {
         task.abort();
     }
@@ -191,7 +192,7 @@
 async fn leave(router: &Arc<Router>, accepting: tokio::task::JoinHandle<()>) {
     let end = tokio::time::Instant::now()
         + router.settings().bounds.grace.saturating_sub(constants::GRACE_MARGIN);
-    router.leaving.store(true, Ordering::Relaxed);
+    router.shutting_down.store(true, Ordering::Relaxed);
     tokio::time::sleep(constants::PROBES_MISSED).await;
     accepting.abort();
     router.closing.send_replace(true);
--- a/crates/data-plane/src/place/candidates.rs
+++ b/crates/data-plane/src/load_balancer/candidates.rs
@@ -2,8 +2,8 @@
 
 use super::prompt::Prompt;
 use crate::Router;
-use crate::fleet_view::Named;
-use crate::fleet_view::roll::{Roll, Row};
+use crate::fleet_view::TargetVersion;
+use crate::fleet_view::endpoints::{Endpoint, EndpointSet};
 use crate::pool::Health;
 use fleet_core::constants;
 use fleet_core::fleet;
@@ -14,7 +14,7 @@
 /// An engine that may run the request, under these weights.
 pub struct Candidate {
     /// its row of the roll
-    pub row: usize,
+    pub endpoint: usize,
     /// the weights that the request would run under
     pub version: Option<u64>,
     /// it is about to get other weights
@@ -37,8 +37,8 @@
     fn of(heartbeat_missed: bool, health: Health) -> Liveness {
         match (heartbeat_missed, health) {
             (false, Health::Sound | Health::Unproven) => Liveness::Awake,
-            (false, Health::Resting) | (true, Health::Sound) => Liveness::Doubtful,
-            (true, Health::Unproven | Health::Resting) => Liveness::Unlikely,
+            (false, Health::Ejected) | (true, Health::Sound) => Liveness::Doubtful,
+            (true, Health::Unproven | Health::Ejected) => Liveness::Unlikely,
         }
     }
 }
@@ -46,29 +46,29 @@
 /// Engines that may run the request; those that are likely dead only if there are no others.
 pub fn candidates(
     router: &Router,
-    roll: &Roll,
+    endpoint_set: &EndpointSet,
     prompt: &Prompt,
-    tried: &[String],
+    attempted: &[String],
     now: Instant,
 ) -> Vec<Candidate> {
     let weights = WantedWeights {
         model: prompt.model.as_deref(),
-        named: prompt.model.as_deref().and_then(|model| router.fleet_view.named(model)),
+        target: prompt.model.as_deref().and_then(|model| router.fleet_view.target(model)),
         bound: router.settings().bounds.version,
     };
-    let mut found = Vec::with_capacity(roll.rows.len());
-    for (number, row) in roll.rows.iter().enumerate() {
-        if row.news.state() != EngineState::Ready || tried.contains(&row.engine.id) {
+    let mut found = Vec::with_capacity(endpoint_set.endpoints.len());
+    for (number, endpoint) in endpoint_set.endpoints.iter().enumerate() {
+        if endpoint.state.state() != EngineState::Ready || attempted.contains(&endpoint.engine.id) {
             continue;
         }
-        found.extend(weights.candidate(number, row, now));
+        found.extend(weights.candidate(number, endpoint, now));
     }
-    keep_liveliest(&mut found);
+    retain_liveliest(&mut found);
     found
 }
 
 /// Drops all but those that most speaks for.
-fn keep_liveliest(found: &mut Vec<Candidate>) {
+fn retain_liveliest(found: &mut Vec<Candidate>) {
     if let Some(best) = found.iter().map(|candidate| candidate.liveness).max() {
         found.retain(|candidate| candidate.liveness == best);
     }
@@ -77,42 +77,47 @@
 /// The weights that a request wants, and how long older ones may serve it.
 struct WantedWeights<'a> {
     model: Option<&'a str>,
-    named: Option<Named>,
+    target: Option<TargetVersion>,
     bound: Duration,
 }
 
 impl WantedWeights<'_> {
     /// The engine, if its weights allow it.
-    fn candidate(&self, number: usize, row: &Row, now: Instant) -> Option<Candidate> {
-        let named_version = self.named.map(|named| named.version);
-        let marked = row.engine.is_marked(now);
-        let is_updating = |model| fleet::is_updating(&row.news, model, named_version);
+    fn candidate(&self, number: usize, endpoint: &Endpoint, now: Instant) -> Option<Candidate> {
+        let target_version = self.target.map(|target| target.version);
+        let marked = endpoint.engine.has_rollout_mark(now);
+        let is_updating = |model| fleet::is_updating(&endpoint.state, model, target_version);
         if marked && self.model.is_some_and(is_updating) {
             return None;
         }
-        let version = self.model.and_then(|model| fleet::version_of(&row.news, model));
-        if self.model.is_some() && !row.news.weights.is_empty() && version.is_none() {
+        let version = self.model.and_then(|model| fleet::version_of(&endpoint.state, model));
+        if self.model.is_some() && !endpoint.state.weights.is_empty() && version.is_none() {
             return None;
         }
-        if version.is_some_and(|version| !version_allowed(version, self.named, now, self.bound)) {
+        if version.is_some_and(|version| !version_allowed(version, self.target, now, self.bound)) {
             return None;
         }
         let is_draining_streams =
-            |model| fleet::is_draining_streams(&row.news, model, named_version);
+            |model| fleet::is_draining_streams(&endpoint.state, model, target_version);
         Some(Candidate {
-            row: number,
+            endpoint: number,
             version,
             draining_streams: marked && self.model.is_some_and(is_draining_streams),
-            liveness: Liveness::of(row.news.heartbeat_missed, row.engine.health(now)),
+            liveness: Liveness::of(endpoint.state.heartbeat_missed, endpoint.engine.health(now)),
         })
     }
 }
 
 /// May a send still go to an engine with these weights?
-pub fn version_allowed(engine: u64, named: Option<Named>, now: Instant, bound: Duration) -> bool {
-    let Some(named) = named else { return true };
-    let late = named.since + bound.saturating_sub(constants::VERSION_MARGIN);
-    engine >= named.version || now < late
+pub fn version_allowed(
+    engine: u64,
+    target: Option<TargetVersion>,
+    now: Instant,
+    bound: Duration,
+) -> bool {
+    let Some(target) = target else { return true };
+    let late = target.since + bound.saturating_sub(constants::VERSION_MARGIN);
+    engine >= target.version || now < late
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -0,0 +1,221 @@
+//! Where a request goes: the engine that costs it and the others least.
+
+pub mod candidates;
+pub mod cost;
+pub mod kv_transfer;
+pub mod prefix_cache;
+pub mod prompt;
+pub mod request_profile;
+
+use crate::Router;
+use crate::fleet_view::endpoints::Endpoint;
+use crate::fleet_view::routing_table::{Table, Tenant};
+use crate::pool::EngineHandle;
+use candidates::Candidate;
+use cost::{CachedTokens, Cost};
+use fleet_core::constants;
+use kv_transfer::Source;
+use prefix_cache::PrefixCache;
+use prompt::Prompt;
+use request_profile::{RequestProfile, SelectionContext};
+use smallvec::SmallVec;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use tokio::time::Instant;
+
+/// One engine for one send, and under what memory it may run.
+pub struct Choice {
+    /// the engine
+    pub engine: Arc<EngineHandle>,
+    /// the weights that it may run under
+    pub version: Option<u64>,
+    /// the text under which its parts are kept
+    pub salt: Option<String>,
+    /// tokens that the engine is expected to read
+    pub prefill_tokens: u64,
+    /// where it may take parts from
+    pub source: Option<String>,
+    /// the engine there, if it is none of the stores
+    pub source_engine: Option<Arc<EngineHandle>>,
+    /// the store that it sends its parts to
+    pub sink: Option<String>,
+}
+
+/// Why no engine was chosen.
+#[derive(Debug, PartialEq, Eq, Clone, Copy)]
+pub enum NoEndpoint {
+    /// no engine of the service is known that may run it
+    Unknown,
+    /// all are full
+    Full,
+}
+
+/// Chooses an engine for a request, none of those that were tried.
+pub fn choose_engine(
+    router: &Router,
+    routing_table: &Table,
+    service: &str,
+    tenant: Option<&Tenant>,
+    prompt: &Prompt,
+    attempted: &[String],
+) -> Result<Choice, NoEndpoint> {
+    let now = Instant::now();
+    let index = router.fleet_view.prefix_view.current_index();
+    let endpoint_set = router.fleet_view.endpoints_of(service, &router.node.zone);
+    let candidates = candidates::candidates(router, &endpoint_set, prompt, attempted, now);
+    if candidates.is_empty() {
+        return Err(NoEndpoint::Unknown);
+    }
+    let request = RequestProfile::new(routing_table, service, prompt, index, &router.node.zone);
+    let context = SelectionContext { request, endpoint_set: &endpoint_set, index, now };
+    let isolation = prefix_cache::isolation(tenant, routing_table.isolation);
+    let selection = Selection {
+        prefix_caches: prefix_cache::prefix_caches(&context, &candidates, &isolation),
+        affinity_target: affinity_target(&context, &candidates),
+        newest: candidates.iter().filter_map(|candidate| candidate.version).max(),
+        context,
+    };
+    let best = selection.cheapest(&candidates).ok_or(NoEndpoint::Unknown)?;
+    if best.cost.is_full {
+        return Err(NoEndpoint::Full);
+    }
+    Ok(selection.choose(router, &best))
+}
+
+/// Where the deepest shared part settles, alike at all routers.
+fn affinity_target(context: &SelectionContext, candidates: &[Candidate]) -> Option<usize> {
+    let part = context.request.prompt.deepest_shared()?;
+    let prefill_heavy = context.request.prompt.is_prefill_heavy();
+    let rank = |endpoint: &Endpoint| (endpoint.prefill_heavy == prefill_heavy, endpoint.rank(part));
+    candidates
+        .iter()
+        .map(|candidate| candidate.endpoint)
+        .max_by_key(|endpoint| rank(&context.endpoint_set.endpoints[*endpoint]))
+}
+
+/// One placement under way.
+struct Selection<'a> {
+    context: SelectionContext<'a>,
+    prefix_caches: SmallVec<[PrefixCache; 2]>,
+    affinity_target: Option<usize>,
+    /// the newest weights that any candidate has
+    newest: Option<u64>,
+}
+
+/// A candidate that was weighed, and the source that would spare it most.
+struct Best<'a> {
+    candidate: &'a Candidate,
+    cost: Cost,
+    source: Option<&'a Source>,
+}
+
+impl<'a> Selection<'a> {
+    fn endpoint(&self, candidate: &Candidate) -> &'a Endpoint {
+        &self.context.endpoint_set.endpoints[candidate.endpoint]
+    }
+
+    fn prefix_cache(&self, candidate: &Candidate) -> Option<&PrefixCache> {
+        let version = candidate.version?;
+        self.prefix_caches.iter().find(|prefix_cache| prefix_cache.version == version)
+    }
+
+    /// Tokens of the prompt that a candidate was seen to keep.
+    fn cached(&self, candidate: &Candidate) -> u64 {
+        self.prefix_cache(candidate)
+            .map_or(0, |prefix_cache| prefix_cache.cached(candidate.endpoint))
+    }
+
+    fn cheapest<'b>(&'b self, candidates: &'b [Candidate]) -> Option<Best<'b>> {
+        let mut best: Option<Best> = None;
+        for candidate in candidates {
+            let next = self.evaluate(candidate);
+            let key = |b: &Best| (b.cost.is_full, b.cost.ms);
+            if best.as_ref().is_none_or(|best| key(&next) < key(best)) {
+                best = Some(next);
+            }
+        }
+        best
+    }
+
+    fn evaluate<'b>(&'b self, candidate: &'b Candidate) -> Best<'b> {
+        let (endpoint, request, now) =
+            (self.endpoint(candidate), &self.context.request, self.context.now);
+        let cached = self.cached(candidate);
+        let is_affinity_target = self.affinity_target == Some(candidate.endpoint);
+        let source = self
+            .prefix_cache(candidate)
+            .and_then(|prefix_cache| prefix_cache.sources.best(request, endpoint, cached));
+        let settled = is_affinity_target && !endpoint.engine.is_warming(now);
+        let tokens = CachedTokens {
+            known: cached,
+            guessed: if settled { request.prompt.shared() } else { 0 },
+        };
+        let offer = source.map(|source| source.for_endpoint(request, endpoint, cached));
+        let mut cost = cost::evaluate(request, endpoint, &tokens, offer.as_ref(), now);
+        if candidate.version < self.newest {
+            cost.ms += constants::WAIT_COST_MS;
+        }
+        if candidate.draining_streams && !request.prompt.is_prefill_heavy() {
+            cost.ms += constants::STREAM_DRAIN_COST_MS;
+        }
+        if is_affinity_target && source.is_some() && endpoint.engine.is_warming(now) {
+            cost.ms -= constants::WARM_UP_BONUS_MS;
+        }
+        Best { candidate, cost, source }
+    }
+
+    fn choose(&self, router: &Router, best: &Best) -> Choice {
+        let prefix_cache = self.prefix_cache(best.candidate);
+        let asked = self.choose_source(best);
+        let sink = prefix_cache.and_then(|prefix_cache| {
+            kv_transfer::sink(&self.context.request, &prefix_cache.sources)
+        });
+        self.count(router, best, asked.is_some(), sink.is_some());
+        let (source, source_engine) = asked.unzip();
+        Choice {
+            engine: self.endpoint(best.candidate).engine.clone(),
+            version: best.candidate.version,
+            salt: prefix_cache.map(|prefix_cache| prefix_cache.salt.clone()),
+            prefill_tokens: best.cost.prefill_tokens,
+            source,
+            source_engine: source_engine.flatten(),
+            sink,
+        }
+    }
+
+    /// Who is asked for what is missing: the best source, another holder, or the part's home.
+    fn choose_source(&self, best: &Best) -> Option<(String, Option<Arc<EngineHandle>>)> {
+        if let Some(source) = best.source {
+            return Some((source.address.clone(), source.engine.clone()));
+        }
+        let prefix_cache = self.prefix_cache(best.candidate)?;
+        if let Some(holder) = prefix_cache.sources.second(self.endpoint(best.candidate)) {
+            return Some((holder.address.clone(), holder.engine.clone()));
+        }
+        let affinity_target = self
+            .affinity_target
+            .filter(|affinity_target| *affinity_target != best.candidate.endpoint);
+        let affinity_target = affinity_target
+            .map(|affinity_target| &self.context.endpoint_set.endpoints[affinity_target]);
+        kv_transfer::guess(&self.context.request, self.cached(best.candidate), affinity_target)
+    }
+
+    fn count(&self, router: &Router, best: &Best, asks: bool, sinks: bool) {
+        let (counters, prompt) = (&router.counters, self.context.request.prompt);
+        let prefill_tokens = best.cost.prefill_tokens;
+        let cached = prompt.tokens().saturating_sub(prefill_tokens);
+        let stored = self
+            .prefix_cache(best.candidate)
+            .is_some_and(|prefix_cache| prefix_cache.sources.is_stored());
+        counters.missing_tokens.fetch_add(prefill_tokens, Ordering::Relaxed);
+        counters.cached_tokens.fetch_add(cached, Ordering::Relaxed);
+        counters.transfers.fetch_add(u64::from(best.source.is_some()), Ordering::Relaxed);
+        counters.stored.fetch_add(u64::from(stored), Ordering::Relaxed);
+        counters.sinks.fetch_add(u64::from(sinks), Ordering::Relaxed);
+        if asks && best.source.is_none() {
+            let shared = prompt.shared().saturating_sub(self.cached(best.candidate));
+            counters.guesses.fetch_add(1, Ordering::Relaxed);
+            counters.shared_missing.fetch_add(shared, Ordering::Relaxed);
+        }
+    }
+}
--- a/crates/data-plane/src/place/memory_tests.rs
+++ b/crates/data-plane/src/load_balancer/prefix_cache_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `memory`.
+//! Tests of `prefix_cache`.
 
 use super::*;
 
--- a/crates/data-plane/src/place/prompt.rs
+++ b/crates/data-plane/src/load_balancer/prompt.rs
@@ -67,8 +67,8 @@
     }
 
     /// More to read than to write: kept apart from the long streams, whose pace reading slows.
-    pub fn is_heavy(&self) -> bool {
-        self.read.max(self.tokens()) > self.put_out * fleet_core::constants::HEAVY_RATIO
+    pub fn is_prefill_heavy(&self) -> bool {
+        self.read.max(self.tokens()) > self.put_out * fleet_core::constants::PREFILL_HEAVY_RATIO
     }
 
     /// Tokens read and put out.
--- a/crates/data-plane/src/place/ask.rs
+++ b/crates/data-plane/src/load_balancer/request_profile.rs
@@ -1,8 +1,8 @@
 //! What a request asks of engines, stores and moves: what placement weighs and sources answer.
 
 use super::prompt::Prompt;
-use crate::fleet_view::roll::Roll;
-use crate::fleet_view::table::Table;
+use crate::fleet_view::endpoints::EndpointSet;
+use crate::fleet_view::routing_table::Table;
 use fleet_core::configuration::Service;
 use fleet_core::constants;
 use prompt_index::{At, Index};
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// What the engines are weighed for.
-pub struct Ask<'a> {
+pub struct RequestProfile<'a> {
     /// the prompt to be read
     pub prompt: &'a Prompt,
     /// this router's zone
@@ -25,21 +25,21 @@
     pub stores: SmallVec<[Store<'a>; 4]>,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> RequestProfile<'a> {
     /// For a prompt at a service, with the stores that the index knows.
     pub fn new(
-        table: &'a Table,
+        routing_table: &'a Table,
         service: &str,
         prompt: &'a Prompt,
         index: &Index,
         zone: &'a str,
-    ) -> Ask<'a> {
-        let facts = table.service(service).and_then(|s| s.engine.as_ref());
+    ) -> RequestProfile<'a> {
+        let facts = routing_table.service(service).and_then(|s| s.engine.as_ref());
         let part = prompt.deepest_shared().unwrap_or(0);
         let mut stores: SmallVec<[Store; 4]> =
-            table.stores().iter().filter_map(|s| Store::new(s, index, part)).collect();
+            routing_table.stores().iter().filter_map(|s| Store::new(s, index, part)).collect();
         stores.sort_by_key(|s| std::cmp::Reverse(s.rank));
-        Ask {
+        RequestProfile {
             prompt,
             zone,
             capacity: facts.map_or(0, |f| f.kv_capacity),
@@ -50,9 +50,9 @@
     }
 
     /// ms that a move of so many tokens takes.
-    pub fn move_ms(&self, tokens: u64, mbps: f64, near: bool) -> f64 {
+    pub fn transfer_ms(&self, tokens: u64, mbps: f64, near: bool) -> f64 {
         let far = if near { 1.0 } else { 2.0 };
-        constants::MOVE_COST_MS + tokens as f64 * self.token_bits / (mbps.max(1.0) * 1e3) * far
+        constants::TRANSFER_COST_MS + tokens as f64 * self.token_bits / (mbps.max(1.0) * 1e3) * far
     }
 }
 
@@ -101,11 +101,11 @@
 }
 
 /// What one placement goes by: a request, the engines of its service, and what the index knows.
-pub struct Scene<'a> {
+pub struct SelectionContext<'a> {
     /// what the request asks
-    pub ask: Ask<'a>,
+    pub request: RequestProfile<'a>,
     /// the engines of the service
-    pub roll: &'a Roll,
+    pub endpoint_set: &'a EndpointSet,
     /// who keeps which parts
     pub index: &'a Index,
     /// one time for all that is weighed
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an engine: Idle, Leased, Streaming, then Reusable (idle again) or Spent (dropped).
 
 use super::EngineHandle;
-use super::idle_life::IdleLife;
+use super::idle_timeout::IdleTimeout;
 use crate::Router;
 use fleet_core::constants;
 use hyper::body::Incoming;
@@ -39,7 +39,7 @@
     /// broke off after the request, or a part of it, was sent
     Uncertain,
     /// reset by an engine that had perhaps forgotten the idle connection; the request may have run
-    Forgotten,
+    IdleReset,
 }
 
 /// Counts an open connection until dropped.
@@ -59,7 +59,7 @@
     sender: SendRequest<Sent>,
     open: Open,
     resting: Arc<Resting>,
-    life: Arc<IdleLife>,
+    idle_timeout: Arc<IdleTimeout>,
 }
 
 impl Drop for Wire {
@@ -76,10 +76,10 @@
 }
 
 /// A connection for one request.
-pub struct Leased {
+pub struct PooledConnection {
     wire: Wire,
     /// how long it rested before; none for a new one
-    rested: Option<Duration>,
+    idle_time: Option<Duration>,
 }
 
 /// A connection that an answer has begun on.
@@ -100,18 +100,18 @@
     }
 
     /// How long it has rested.
-    pub fn rest(&self, now: Instant) -> Duration {
+    pub fn idle_time(&self, now: Instant) -> Duration {
         now.duration_since(self.since)
     }
 
-    fn lease(self, now: Instant) -> Leased {
+    fn checkout(self, now: Instant) -> PooledConnection {
         self.wire.resting.0.lock().take();
-        Leased { rested: Some(self.rest(now)), wire: self.wire }
+        PooledConnection { idle_time: Some(self.idle_time(now)), wire: self.wire }
     }
 }
 
 /// What a connection is wanted for.
-pub struct Wanted<'a> {
+pub struct Checkout<'a> {
     /// the service that the engine belongs to
     pub service: &'a str,
     /// connections to the engine that this router may have open
@@ -121,26 +121,27 @@
 }
 
 /// The idle connection that was used last, if it is fit, else a new one within the router's share.
-pub async fn lease(
+pub async fn checkout(
     router: &Router,
     engine: &Arc<EngineHandle>,
-    wanted: Wanted<'_>,
-) -> Result<Leased, ConnectionError> {
+    checkout: Checkout<'_>,
+) -> Result<PooledConnection, ConnectionError> {
     let now = Instant::now();
-    let life = router.idle_lives.of(wanted.service);
-    let longest = if wanted.repeatable { Duration::MAX } else { life.safe_rest(now) };
-    if let Some(idle) = engine.take_idle(now, longest) {
-        return Ok(idle.lease(now));
+    let idle_timeout = router.idle_timeouts.of(checkout.service);
+    let longest =
+        if checkout.repeatable { Duration::MAX } else { idle_timeout.safe_idle_time(now) };
+    if let Some(idle) = engine.checkout_idle(now, longest) {
+        return Ok(idle.checkout(now));
     }
-    connect(router, engine, life, wanted.share).await
+    connect(router, engine, idle_timeout, checkout.share).await
 }
 
 async fn connect(
     router: &Router,
     engine: &Arc<EngineHandle>,
-    life: Arc<IdleLife>,
+    idle_timeout: Arc<IdleTimeout>,
     share: u32,
-) -> Result<Leased, ConnectionError> {
+) -> Result<PooledConnection, ConnectionError> {
     let open = open_within(engine, share).ok_or(ConnectionError::Full)?;
     let io = fleet_core::link::connect(router.node.ip, engine.address, constants::CONNECT_TIMEOUT)
         .await
@@ -154,7 +155,7 @@
     let resting = Arc::<Resting>::default();
     tokio::spawn(drive(connection, resting.clone(), engine.clone()));
     sender.ready().await.map_err(|_| ConnectionError::Closed)?;
-    Ok(Leased { wire: Wire { sender, open, resting, life }, rested: None })
+    Ok(PooledConnection { wire: Wire { sender, open, resting, idle_timeout }, idle_time: None })
 }
 
 /// Counts one more connection; an idle one that is not fit gives way where there is no room.
@@ -181,14 +182,14 @@
     let _ = connection.await;
     let since = resting.0.lock().take();
     if let Some(since) = since {
-        engine.suspect_forgetting(since.elapsed());
+        engine.suspect_idle_close(since.elapsed());
     }
 }
 
-impl Leased {
+impl PooledConnection {
     /// No request went out on it before.
     pub fn is_new(&self) -> bool {
-        self.rested.is_none()
+        self.idle_time.is_none()
     }
 
     /// Gives the answer's head, or says whether the request may have been read.
@@ -201,8 +202,8 @@
         }
         match self.wire.sender.try_send_request(request).await {
             Ok(response) => {
-                if let Some(rested) = self.rested {
-                    self.wire.life.served_after(rested, Instant::now());
+                if let Some(idle_time) = self.idle_time {
+                    self.wire.idle_timeout.record_reuse(idle_time, Instant::now());
                 }
                 let keep = keep_for(response.headers());
                 Ok((Streaming { wire: self.wire, keep }, response))
@@ -216,14 +217,15 @@
 
     /// A break after a rest is laid to the rest; all that rested longer is then dropped too.
     fn uncertain_end(self) -> SendError {
-        let Some(rested) = self.rested.filter(|rested| *rested >= constants::IDLE_LIFE_LEAST)
+        let Some(idle_time) =
+            self.idle_time.filter(|idle_time| *idle_time >= constants::IDLE_TIMEOUT_MIN)
         else {
             return SendError::Uncertain;
         };
         let engine = &self.wire.open.0;
-        engine.suspect_forgetting(rested);
+        engine.suspect_idle_close(idle_time);
         engine.drop_all_idle();
-        SendError::Forgotten
+        SendError::IdleReset
     }
 }
 
@@ -235,11 +237,11 @@
     if closes {
         return None;
     }
-    let told = h.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
+    let reported = h.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
         v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
     });
-    let Some(s) = told else { return Some(constants::IDLE_LIMIT) };
-    let keep = Duration::from_secs(s).mul_f64(0.6).min(constants::IDLE_LIMIT);
+    let Some(s) = reported else { return Some(constants::IDLE_CONNECTION_TIMEOUT) };
+    let keep = Duration::from_secs(s).mul_f64(0.6).min(constants::IDLE_CONNECTION_TIMEOUT);
     (!keep.is_zero()).then_some(keep)
 }
 
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -12,7 +12,7 @@
 
 /// What an engine told of itself with an answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Told {
+pub struct ReportedLoad {
     /// requests that it runs
     pub running: u32,
     /// requests that wait there
@@ -23,16 +23,16 @@
     pub at: Instant,
 }
 
-impl Told {
+impl ReportedLoad {
     /// Reads the header; none if it is malformed.
-    pub fn read(text: &str, at: Instant) -> Option<Told> {
+    pub fn read(text: &str, at: Instant) -> Option<ReportedLoad> {
         let mut it = text.split(',').map(|x| x.trim().parse::<u32>());
         let (Some(Ok(running)), Some(Ok(waiting)), Some(Ok(slots))) =
             (it.next(), it.next(), it.next())
         else {
             return None;
         };
-        Some(Told { running, waiting, slots, at })
+        Some(ReportedLoad { running, waiting, slots, at })
     }
 }
 
@@ -46,11 +46,11 @@
     /// tokens of own sends that have no end yet
     pub tokens: u64,
     /// moves of own sends that take from here and have no end yet
-    pub moves: u32,
+    pub transfers: u32,
     /// own sends in flight that somebody waits for
     pub interactive: u32,
     /// own load as it was told last
-    pub reported: Load,
+    pub last_published: Load,
     /// load of all other routers
     pub others: Load,
     /// when that was heard
@@ -60,11 +60,11 @@
     /// shortest rest after which it dropped a connection, as long as it has not answered since
     suspected: Option<Duration>,
     /// what the engine told last
-    pub told: Option<Told>,
+    pub reported: Option<ReportedLoad>,
     /// left alone until then
-    rest_until: Option<Instant>,
+    ejected_until: Option<Instant>,
     /// how long it was left alone last
-    rest: Duration,
+    ejection_time: Duration,
     /// heavy answers of a newcomer, and their waits
     firsts: (u64, Duration),
 }
@@ -94,10 +94,10 @@
     /// where it listens
     pub address: SocketAddr,
     met: Instant,
-    newcomer: bool,
-    news: parking_lot::RwLock<Engine>,
+    is_new: bool,
+    state: parking_lot::RwLock<Engine>,
     /// when the roll-out last said something new of it
-    marked: parking_lot::Mutex<Instant>,
+    marked_at: parking_lot::Mutex<Instant>,
     work: parking_lot::Mutex<Work>,
     /// connections open, used or not; outside the lock, for they also end under it
     pub(super) open: AtomicU32,
@@ -111,7 +111,7 @@
     /// It broke a connection or let none come up, and was left alone since; it has served nothing yet.
     Unproven,
     /// It broke a connection or let none come up a short time ago, and is left alone.
-    Resting,
+    Ejected,
 }
 
 impl EngineHandle {
@@ -122,61 +122,62 @@
             key: fleet_core::load::key_of(&e.id),
             address: e.address.parse().ok()?,
             met: Instant::now(),
-            newcomer: e.call <= constants::NEWCOMER_CALLS,
-            news: parking_lot::RwLock::new(e.clone()),
-            marked: parking_lot::Mutex::new(Instant::now()),
+            is_new: e.call <= constants::NEW_ENGINE_CALLS,
+            state: parking_lot::RwLock::new(e.clone()),
+            marked_at: parking_lot::Mutex::new(Instant::now()),
             work: parking_lot::Mutex::default(),
             open: AtomicU32::new(0),
         })
     }
 
     /// Takes in what the controllers know of it.
-    pub fn hear(&self, news: &Engine) {
-        let mut n = self.news.write();
+    pub fn update(&self, state: &Engine) {
+        let mut n = self.state.write();
         let before = (n.drain_seq, n.update_seq);
-        fleet_core::fleet::merge(&mut n, news);
+        fleet_core::fleet::merge(&mut n, state);
         if (n.drain_seq, n.update_seq) != before {
-            *self.marked.lock() = Instant::now();
+            *self.marked_at.lock() = Instant::now();
         }
         drop(n);
-        if news.state() == EngineState::Deregistered {
+        if state.state() == EngineState::Deregistered {
             self.work().idle.clear();
         }
     }
 
     /// Marks of the roll-out count only so long: who set them may be gone.
-    pub fn is_marked(&self, now: Instant) -> bool {
-        now.duration_since(*self.marked.lock()) < constants::ROLLOUT_STATE_TIMEOUT
+    pub fn has_rollout_mark(&self, now: Instant) -> bool {
+        now.duration_since(*self.marked_at.lock()) < constants::ROLLOUT_STATE_TIMEOUT
     }
 
     /// What the controllers know of it.
-    pub fn news(&self) -> parking_lot::RwLockReadGuard<'_, Engine> {
-        self.news.read()
+    pub fn state(&self) -> parking_lot::RwLockReadGuard<'_, Engine> {
+        self.state.read()
     }
 
     /// Weights seen in an answer; true if they are news.
     pub fn saw_weights(&self, model: &str, version: u64) -> bool {
-        fleet_core::fleet::version_of(&self.news(), model).is_some_and(|s| s < version)
-            && fleet_core::fleet::raise(&mut self.news.write(), model, version)
+        fleet_core::fleet::version_of(&self.state(), model).is_some_and(|s| s < version)
+            && fleet_core::fleet::raise(&mut self.state.write(), model, version)
     }
 
     /// Just started: what it was not seen to keep, it does not keep.
     pub fn is_warming(&self, now: Instant) -> bool {
-        self.newcomer && now < self.met + constants::WARM_SPAN
+        self.is_new && now < self.met + constants::WARM_UP_PERIOD
     }
 
     /// Counts the wait of a heavy answer; gives the mean once the first few have come.
     pub fn first_waits(&self, wait: Duration) -> Option<Duration> {
-        if !self.newcomer {
+        if !self.is_new {
             return None;
         }
         let mut w = self.work();
-        if w.firsts.0 >= constants::WARM_ANSWERS {
+        if w.firsts.0 >= constants::WARM_UP_ANSWERS {
             return None;
         }
         w.firsts.0 += 1;
         w.firsts.1 += wait;
-        (w.firsts.0 == constants::WARM_ANSWERS).then(|| w.firsts.1 / constants::WARM_ANSWERS as u32)
+        (w.firsts.0 == constants::WARM_UP_ANSWERS)
+            .then(|| w.firsts.1 / constants::WARM_UP_ANSWERS as u32)
     }
 
     /// What goes on there.
@@ -185,54 +186,56 @@
     }
 
     /// Is it left alone for now?
-    pub fn is_resting(&self, now: Instant) -> bool {
-        self.work().rest_until.is_some_and(|t| now < t)
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.work().ejected_until.is_some_and(|t| now < t)
     }
 
     /// What its connections tell of it.
     pub fn health(&self, now: Instant) -> Health {
         let work = self.work();
-        match work.rest_until {
+        match work.ejected_until {
             None => Health::Sound,
-            Some(until) if now < until => Health::Resting,
+            Some(until) if now < until => Health::Ejected,
             Some(_) => Health::Unproven,
         }
     }
 
     /// Broke a connection or let none come up: left alone for a while, longer each time.
-    pub fn broke(&self, now: Instant) {
+    pub fn record_failure(&self, now: Instant) {
         let mut w = self.work();
-        if w.rest_until.is_some_and(|t| now < t) {
+        if w.ejected_until.is_some_and(|t| now < t) {
             return;
         }
-        w.rest = (w.rest * 2).clamp(constants::ENGINE_REST, constants::ENGINE_REST_MAX);
-        w.rest_until = Some(now + w.rest);
+        w.ejection_time = (w.ejection_time * 2)
+            .clamp(constants::BASE_EJECTION_TIME, constants::MAX_EJECTION_TIME);
+        w.ejected_until = Some(now + w.ejection_time);
     }
 
     /// It answers: what it dropped before was not lost by its end. Gives the shortest rest after
     /// which that happened.
-    pub fn served(&self) -> Option<Duration> {
+    pub fn record_success(&self) -> Option<Duration> {
         let mut w = self.work();
-        w.rest = Duration::ZERO;
-        w.rest_until = None;
+        w.ejection_time = Duration::ZERO;
+        w.ejected_until = None;
         w.suspected.take()
     }
 
     /// Dropped a connection after this rest: forgotten, unless the engine ended.
-    pub fn suspect_forgetting(&self, rest: Duration) {
-        if rest < constants::IDLE_LIFE_LEAST || self.news().state() != EngineState::Ready {
+    pub fn suspect_idle_close(&self, ejection_time: Duration) {
+        if ejection_time < constants::IDLE_TIMEOUT_MIN || self.state().state() != EngineState::Ready
+        {
             return;
         }
         let mut w = self.work();
-        w.suspected = Some(w.suspected.map_or(rest, |known| known.min(rest)));
+        w.suspected = Some(w.suspected.map_or(ejection_time, |known| known.min(ejection_time)));
     }
 
     /// The connection that was used last, unless it has rested for too long.
-    pub(super) fn take_idle(&self, now: Instant, longest: Duration) -> Option<Idle> {
+    pub(super) fn checkout_idle(&self, now: Instant, longest: Duration) -> Option<Idle> {
         let mut w = self.work();
         w.idle.retain(|i| i.is_open(now));
         let newest = w.idle.iter().rposition(Idle::is_ready)?;
-        if w.idle[newest].rest(now) > longest {
+        if w.idle[newest].idle_time(now) > longest {
             return None;
         }
         w.idle.remove(newest)
--- a/crates/data-plane/src/pool/engine_tests.rs
+++ b/crates/data-plane/src/pool/engine_tests.rs
@@ -15,25 +15,25 @@
 fn rests_grow_until_it_serves_again() {
     let s = engine();
     let t = Instant::now();
-    s.broke(t);
-    assert!(s.is_resting(t) && !s.is_resting(t + constants::ENGINE_REST));
-    let t = t + constants::ENGINE_REST;
-    s.broke(t);
-    assert!(s.is_resting(t + constants::ENGINE_REST));
-    s.served();
-    assert!(!s.is_resting(t));
-    s.broke(t);
-    assert!(!s.is_resting(t + constants::ENGINE_REST));
+    s.record_failure(t);
+    assert!(s.is_ejected(t) && !s.is_ejected(t + constants::BASE_EJECTION_TIME));
+    let t = t + constants::BASE_EJECTION_TIME;
+    s.record_failure(t);
+    assert!(s.is_ejected(t + constants::BASE_EJECTION_TIME));
+    s.record_success();
+    assert!(!s.is_ejected(t));
+    s.record_failure(t);
+    assert!(!s.is_ejected(t + constants::BASE_EJECTION_TIME));
 }
 
 #[test]
 fn unproven_from_a_break_until_it_serves() {
     let (engine, start) = (engine(), Instant::now());
     assert_eq!(engine.health(start), Health::Sound);
-    engine.broke(start);
-    assert_eq!(engine.health(start), Health::Resting);
-    assert_eq!(engine.health(start + constants::ENGINE_REST_MAX * 9), Health::Unproven);
-    engine.served();
+    engine.record_failure(start);
+    assert_eq!(engine.health(start), Health::Ejected);
+    assert_eq!(engine.health(start + constants::MAX_EJECTION_TIME * 9), Health::Unproven);
+    engine.record_success();
     assert_eq!(engine.health(start), Health::Sound);
 }
 
@@ -41,10 +41,10 @@
 async fn newcomer_is_warm_after_a_while_and_reports_its_first_answers_once() {
     let s = engine();
     assert!(s.is_warming(Instant::now()));
-    tokio::time::advance(constants::WARM_SPAN).await;
+    tokio::time::advance(constants::WARM_UP_PERIOD).await;
     assert!(!s.is_warming(Instant::now()));
     let ms = Duration::from_millis;
-    let means: Vec<_> = (0..constants::WARM_ANSWERS * 2)
+    let means: Vec<_> = (0..constants::WARM_UP_ANSWERS * 2)
         .filter_map(|i| s.first_waits(ms(10 * (i % 2) + 5)))
         .collect();
     assert_eq!(means, vec![ms(10)]);
@@ -55,8 +55,8 @@
 #[test]
 fn malformed_burdens_tell_nothing() {
     let t = Instant::now();
-    assert_eq!(Told::read("3, 1,8", t).unwrap().waiting, 1);
+    assert_eq!(ReportedLoad::read("3, 1,8", t).unwrap().waiting, 1);
     for bad in ["", "3,1", "a,b,c", "-1,0,8", "3;1;8"] {
-        assert!(Told::read(bad, t).is_none(), "{bad}");
+        assert!(ReportedLoad::read(bad, t).is_none(), "{bad}");
     }
 }
--- /dev/null
+++ b/crates/data-plane/src/pool/idle_timeout.rs
@@ -0,0 +1,90 @@
+//! How long engines of a service keep an idle connection, learnt from what became of such ones.
+//!
+//! An engine may forget an idle connection early and silently: whatever goes out next is reset, and
+//! may have run. A request that may run only once therefore takes a connection that rested for less
+//! than the service was seen to forget, or a new one. Requests that may be repeated take longer
+//! rested ones too, and so find out how long these live.
+
+use fleet_core::constants;
+use hashbrown::HashMap;
+use parking_lot::Mutex;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// What is known of one service.
+pub struct IdleTimeout {
+    estimate: Mutex<Estimate>,
+}
+
+struct Estimate {
+    safe: Duration,
+    lowered: Option<Instant>,
+}
+
+impl Default for IdleTimeout {
+    fn default() -> Self {
+        let estimate = Estimate { safe: constants::IDLE_TIMEOUT_DEFAULT, lowered: None };
+        IdleTimeout { estimate: Mutex::new(estimate) }
+    }
+}
+
+impl IdleTimeout {
+    /// How long a connection may have rested for a request that may run only once.
+    pub fn safe_idle_time(&self, now: Instant) -> Duration {
+        self.estimate.lock().safe_idle_time(now)
+    }
+
+    /// A connection served after this rest.
+    pub fn record_reuse(&self, idle_time: Duration, now: Instant) {
+        let mut estimate = self.estimate.lock();
+        let safe = estimate.safe_idle_time(now);
+        if idle_time > safe {
+            estimate.safe = safe + (idle_time - safe).mul_f64(constants::IDLE_TIMEOUT_GAIN);
+            estimate.lowered = None;
+        }
+    }
+
+    /// An engine that lives on dropped a connection after this rest.
+    pub fn record_idle_close(&self, idle_time: Duration, now: Instant) {
+        if idle_time < constants::IDLE_TIMEOUT_MIN {
+            return;
+        }
+        let mut estimate = self.estimate.lock();
+        let shorter =
+            idle_time.mul_f64(constants::IDLE_TIMEOUT_MARGIN).max(constants::IDLE_TIMEOUT_MIN);
+        if shorter < estimate.safe_idle_time(now) {
+            estimate.safe = shorter;
+            estimate.lowered = Some(now);
+        }
+    }
+}
+
+impl Estimate {
+    /// What was learnt to be short is tried longer again as time passes.
+    fn safe_idle_time(&self, now: Instant) -> Duration {
+        let Some(lowered) = self.lowered else { return self.safe };
+        let spans =
+            now.duration_since(lowered).div_duration_f64(constants::IDLE_TIMEOUT_DOUBLING_PERIOD);
+        let doublings = spans.floor().min(constants::IDLE_TIMEOUT_MAX_DOUBLINGS);
+        let recovered = self.safe.mul_f64(doublings.exp2()).min(constants::IDLE_TIMEOUT_DEFAULT);
+        self.safe.max(recovered)
+    }
+}
+
+/// What is known of each service, by its name.
+#[derive(Default)]
+pub struct IdleTimeouts {
+    services: Mutex<HashMap<String, Arc<IdleTimeout>, ahash::RandomState>>,
+}
+
+impl IdleTimeouts {
+    /// The service's own.
+    pub fn of(&self, service: &str) -> Arc<IdleTimeout> {
+        self.services.lock().entry_ref(service).or_default().clone()
+    }
+}
+
+#[cfg(test)]
+#[path = "idle_timeout_tests.rs"]
+mod tests;
--- a/crates/data-plane/src/pool/mod.rs
+++ b/crates/data-plane/src/pool/mod.rs
@@ -2,32 +2,32 @@
 
 pub mod connection;
 pub mod engine;
-pub mod idle_life;
+pub mod idle_timeout;
 
-pub use engine::{EngineHandle, Health, Told, Work};
+pub use engine::{EngineHandle, Health, ReportedLoad, Work};
 
 use fleet_core::constants;
 use fleet_core::wire::EngineState;
 use tokio::time::Instant;
 
 /// Closes connections that have been idle for long, and forgets engines long gone.
-pub async fn sweeping(d: std::sync::Arc<crate::Router>) {
-    let mut gone = hashbrown::HashMap::<String, Instant>::new();
+pub async fn run_idle_sweeper(router: std::sync::Arc<crate::Router>) {
+    let mut deregistered = hashbrown::HashMap::<String, Instant>::new();
     loop {
-        tokio::time::sleep(constants::IDLE_LIMIT / 4).await;
+        tokio::time::sleep(constants::IDLE_CONNECTION_TIMEOUT / 4).await;
         let now = Instant::now();
-        let handles: Vec<_> = d.fleet_view.engines.read().values().cloned().collect();
+        let handles: Vec<_> = router.fleet_view.engines.read().values().cloned().collect();
         for s in handles {
             s.sweep(now);
-            if s.news().state() == EngineState::Deregistered {
-                gone.entry_ref(s.id.as_str()).or_insert(now);
+            if s.state().state() == EngineState::Deregistered {
+                deregistered.entry_ref(s.id.as_str()).or_insert(now);
             }
         }
-        let old: Vec<String> = gone
+        let old: Vec<String> = deregistered
             .extract_if(|_, at| now.duration_since(*at) > constants::TOMBSTONE)
             .map(|(id, _)| id)
             .collect();
-        let mut handles = d.fleet_view.engines.write();
+        let mut handles = router.fleet_view.engines.write();
         for id in old {
             handles.remove(&id);
         }
--- a/crates/data-plane/src/serve/answer.rs
+++ b/crates/data-plane/src/proxy/answer.rs
@@ -16,7 +16,7 @@
 
 /// A piece of an engine's body on its way to the client.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyChunk {
     /// bytes to pass on
     Data(Bytes),
     /// the body is whole; a channel that closes without this was broken off
@@ -28,7 +28,7 @@
     /// one of our own, which has none
     Empty,
     /// an engine's, as it comes
-    Relayed(mpsc::Receiver<Piece>),
+    Relayed(mpsc::Receiver<BodyChunk>),
 }
 
 impl http_body::Body for Out {
@@ -39,10 +39,10 @@
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<http_body::Frame<Bytes>, AnswerError>>> {
-        let Out::Relayed(pieces) = self.get_mut() else { return Poll::Ready(None) };
-        pieces.poll_recv(cx).map(|piece| match piece {
-            Some(Piece::Data(data)) => Some(Ok(http_body::Frame::data(data))),
-            Some(Piece::End) => None,
+        let Out::Relayed(chunks) = self.get_mut() else { return Poll::Ready(None) };
+        chunks.poll_recv(cx).map(|chunk| match chunk {
+            Some(BodyChunk::Data(data)) => Some(Ok(http_body::Frame::data(data))),
+            Some(BodyChunk::End) => None,
             None => Some(Err(AnswerError::BrokenOff)),
         })
     }
@@ -125,8 +125,8 @@
 /// The promise that the request has not run and never will, and when to come back.
 pub(super) fn refusal() -> Response<Out> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
-    let pause = HeaderValue::from_static(constants::RETRY_AFTER);
-    response.headers_mut().insert(header::RETRY_AFTER, pause);
+    let retry_after = HeaderValue::from_static(constants::RETRY_AFTER);
+    response.headers_mut().insert(header::RETRY_AFTER, retry_after);
     response
 }
 
--- a/crates/data-plane/src/serve/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -1,14 +1,16 @@
 //! Sending a request to one engine, and what becomes of that send.
 
 use super::headers;
-use super::observe;
+use super::passive_health;
+use super::response_check::{self, SentRequest, Verdict};
 use super::send_load::SendLoad;
 use super::stage::{Accepted, ClientRequest, Dispatched, Responding};
-use super::verdict::{self, Asked, Verdict};
 use crate::Router;
-use crate::fleet_view::table::Repeat;
-use crate::place::{self, Choice};
-use crate::pool::connection::{self, ConnectionError, Leased, SendError, Sent, Streaming, Wanted};
+use crate::fleet_view::routing_table::Repeat;
+use crate::load_balancer::{self, Choice};
+use crate::pool::connection::{
+    self, Checkout, ConnectionError, PooledConnection, SendError, Sent, Streaming,
+};
 use fleet_core::constants;
 use fleet_core::log::Event;
 use http::{HeaderValue, Request, Response};
@@ -19,9 +21,9 @@
 use tokio::time::Instant;
 
 /// An engine, and a connection to it.
-pub struct Placed {
+pub struct SelectedEngine {
     choice: Choice,
-    connection: Leased,
+    connection: PooledConnection,
 }
 
 /// What became of a send.
@@ -35,37 +37,37 @@
     /// it may have run, and no answer of use came
     Uncertain(Dispatched),
     /// it may have run, and the deadline is here
-    Late(Dispatched),
+    DeadlineExceeded(Dispatched),
 }
 
 /// Finds an engine and a connection to it; none before the deadline gives the request back.
 pub async fn find_engine(
     router: &Router,
     mut accepted: Accepted,
-) -> Result<(Placed, Accepted), Accepted> {
+) -> Result<(SelectedEngine, Accepted), Accepted> {
     while Instant::now() < latest_send(accepted.request()) {
         let request = accepted.request();
-        let Ok(choice) = place::place(
+        let Ok(choice) = load_balancer::choose_engine(
             router,
-            &request.table,
+            &request.routing_table,
             &request.service,
             request.tenant.as_deref(),
             &request.prompt,
-            &request.tried,
+            &request.attempted,
         ) else {
             return Err(accepted);
         };
-        let wanted = Wanted {
+        let checkout = Checkout {
             service: &request.service,
             share: connection_share(router, request),
             repeatable: request.repeat != Repeat::Never,
         };
-        let leasing = connection::lease(router, &choice.engine, wanted);
-        match tokio::time::timeout_at(latest_send(request), leasing).await {
-            Ok(Ok(connection)) => return Ok((Placed { choice, connection }, accepted)),
+        let checking_out = connection::checkout(router, &choice.engine, checkout);
+        match tokio::time::timeout_at(latest_send(request), checking_out).await {
+            Ok(Ok(connection)) => return Ok((SelectedEngine { choice, connection }, accepted)),
             Ok(Err(error)) => {
                 if error != ConnectionError::Full {
-                    note_break(router, &choice, &error.to_string());
+                    record_connection_failure(router, &choice, &error.to_string());
                 }
                 accepted.avoid(&choice.engine.id);
             }
@@ -82,7 +84,7 @@
 
 /// This router's part of the connections that an engine takes from all callers.
 fn connection_share(router: &Router, request: &ClientRequest) -> u32 {
-    let most = request.table.service(&request.service).map_or(0, |s| s.max_conns) as usize;
+    let most = request.routing_table.service(&request.service).map_or(0, |s| s.max_conns) as usize;
     let routers = router.fleet_view.routers() + constants::BUDGET_SPARES;
     (most / routers).max(constants::CONNECTIONS_LEAST) as u32
 }
@@ -91,17 +93,17 @@
 pub async fn dispatch(
     router: &Router,
     accepted: Accepted,
-    placed: Placed,
+    selected: SelectedEngine,
     resume_after: Option<&str>,
 ) -> Outcome {
-    let Placed { choice, connection } = placed;
+    let SelectedEngine { choice, connection } = selected;
     let Some(outgoing) = outgoing_request(accepted.request(), &choice, resume_after) else {
         let mut accepted = accepted;
         accepted.avoid(&choice.engine.id);
         return Outcome::NotSent(accepted);
     };
     let request = accepted.request();
-    let interactive = request.table.is_interactive(&request.route);
+    let interactive = request.routing_table.is_interactive(&request.route);
     let load = SendLoad::start(&choice, request.prompt.load(), interactive);
     let dispatched = accepted.dispatch(&choice.engine.id);
     let send = Send { choice, load, at: Instant::now(), first: connection.is_new() };
@@ -109,7 +111,7 @@
     match tokio::time::timeout_at(until, connection.send(outgoing)).await {
         Ok(Ok((connection, response))) => send.answered(router, dispatched, connection, response),
         Ok(Err(error)) => send.failed(router, dispatched, error),
-        Err(_) => Outcome::Late(dispatched),
+        Err(_) => Outcome::DeadlineExceeded(dispatched),
     }
 }
 
@@ -128,18 +130,18 @@
             SendError::NotSent(proof) => {
                 let mut accepted = dispatched.not_sent(proof);
                 if self.first {
-                    note_break(router, &self.choice, "closed a new connection");
+                    record_connection_failure(router, &self.choice, "closed a new connection");
                     accepted.avoid(&self.choice.engine.id);
                 }
                 Outcome::NotSent(accepted)
             }
             SendError::Uncertain => {
-                note_break(router, &self.choice, "no answer");
+                record_connection_failure(router, &self.choice, "no answer");
                 Outcome::Uncertain(dispatched)
             }
-            SendError::Forgotten => {
-                router.counters.forgotten.fetch_add(1, Ordering::Relaxed);
-                Outcome::Uncertain(dispatched.forgotten())
+            SendError::IdleReset => {
+                router.counters.idle_resets.fetch_add(1, Ordering::Relaxed);
+                Outcome::Uncertain(dispatched.idle_reset())
             }
         }
     }
@@ -157,27 +159,33 @@
         let (engine, status) = (&self.choice.engine, head.status);
         if head.headers.get(headers::ATTEMPT_ID) == Some(&request.attempt) {
             let model = request.prompt.model.as_deref();
-            observe::read_engine_news(router, engine, model, &head.headers);
+            passive_health::record_engine_report(router, engine, model, &head.headers);
         }
-        let asked = Asked {
+        let sent = SentRequest {
             attempt: &request.attempt,
             method: &request.method,
             repeat: request.repeat,
             first_on_connection: self.first,
         };
-        match verdict::judge(head, &asked) {
+        match response_check::check(head, &sent) {
             Verdict::NotExecuted(proof) => {
                 keep_after_refusal(connection, body);
                 Outcome::NotExecuted(dispatched.not_executed(proof))
             }
-            Verdict::Spoilt(why) => {
+            Verdict::Invalid(why) => {
                 fleet_core::log_event!(router.log, Event::ResponseRejected, "id" => &engine.id,
                     "status" => status.as_u16(), "why" => why.to_string());
                 Outcome::Uncertain(dispatched)
             }
             Verdict::Relay(head) => {
                 self.load.prompt_read();
-                observe::count_answer(router, request, &self.choice, status, self.at.elapsed());
+                passive_health::count_answer(
+                    router,
+                    request,
+                    &self.choice,
+                    status,
+                    self.at.elapsed(),
+                );
                 let responding = dispatched.responding(self.load, connection, head, body);
                 Outcome::Responding(Box::new(responding))
             }
@@ -191,7 +199,8 @@
     choice: &Choice,
     resume_after: Option<&str>,
 ) -> Option<Request<Sent>> {
-    let left = request.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
+    let remaining_ms =
+        request.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
     let urgency = headers::urgency(&request.route, request.tenant.as_deref());
     let tenant = request.tenant.as_ref().map(|t| t.name.as_str());
     let mut outgoing = Request::new(Sent::new(request.body.clone()));
@@ -199,7 +208,7 @@
     *outgoing.uri_mut() = request.uri.clone();
     let head = outgoing.headers_mut();
     *head = request.headers.clone();
-    head.insert(headers::DEADLINE_MS, HeaderValue::from(left));
+    head.insert(headers::DEADLINE_MS, HeaderValue::from(remaining_ms));
     head.insert(headers::URGENCY, HeaderValue::from(urgency));
     if let Some(version) = choice.version {
         head.insert(headers::EXPECTED_VERSION, HeaderValue::from(version));
@@ -225,15 +234,15 @@
         return connection.end();
     }
     tokio::spawn(async move {
-        let rest = tokio::time::timeout(constants::REFUSAL_BODY_LIMIT, body.collect());
-        if matches!(rest.await, Ok(Ok(_))) {
+        let remainder = tokio::time::timeout(constants::REJECTION_BODY_TIMEOUT, body.collect());
+        if matches!(remainder.await, Ok(Ok(_))) {
             connection.end();
         }
     });
 }
 
 /// An engine that broke off or let no connection come up is left alone for a while.
-fn note_break(router: &Router, choice: &Choice, why: &str) {
-    choice.engine.broke(Instant::now());
+fn record_connection_failure(router: &Router, choice: &Choice, why: &str) {
+    choice.engine.record_failure(Instant::now());
     fleet_core::log_event!(router.log, Event::EngineError, "id" => &choice.engine.id, "why" => why);
 }
--- a/crates/data-plane/src/serve/events_tests.rs
+++ b/crates/data-plane/src/proxy/events_tests.rs
@@ -5,13 +5,13 @@
 #[test]
 fn half_an_event_is_held_back() {
     let mut c = EventSplitter::default();
-    assert_eq!(c.take(b"id: 1\ndata: a\n").as_deref(), None);
-    assert_eq!(c.take(b"\nid: 2\nda").as_deref(), Some(&b"id: 1\ndata: a\n\n"[..]));
-    assert_eq!(c.last(), Some("1"));
+    assert_eq!(c.push(b"id: 1\ndata: a\n").as_deref(), None);
+    assert_eq!(c.push(b"\nid: 2\nda").as_deref(), Some(&b"id: 1\ndata: a\n\n"[..]));
+    assert_eq!(c.last_id(), Some("1"));
     c.drop_half();
-    assert_eq!(c.take(b"id:2\ndata: b\n\n").as_deref(), Some(&b"id:2\ndata: b\n\n"[..]));
-    assert_eq!(c.last(), Some("2"));
-    assert!(c.rest().is_none());
+    assert_eq!(c.push(b"id:2\ndata: b\n\n").as_deref(), Some(&b"id:2\ndata: b\n\n"[..]));
+    assert_eq!(c.last_id(), Some("2"));
+    assert!(c.remainder().is_none());
 }
 
 proptest::proptest! {
@@ -21,7 +21,7 @@
         let (mut c, mut out, mut at) = (EventSplitter::default(), Vec::new(), 0);
         for n in cuts {
             let end = (at + n).min(text.len());
-            if let Some(b) = c.take(&text.as_bytes()[at..end]) {
+            if let Some(b) = c.push(&text.as_bytes()[at..end]) {
                 proptest::prop_assert!(b.ends_with(b"\n\n"));
                 out.extend_from_slice(&b);
             }
@@ -30,6 +30,6 @@
         let whole = text[..at].rfind("\n\n").map_or(0, |i| i + 2);
         proptest::prop_assert_eq!(&out[..], &text.as_bytes()[..whole]);
         let ids = text[..whole].matches("id:").count();
-        proptest::prop_assert_eq!(c.last().map_or(0, |l| l.parse().unwrap()), ids);
+        proptest::prop_assert_eq!(c.last_id().map_or(0, |l| l.parse().unwrap()), ids);
     }
 }
--- a/crates/data-plane/src/serve/headers.rs
+++ b/crates/data-plane/src/proxy/headers.rs
@@ -1,6 +1,6 @@
 //! Names of headers on the way through, and what they hold.
 
-use crate::fleet_view::table::Tenant;
+use crate::fleet_view::routing_table::Tenant;
 use fleet_core::configuration::Route;
 use fleet_core::constants;
 use http::{HeaderMap, HeaderName, header};
@@ -41,7 +41,7 @@
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// Headers of a client that are not sent on: those of one connection, and those that only we set.
-static NOT_SENT_ON: [HeaderName; 20] = [
+static STRIPPED_FROM_REQUESTS: [HeaderName; 20] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -65,11 +65,11 @@
 ];
 
 /// Headers of an engine's answer that concern its connection to us alone.
-static NOT_PASSED_BACK: [HeaderName; 5] =
+static STRIPPED_FROM_RESPONSES: [HeaderName; 5] =
     [header::CONNECTION, header::TRANSFER_ENCODING, header::TRAILER, header::UPGRADE, KEEP_ALIVE];
 
 /// Headers that no `Connection` header can take away: they say what the message is.
-static KEPT: [HeaderName; 6] = [
+static ALWAYS_KEPT: [HeaderName; 6] = [
     header::HOST,
     header::CONTENT_TYPE,
     header::CONTENT_LENGTH,
@@ -79,29 +79,29 @@
 ];
 
 /// Removes the headers that the message itself names as those of one connection.
-fn strip_named_by_connection(headers: &mut HeaderMap) {
-    let mut named: SmallVec<[HeaderName; 4]> = SmallVec::new();
+fn strip_connection_options(headers: &mut HeaderMap) {
+    let mut options: SmallVec<[HeaderName; 4]> = SmallVec::new();
     for value in headers.get_all(header::CONNECTION) {
         let Ok(list) = value.to_str() else { continue };
-        named.extend(list.split(',').filter_map(|name| name.trim().parse::<HeaderName>().ok()));
+        options.extend(list.split(',').filter_map(|name| name.trim().parse::<HeaderName>().ok()));
     }
-    for name in named.iter().filter(|name| !KEPT.contains(name)) {
+    for name in options.iter().filter(|name| !ALWAYS_KEPT.contains(name)) {
         headers.remove(name);
     }
 }
 
 /// Leaves what an engine may see of a client's headers.
 pub fn strip_request(headers: &mut HeaderMap) {
-    strip_named_by_connection(headers);
-    for name in &NOT_SENT_ON {
+    strip_connection_options(headers);
+    for name in &STRIPPED_FROM_REQUESTS {
         headers.remove(name);
     }
 }
 
 /// Leaves what a client may see of an engine's headers.
 pub fn strip_answer(headers: &mut HeaderMap) {
-    strip_named_by_connection(headers);
-    for name in &NOT_PASSED_BACK {
+    strip_connection_options(headers);
+    for name in &STRIPPED_FROM_RESPONSES {
         headers.remove(name);
     }
 }
--- a/crates/data-plane/src/serve/mod.rs
+++ b/crates/data-plane/src/proxy/mod.rs
@@ -4,12 +4,12 @@
 pub mod dispatch;
 pub mod events;
 pub mod headers;
-pub mod observe;
+pub mod passive_health;
 pub mod relay;
 pub mod request;
+pub mod response_check;
 pub mod send_load;
 pub mod stage;
-pub mod verdict;
 
 use crate::Router;
 use answer::Out;
@@ -20,7 +20,7 @@
 use std::time::Duration;
 
 /// Accepts clients until aborted.
-pub async fn accepting(d: Arc<Router>, listener: tokio::net::TcpListener) {
+pub async fn run_client_listener(router: Arc<Router>, listener: tokio::net::TcpListener) {
     loop {
         let Ok((s, _)) = listener.accept().await else {
             tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
@@ -29,21 +29,21 @@
         if fleet_core::link::set_socket_options(&s).is_err() {
             continue;
         }
-        let d = d.clone();
+        let router = router.clone();
         tokio::spawn(async move {
-            d.open.fetch_add(1, Ordering::Relaxed);
-            serve_client(&d, s).await;
-            d.open.fetch_sub(1, Ordering::Relaxed);
+            router.open.fetch_add(1, Ordering::Relaxed);
+            serve_client(&router, s).await;
+            router.open.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-async fn serve_client(d: &Arc<Router>, s: tokio::net::TcpStream) {
-    let limits = d.fleet_view.table().map(|t| t.limits.clone()).unwrap_or_default();
+async fn serve_client(router: &Arc<Router>, s: tokio::net::TcpStream) {
+    let limits = router.fleet_view.routing_table().map(|t| t.limits.clone()).unwrap_or_default();
     let idle = limits.idle_timeout_ms.max(limits.header_timeout_ms).max(1000);
     let service = hyper::service::service_fn(|rq| {
-        let d = d.clone();
-        async move { Ok::<http::Response<Out>, Infallible>(request::serve(&d, rq).await) }
+        let router = router.clone();
+        async move { Ok::<http::Response<Out>, Infallible>(request::serve(&router, rq).await) }
     });
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(hyper_util::rt::TokioTimer::new())
@@ -51,7 +51,7 @@
         .max_buf_size(limits.max_header_bytes.max(8192))
         .serve_connection(hyper_util::rt::TokioIo::new(s), service);
     tokio::pin!(conn);
-    let mut closing = d.closing.subscribe();
+    let mut closing = router.closing.subscribe();
     tokio::select! {
         _ = conn.as_mut() => return,
         _ = closing.wait_for(|c| *c) => conn.as_mut().graceful_shutdown(),
@@ -60,17 +60,17 @@
 }
 
 /// Answers the platform's probes.
-pub async fn probes(d: Arc<Router>, listener: tokio::net::TcpListener) {
+pub async fn run_readiness(router: Arc<Router>, listener: tokio::net::TcpListener) {
     loop {
         let Ok((s, _)) = listener.accept().await else {
             tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
             continue;
         };
-        let d = d.clone();
+        let router = router.clone();
         tokio::spawn(async move {
             let service = hyper::service::service_fn(|rq: http::Request<hyper::body::Incoming>| {
-                let known = rq.uri().path() == "/anisedyke/readyz";
-                let status = match (known, d.is_ready()) {
+                let is_readiness_path = rq.uri().path() == "/anisedyke/readyz";
+                let status = match (is_readiness_path, router.is_ready()) {
                     (false, _) => http::StatusCode::NOT_FOUND,
                     (true, true) => http::StatusCode::OK,
                     (true, false) => http::StatusCode::SERVICE_UNAVAILABLE,
@@ -79,7 +79,7 @@
             });
             let _ = hyper::server::conn::http1::Builder::new()
                 .timer(hyper_util::rt::TokioTimer::new())
-                .header_read_timeout(constants::IDLE_LIMIT)
+                .header_read_timeout(constants::IDLE_CONNECTION_TIMEOUT)
                 .max_buf_size(8192)
                 .serve_connection(hyper_util::rt::TokioIo::new(s), service)
                 .await;
--- a/crates/data-plane/src/serve/observe.rs
+++ b/crates/data-plane/src/proxy/passive_health.rs
@@ -3,8 +3,8 @@
 use super::headers;
 use super::stage::ClientRequest;
 use crate::Router;
-use crate::place::Choice;
-use crate::pool::{EngineHandle, Told};
+use crate::load_balancer::Choice;
+use crate::pool::{EngineHandle, ReportedLoad};
 use fleet_core::log::Event;
 use http::{HeaderMap, StatusCode};
 use std::sync::atomic::Ordering;
@@ -12,15 +12,15 @@
 use tokio::time::Instant;
 
 /// The load and the weights that an engine names beside any answer.
-pub fn read_engine_news(
+pub fn record_engine_report(
     router: &Router,
     engine: &EngineHandle,
     model: Option<&str>,
     head: &HeaderMap,
 ) {
     let load = headers::text(head, &headers::INSTANCE_LOAD);
-    if let Some(told) = load.and_then(|text| Told::read(text, Instant::now())) {
-        engine.work().told = Some(told);
+    if let Some(reported) = load.and_then(|text| ReportedLoad::read(text, Instant::now())) {
+        engine.work().reported = Some(reported);
     }
     let version = headers::text(head, &headers::WEIGHT_VERSIONS);
     let version = version.and_then(|text| text.trim().parse().ok());
@@ -37,11 +37,11 @@
     status: StatusCode,
     wait: Duration,
 ) {
-    if let Some(rest) = choice.engine.served() {
-        router.idle_lives.of(&request.service).forgotten_after(rest, Instant::now());
+    if let Some(idle_time) = choice.engine.record_success() {
+        router.idle_timeouts.of(&request.service).record_idle_close(idle_time, Instant::now());
     }
-    router.counters.begun.fetch_add(1, Ordering::Relaxed);
-    if request.prompt.is_heavy() {
+    router.counters.responses.fetch_add(1, Ordering::Relaxed);
+    if request.prompt.is_prefill_heavy() {
         count_wait(router, &choice.engine, wait);
     }
     if let Some(salt) = choice.salt.as_ref().filter(|_| status.is_success()) {
@@ -52,9 +52,9 @@
 /// Sets the first waits at a newcomer against those at all engines.
 fn count_wait(router: &Router, engine: &EngineHandle, wait: Duration) {
     let counters = &router.counters;
-    let answers = counters.heavy_answers.fetch_add(1, Ordering::Relaxed) + 1;
+    let answers = counters.prefill_heavy_answers.fetch_add(1, Ordering::Relaxed) + 1;
     let wait_us = wait.as_micros() as u64;
-    let all_us = counters.heavy_wait_us.fetch_add(wait_us, Ordering::Relaxed) + wait_us;
+    let all_us = counters.prefill_heavy_wait_us.fetch_add(wait_us, Ordering::Relaxed) + wait_us;
     if let Some(own) = engine.first_waits(wait) {
         fleet_core::log_event!(router.log, Event::EngineWarmedUp, "id" => &engine.id,
             "own_ms" => own.as_millis() as u64, "all_ms" => all_us / answers / 1000);
--- a/crates/data-plane/src/serve/relay.rs
+++ b/crates/data-plane/src/proxy/relay.rs
@@ -1,12 +1,12 @@
 //! Passing an engine's answer on as it comes, and going on elsewhere where that is allowed.
 
-use super::answer::{Out, Piece};
+use super::answer::{BodyChunk, Out};
 use super::dispatch::{self, Outcome};
 use super::events::EventSplitter;
 use super::headers;
 use super::stage::Responding;
 use crate::Router;
-use crate::fleet_view::table::Repeat;
+use crate::fleet_view::routing_table::Repeat;
 use bytes::Bytes;
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -22,7 +22,7 @@
 /// How a body ended.
 enum BodyEnd {
     /// all of it was passed on
-    Whole,
+    Complete,
     /// the engine broke off
     Broken,
     /// the client has gone, or the time is over
@@ -50,27 +50,31 @@
 
 /// Passes the body on in a task of its own.
 fn relay_body(router: Arc<Router>, responding: Responding, resumable: bool) -> Out {
-    let (pieces, body) = mpsc::channel(constants::RELAY_BACKLOG);
+    let (chunks, body) = mpsc::channel(constants::RELAY_BACKLOG);
     tokio::spawn(async move {
         if resumable {
-            relay_events(&router, responding, &pieces).await;
+            relay_events(&router, responding, &chunks).await;
         } else {
-            relay_bytes(&router, responding, &pieces).await;
+            relay_bytes(&router, responding, &chunks).await;
         }
     });
     Out::Relayed(body)
 }
 
 /// Bytes as they come; a break is passed on as a break.
-async fn relay_bytes(router: &Router, mut responding: Responding, pieces: &mpsc::Sender<Piece>) {
+async fn relay_bytes(
+    router: &Router,
+    mut responding: Responding,
+    chunks: &mpsc::Sender<BodyChunk>,
+) {
     let deadline = responding.request.deadline;
-    let passing = pass(&mut responding.body, Some, pieces);
+    let passing = pass(&mut responding.body, Some, chunks);
     match tokio::time::timeout_at(deadline, passing).await.unwrap_or(BodyEnd::Abandoned) {
-        BodyEnd::Whole => {
+        BodyEnd::Complete => {
             responding.connection.end();
-            let _ = pieces.send(Piece::End).await;
+            let _ = chunks.send(BodyChunk::End).await;
         }
-        BodyEnd::Broken => note_break(router, &responding),
+        BodyEnd::Broken => record_connection_failure(router, &responding),
         BodyEnd::Abandoned => {}
     }
 }
@@ -79,49 +83,49 @@
 async fn relay_events(
     router: &Arc<Router>,
     mut responding: Responding,
-    pieces: &mpsc::Sender<Piece>,
+    chunks: &mpsc::Sender<BodyChunk>,
 ) {
     let mut splitter = EventSplitter::starting_after(responding.request.last_event_id());
     loop {
         let deadline = responding.request.deadline;
-        let passing = pass(&mut responding.body, |bytes| splitter.take(&bytes), pieces);
+        let passing = pass(&mut responding.body, |bytes| splitter.push(&bytes), chunks);
         match tokio::time::timeout_at(deadline, passing).await.unwrap_or(BodyEnd::Abandoned) {
-            BodyEnd::Whole => {
+            BodyEnd::Complete => {
                 responding.connection.end();
-                if let Some(rest) = splitter.rest() {
-                    let _ = pieces.send(Piece::Data(rest)).await;
+                if let Some(remainder) = splitter.remainder() {
+                    let _ = chunks.send(BodyChunk::Data(remainder)).await;
                 }
-                let _ = pieces.send(Piece::End).await;
+                let _ = chunks.send(BodyChunk::End).await;
                 return;
             }
             BodyEnd::Abandoned => return,
-            BodyEnd::Broken => note_break(router, &responding),
+            BodyEnd::Broken => record_connection_failure(router, &responding),
         }
         splitter.drop_half();
-        let Some(next) = resume(router, responding, splitter.last()).await else { return };
+        let Some(next) = resume(router, responding, splitter.last_id()).await else { return };
         router.counters.resumed.fetch_add(1, Ordering::Relaxed);
         responding = next;
     }
 }
 
-/// Passes on what `cut` makes of the bytes, as they come.
+/// Passes on what `split` makes of the bytes, as they come.
 async fn pass(
     body: &mut Incoming,
-    mut cut: impl FnMut(Bytes) -> Option<Bytes>,
-    pieces: &mpsc::Sender<Piece>,
+    mut split: impl FnMut(Bytes) -> Option<Bytes>,
+    chunks: &mpsc::Sender<BodyChunk>,
 ) -> BodyEnd {
     loop {
         let frame = tokio::select! {
             frame = body.frame() => frame,
-            () = pieces.closed() => return BodyEnd::Abandoned,
+            () = chunks.closed() => return BodyEnd::Abandoned,
         };
         let frame = match frame {
-            None => return BodyEnd::Whole,
+            None => return BodyEnd::Complete,
             Some(Err(_)) => return BodyEnd::Broken,
             Some(Ok(frame)) => frame,
         };
-        let Some(data) = frame.into_data().ok().and_then(&mut cut) else { continue };
-        if pieces.send(Piece::Data(data)).await.is_err() {
+        let Some(data) = frame.into_data().ok().and_then(&mut split) else { continue };
+        if chunks.send(BodyChunk::Data(data)).await.is_err() {
             return BodyEnd::Abandoned;
         }
     }
@@ -135,21 +139,21 @@
 ) -> Option<Responding> {
     let mut accepted = broken.broken_off().retry(router).ok()?;
     loop {
-        let (placed, ready) = dispatch::find_engine(router, accepted).await.ok()?;
-        accepted = match dispatch::dispatch(router, ready, placed, last_event).await {
+        let (selected, ready) = dispatch::find_engine(router, accepted).await.ok()?;
+        accepted = match dispatch::dispatch(router, ready, selected, last_event).await {
             Outcome::NotSent(accepted) => accepted,
             Outcome::NotExecuted(accepted) => accepted.retry(router).ok()?,
             Outcome::Uncertain(dispatched) => dispatched.retry(router).ok()?,
-            Outcome::Late(_) => return None,
+            Outcome::DeadlineExceeded(_) => return None,
             Outcome::Responding(next) if next.head.status().is_success() => return Some(*next),
-            Outcome::Responding(next) if next.is_worth_retrying() => next.retry(router).ok()?,
+            Outcome::Responding(next) if next.is_retryable() => next.retry(router).ok()?,
             Outcome::Responding(_) => return None,
         };
     }
 }
 
-fn note_break(router: &Router, responding: &Responding) {
+fn record_connection_failure(router: &Router, responding: &Responding) {
     let engine = &responding.load.engine;
-    engine.broke(Instant::now());
+    engine.record_failure(Instant::now());
     fleet_core::log_event!(router.log, Event::EngineError, "id" => &engine.id, "why" => "stream broken");
 }
--- a/crates/data-plane/src/serve/request.rs
+++ b/crates/data-plane/src/proxy/request.rs
@@ -6,8 +6,8 @@
 use super::relay;
 use super::stage::{Accepted, ClientRequest};
 use crate::Router;
-use crate::fleet_view::table::{Table, Tenant, repeat};
-use crate::place::prompt::Prompt;
+use crate::fleet_view::routing_table::{Table, Tenant, repeat};
+use crate::load_balancer::prompt::Prompt;
 use bytes::Bytes;
 use fleet_core::configuration::Route;
 use http::request::Parts;
@@ -30,24 +30,25 @@
 /// Reads a request whole, if it is a proper one that the configuration allows.
 async fn admit(router: &Router, request: Request<Incoming>) -> Result<Accepted, Rejection> {
     let arrived = Instant::now();
-    let table = router.fleet_view.table().ok_or(Rejection::NotReady)?;
+    let routing_table = router.fleet_view.routing_table().ok_or(Rejection::NotReady)?;
     let (head, body) = request.into_parts();
     check_framing(&head)?;
-    let route = find_route(&table, &head)?;
-    let tenant = find_tenant(&table, &route, &head.headers)?;
+    let route = find_route(&routing_table, &head)?;
+    let tenant = find_tenant(&routing_table, &route, &head.headers)?;
     let attempt = head.headers.get(headers::ATTEMPT_ID).cloned().ok_or(Rejection::BadRequest)?;
     let patience = headers::read_deadline(&head.headers).ok_or(Rejection::BadRequest)?;
     let deadline = arrived + patience.min(Duration::from_millis(route.timeout_ms));
-    let body = read_body(body, table.limits.max_body_bytes, deadline).await?;
-    let service = table.pick(&route, router.rng_state()).ok_or(Rejection::NotReady)?.to_owned();
-    router.counters.taken.fetch_add(1, Ordering::Relaxed);
+    let body = read_body(body, routing_table.limits.max_body_bytes, deadline).await?;
+    let service =
+        routing_table.pick(&route, router.random()).ok_or(Rejection::NotReady)?.to_owned();
+    router.counters.requests.fetch_add(1, Ordering::Relaxed);
     router.arrived(&service);
     let prompt = Prompt::read(&head.headers);
     let mut passed_on = head.headers;
     headers::strip_request(&mut passed_on);
     Ok(Accepted::new(ClientRequest {
         repeat: repeat(&route),
-        table,
+        routing_table,
         route,
         tenant,
         service,
@@ -58,7 +59,7 @@
         uri: head.uri,
         headers: passed_on,
         body,
-        tried: Vec::new(),
+        attempted: Vec::new(),
         sends: 0,
     }))
 }
@@ -76,19 +77,19 @@
     Ok(())
 }
 
-fn find_route(table: &Table, head: &Parts) -> Result<Arc<Route>, Rejection> {
+fn find_route(routing_table: &Table, head: &Parts) -> Result<Arc<Route>, Rejection> {
     let host = headers::text(&head.headers, &header::HOST).unwrap_or("");
-    table.route(host, head.uri.path()).cloned().ok_or(Rejection::NoRoute)
+    routing_table.route(host, head.uri.path()).cloned().ok_or(Rejection::NoRoute)
 }
 
 fn find_tenant(
-    table: &Table,
+    routing_table: &Table,
     route: &Route,
     headers: &HeaderMap,
 ) -> Result<Option<Arc<Tenant>>, Rejection> {
     let key = headers::text(headers, &headers::KEY);
-    let tenant = key.and_then(|key| table.tenant(key)).cloned();
-    if tenant.is_none() && table.has_tenants() && !route.public {
+    let tenant = key.and_then(|key| routing_table.tenant(key)).cloned();
+    if tenant.is_none() && routing_table.has_tenants() && !route.public {
         return Err(Rejection::Unauthorized);
     }
     Ok(tenant)
@@ -97,7 +98,7 @@
 async fn read_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Rejection> {
     let reading = Limited::new(body, most).collect();
     match tokio::time::timeout_at(deadline, reading).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        Ok(Ok(complete)) => Ok(complete.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Rejection::BodyTooLarge),
         Ok(Err(_)) => Err(Rejection::Unreadable),
         Err(_) => Err(Rejection::BodyLate),
@@ -107,11 +108,11 @@
 /// Sends the request to one engine after another, as far as that is allowed.
 async fn deliver(router: &Arc<Router>, mut accepted: Accepted) -> Response<Out> {
     loop {
-        let (placed, ready) = match dispatch::find_engine(router, accepted).await {
+        let (selected, ready) = match dispatch::find_engine(router, accepted).await {
             Ok(found) => found,
-            Err(accepted) => return accepted.give_up(router),
+            Err(accepted) => return accepted.reject(router),
         };
-        let outcome = dispatch::dispatch(router, ready, placed, None).await;
+        let outcome = dispatch::dispatch(router, ready, selected, None).await;
         accepted = match next_step(router, outcome) {
             Ok(again) => again,
             Err(response) => return response,
@@ -124,13 +125,15 @@
     match outcome {
         Outcome::NotSent(accepted) => Ok(accepted),
         Outcome::NotExecuted(accepted) => {
-            accepted.retry(router).map_err(|accepted| accepted.give_up(router))
+            accepted.retry(router).map_err(|accepted| accepted.reject(router))
         }
         Outcome::Uncertain(dispatched) => dispatched
             .retry(router)
             .map_err(|dispatched| dispatched.fail(router, Failure::BadGateway)),
-        Outcome::Late(dispatched) => Err(dispatched.fail(router, Failure::GatewayTimeout)),
-        Outcome::Responding(responding) if responding.is_worth_retrying() => {
+        Outcome::DeadlineExceeded(dispatched) => {
+            Err(dispatched.fail(router, Failure::GatewayTimeout))
+        }
+        Outcome::Responding(responding) if responding.is_retryable() => {
             responding.retry(router).map_err(|responding| relay::relay(router, *responding))
         }
         Outcome::Responding(responding) => Err(relay::relay(router, *responding)),
--- a/crates/data-plane/src/serve/verdict.rs
+++ b/crates/data-plane/src/proxy/response_check.rs
@@ -2,7 +2,7 @@
 //! whether its end can be told. Only this module makes the proofs that `stage` asks for.
 
 use super::headers;
-use crate::fleet_view::table::Repeat;
+use crate::fleet_view::routing_table::Repeat;
 use http::response::Parts;
 use http::{HeaderValue, Method, StatusCode, Version, header};
 
@@ -28,7 +28,7 @@
 
 /// Why an answer is not passed on. The request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
-pub enum SpoiltAnswer {
+pub enum InvalidResponse {
     /// belongs to another request, or does not say to which
     Unidentified,
     /// says both that it has not run and that it succeeded
@@ -53,11 +53,11 @@
     /// an answer for the client
     Relay(RelayableHead),
     /// no answer that anybody may see
-    Spoilt(SpoiltAnswer),
+    Invalid(InvalidResponse),
 }
 
 /// What is known of a request when its answer comes.
-pub struct Asked<'a> {
+pub struct SentRequest<'a> {
     /// the client's id of this try
     pub attempt: &'a HeaderValue,
     /// decides whether a body follows
@@ -69,20 +69,20 @@
 }
 
 /// Reads the head of an answer.
-pub fn judge(head: Parts, asked: &Asked) -> Verdict {
+pub fn check(head: Parts, sent: &SentRequest) -> Verdict {
     let not_executed = states_not_executed(&head);
-    if !is_ours(&head, asked, not_executed) {
-        return Verdict::Spoilt(SpoiltAnswer::Unidentified);
+    if !is_ours(&head, sent, not_executed) {
+        return Verdict::Invalid(InvalidResponse::Unidentified);
     }
     if not_executed && head.status.is_success() {
-        return Verdict::Spoilt(SpoiltAnswer::Contradictory);
+        return Verdict::Invalid(InvalidResponse::Contradictory);
     }
     if not_executed {
         return Verdict::NotExecuted(NotExecuted(()));
     }
-    match relayable(&head, asked) {
+    match relayable(&head, sent) {
         Ok(()) => Verdict::Relay(RelayableHead(head)),
-        Err(why) => Verdict::Spoilt(why),
+        Err(why) => Verdict::Invalid(why),
     }
 }
 
@@ -94,28 +94,28 @@
 
 /// An answer too many may come where the next one is due: the id tells. One that turns a request
 /// away may lack the id, where nobody else's answer can be due.
-fn is_ours(head: &Parts, asked: &Asked, not_executed: bool) -> bool {
+fn is_ours(head: &Parts, sent: &SentRequest, not_executed: bool) -> bool {
     match head.headers.get(headers::ATTEMPT_ID) {
-        Some(id) => id == asked.attempt,
-        None => not_executed && asked.first_on_connection,
+        Some(id) => id == sent.attempt,
+        None => not_executed && sent.first_on_connection,
     }
 }
 
-fn relayable(head: &Parts, asked: &Asked) -> Result<(), SpoiltAnswer> {
+fn relayable(head: &Parts, sent: &SentRequest) -> Result<(), InvalidResponse> {
     if head.status.is_informational() {
-        return Err(SpoiltAnswer::Interim);
+        return Err(InvalidResponse::Interim);
     }
     if head.headers.contains_key(header::CONTENT_ENCODING) {
-        return Err(SpoiltAnswer::Encoded);
+        return Err(InvalidResponse::Encoded);
     }
     if head.status.is_success() && !head.headers.contains_key(headers::SERVER_SEAL) {
-        return Err(SpoiltAnswer::Unsealed);
+        return Err(InvalidResponse::Unsealed);
     }
-    if promises_not_run(head.status) && asked.repeat == Repeat::Never {
-        return Err(SpoiltAnswer::UnprovenRefusal);
+    if promises_not_run(head.status) && sent.repeat == Repeat::Never {
+        return Err(InvalidResponse::UnprovenRefusal);
     }
-    if !has_provable_end(head, asked.method) {
-        return Err(SpoiltAnswer::EndUnprovable);
+    if !has_provable_end(head, sent.method) {
+        return Err(InvalidResponse::EndUnprovable);
     }
     Ok(())
 }
@@ -146,5 +146,5 @@
 }
 
 #[cfg(test)]
-#[path = "verdict_tests.rs"]
+#[path = "response_check_tests.rs"]
 mod tests;
--- a/crates/data-plane/src/serve/verdict_tests.rs
+++ b/crates/data-plane/src/proxy/response_check_tests.rs
@@ -14,13 +14,13 @@
 }
 
 fn verdict(head: Parts, repeat: Repeat) -> Verdict {
-    let asked = Asked {
+    let sent = SentRequest {
         attempt: &HeaderValue::from_static("a"),
         method: &Method::POST,
         repeat,
         first_on_connection: false,
     };
-    judge(head, &asked)
+    check(head, &sent)
 }
 
 /// Over all statuses: what may run only once gets a promise by proof alone.
@@ -51,11 +51,11 @@
 
 #[test]
 fn spoilt_answers_say_why() {
-    use SpoiltAnswer::*;
+    use InvalidResponse::*;
     let id = ("x-attempt-id", "a");
     let seal = ("x-server-seal", "s");
     let length = ("content-length", "3");
-    let table = [
+    let routing_table = [
         (Unidentified, 200, vec![seal, length]),
         (Unidentified, 503, vec![("x-not-executed", "1")]),
         (Unidentified, 200, vec![("x-attempt-id", "b"), seal, length]),
@@ -67,9 +67,9 @@
         (EndUnprovable, 200, vec![id, seal]),
         (EndUnprovable, 200, vec![id, seal, length, ("transfer-encoding", "chunked")]),
     ];
-    for (why, status, pairs) in table {
+    for (why, status, pairs) in routing_table {
         match verdict(head(status, &pairs), Repeat::Never) {
-            Verdict::Spoilt(got) => assert_eq!(got, why, "{status} {pairs:?}"),
+            Verdict::Invalid(got) => assert_eq!(got, why, "{status} {pairs:?}"),
             other => panic!("{status} {pairs:?}: {other:?}"),
         }
     }
--- a/crates/data-plane/src/serve/send_load.rs
+++ b/crates/data-plane/src/proxy/send_load.rs
@@ -1,6 +1,6 @@
 //! The load of one send at its engine, for as long as it lasts.
 
-use crate::place::Choice;
+use crate::load_balancer::Choice;
 use crate::pool::EngineHandle;
 use std::sync::Arc;
 
@@ -18,18 +18,18 @@
     /// Counts a send that is about to go out.
     pub fn start(choice: &Choice, tokens: u64, interactive: bool) -> SendLoad {
         if let Some(source) = &choice.source_engine {
-            source.work().moves += 1;
+            source.work().transfers += 1;
         }
         let interactive = u32::from(interactive);
         let mut work = choice.engine.work();
         work.runs += 1;
         work.interactive += interactive;
-        work.unread += choice.missing;
+        work.unread += choice.prefill_tokens;
         work.tokens += tokens;
         SendLoad {
             engine: choice.engine.clone(),
             source: choice.source_engine.clone(),
-            unread: choice.missing,
+            unread: choice.prefill_tokens,
             tokens,
             interactive,
         }
@@ -39,7 +39,7 @@
     pub fn prompt_read(&mut self) {
         self.engine.work().unread -= std::mem::take(&mut self.unread);
         if let Some(source) = self.source.take() {
-            source.work().moves -= 1;
+            source.work().transfers -= 1;
         }
     }
 }
--- a/crates/data-plane/src/serve/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -6,11 +6,11 @@
 
 use super::answer::{self, Failure, Out};
 use super::headers;
+use super::response_check::{NotExecuted, RelayableHead};
 use super::send_load::SendLoad;
-use super::verdict::{NotExecuted, RelayableHead};
 use crate::Router;
-use crate::fleet_view::table::{Repeat, Table, Tenant};
-use crate::place::prompt::Prompt;
+use crate::fleet_view::routing_table::{Repeat, Table, Tenant};
+use crate::load_balancer::prompt::Prompt;
 use crate::pool::connection::{NotSent, Streaming};
 use bytes::Bytes;
 use fleet_core::configuration::Route;
@@ -25,7 +25,7 @@
 /// A request that was read whole and is allowed.
 pub struct ClientRequest {
     /// the configuration that it is handled by, from end to end
-    pub table: Arc<Table>,
+    pub routing_table: Arc<Table>,
     /// the route that it came on
     pub route: Arc<Route>,
     /// whose key it bears
@@ -49,7 +49,7 @@
     /// as the client sent it
     pub body: Bytes,
     /// engines that are not to be asked again
-    pub tried: Vec<String>,
+    pub attempted: Vec<String>,
     /// sends to engines so far
     pub sends: u32,
 }
@@ -61,16 +61,16 @@
     }
 
     /// Room for one more send by the route and by time.
-    pub fn has_sends_left(&self) -> bool {
+    pub fn has_attempts_left(&self) -> bool {
         let in_time = Instant::now() + constants::DEADLINE_MARGIN * 2 < self.deadline;
         in_time && self.sends < self.route.max_attempts
     }
 
     /// Takes one more send out of the budget, if there is room for it.
-    fn charge_retry(&self, router: &Router) -> bool {
-        let may = self.has_sends_left() && router.charge(&self.service);
+    fn spend_retry(&self, router: &Router) -> bool {
+        let may = self.has_attempts_left() && router.spend(&self.service);
         if may {
-            router.counters.again.fetch_add(1, Ordering::Relaxed);
+            router.counters.retries.fetch_add(1, Ordering::Relaxed);
         }
         may
     }
@@ -115,7 +115,7 @@
 
     /// Leaves an engine out of the choice.
     pub fn avoid(&mut self, engine: &str) {
-        self.request.tried.push(engine.to_owned());
+        self.request.attempted.push(engine.to_owned());
     }
 
     /// From here on an engine may run it.
@@ -127,15 +127,15 @@
 
     /// On to another engine after a refusal, if the route and the budget allow it.
     pub fn retry(self, router: &Router) -> Result<Accepted, Accepted> {
-        if self.request.charge_retry(router) { Ok(self) } else { Err(self) }
+        if self.request.spend_retry(router) { Ok(self) } else { Err(self) }
     }
 
     /// No engine takes it: refused, unless one may have run it.
-    pub fn give_up(self, router: &Router) -> Response<Out> {
+    pub fn reject(self, router: &Router) -> Response<Out> {
         if self.may_have_run {
             return fail(router, Failure::BadGateway);
         }
-        router.counters.refused.fetch_add(1, Ordering::Relaxed);
+        router.counters.rejected.fetch_add(1, Ordering::Relaxed);
         answer::refusal()
     }
 }
@@ -149,7 +149,7 @@
     /// Back, since not a byte of it went out: no send, and the engine may be asked again.
     pub fn not_sent(mut self, _proof: NotSent) -> Accepted {
         self.request.sends -= 1;
-        self.request.tried.pop();
+        self.request.attempted.pop();
         Accepted { request: self.request, may_have_run: self.may_have_run }
     }
 
@@ -159,14 +159,14 @@
     }
 
     /// Its connection had been forgotten: the engine is well, and may be asked again on another.
-    pub fn forgotten(mut self) -> Dispatched {
-        self.request.tried.pop();
+    pub fn idle_reset(mut self) -> Dispatched {
+        self.request.attempted.pop();
         self
     }
 
     /// On to another engine after an uncertain end: only what may run twice, within the budget.
     pub fn retry(self, router: &Router) -> Result<Accepted, Dispatched> {
-        if self.request.repeat == Repeat::Never || !self.request.charge_retry(router) {
+        if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
             return Err(self);
         }
         Ok(Accepted { request: self.request, may_have_run: true })
@@ -191,14 +191,14 @@
 
 impl Responding {
     /// A failure that another engine may make good, of a request that may run twice.
-    pub fn is_worth_retrying(&self) -> bool {
-        let may = self.request.repeat != Repeat::Never && self.request.has_sends_left();
+    pub fn is_retryable(&self) -> bool {
+        let may = self.request.repeat != Repeat::Never && self.request.has_attempts_left();
         may && self.head.status().is_server_error()
     }
 
     /// On to another engine in place of this answer, if the route and the budget allow it.
     pub fn retry(self, router: &Router) -> Result<Accepted, Box<Responding>> {
-        if self.request.repeat == Repeat::Never || !self.request.charge_retry(router) {
+        if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
             return Err(Box::new(self));
         }
         Ok(Accepted { request: self.request, may_have_run: true })
--- a/crates/data-plane/src/budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -7,7 +7,7 @@
 
 /// What a budget is reckoned from.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
+pub struct BudgetPolicy {
     /// Second sends allowed for each arrival within the window.
     pub ratio: f64,
     /// The sliding window.
@@ -20,7 +20,7 @@
     pub up: Duration,
 }
 
-impl Terms {
+impl BudgetPolicy {
     /// The own part of the slack; none for who started less than a window ago.
     fn slack_share(&self) -> f64 {
         if self.up < self.window {
@@ -35,12 +35,12 @@
 #[derive(Default)]
 pub struct Budget {
     arrivals: VecDeque<Instant>,
-    again: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl Budget {
     fn age(&mut self, now: Instant, window: Duration) {
-        for queue in [&mut self.arrivals, &mut self.again] {
+        for queue in [&mut self.arrivals, &mut self.retries] {
             while queue.front().is_some_and(|at| now.duration_since(*at) >= window) {
                 queue.pop_front();
             }
@@ -48,20 +48,20 @@
     }
 
     /// Counts a request of a client.
-    pub fn arrived(&mut self, now: Instant, terms: &Terms) {
-        self.age(now, terms.window);
+    pub fn arrived(&mut self, now: Instant, policy: &BudgetPolicy) {
+        self.age(now, policy.window);
         self.arrivals.push_back(now);
     }
 
     /// Charges one second send; false, and nothing is charged, if there is no room for it.
-    pub fn charge(&mut self, now: Instant, terms: &Terms) -> bool {
-        self.age(now, terms.window);
-        let earned = self.arrivals.len() as f64 * terms.ratio * constants::BUDGET_SHARE;
-        let room = earned + terms.slack_share();
-        if (self.again.len() + 1) as f64 > room {
+    pub fn spend(&mut self, now: Instant, policy: &BudgetPolicy) -> bool {
+        self.age(now, policy.window);
+        let earned = self.arrivals.len() as f64 * policy.ratio * constants::BUDGET_SHARE;
+        let allowed = earned + policy.slack_share();
+        if (self.retries.len() + 1) as f64 > allowed {
             return false;
         }
-        self.again.push_back(now);
+        self.retries.push_back(now);
         true
     }
 }
@@ -73,9 +73,9 @@
 }
 
 impl crate::Router {
-    fn terms(&self) -> Terms {
+    fn policy(&self) -> BudgetPolicy {
         let settings = self.settings();
-        Terms {
+        BudgetPolicy {
             ratio: settings.bounds.retry_ratio,
             window: settings.bounds.retry_window,
             slack: settings.bounds.retry_slack,
@@ -86,19 +86,19 @@
 
     /// Counts a request of a client for this service.
     pub fn arrived(&self, service: &str) {
-        let terms = self.terms();
+        let policy = self.policy();
         let mut budgets = self.budgets.table.lock();
-        budgets.entry_ref(service).or_default().arrived(Instant::now(), &terms);
+        budgets.entry_ref(service).or_default().arrived(Instant::now(), &policy);
     }
 
     /// Charges one second send to the budget of this service; false if there is no room for it.
-    pub fn charge(&self, service: &str) -> bool {
-        let terms = self.terms();
+    pub fn spend(&self, service: &str) -> bool {
+        let policy = self.policy();
         let mut budgets = self.budgets.table.lock();
-        budgets.entry_ref(service).or_default().charge(Instant::now(), &terms)
+        budgets.entry_ref(service).or_default().spend(Instant::now(), &policy)
     }
 }
 
 #[cfg(test)]
-#[path = "budget_tests.rs"]
+#[path = "retry_budget_tests.rs"]
 mod tests;
--- a/crates/data-plane/src/budget_tests.rs
+++ b/crates/data-plane/src/retry_budget_tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn terms(routers: usize, up: u64) -> Terms {
-    Terms {
+fn policy(routers: usize, up: u64) -> BudgetPolicy {
+    BudgetPolicy {
         ratio: 0.2,
         window: Duration::from_secs(10),
         slack: 50.0,
@@ -16,13 +16,13 @@
 fn young_router_has_no_slack() {
     let t = Instant::now();
     let mut b = Budget::default();
-    assert!(!b.charge(t, &terms(1, 3)));
+    assert!(!b.spend(t, &policy(1, 3)));
     for _ in 0..13 {
-        b.arrived(t, &terms(1, 3));
+        b.arrived(t, &policy(1, 3));
     }
-    assert!(b.charge(t, &terms(1, 3)) && b.charge(t, &terms(1, 3)));
-    assert!(!b.charge(t, &terms(1, 3)));
-    assert!(b.charge(t, &terms(1, 30)));
+    assert!(b.spend(t, &policy(1, 3)) && b.spend(t, &policy(1, 3)));
+    assert!(!b.spend(t, &policy(1, 3)));
+    assert!(b.spend(t, &policy(1, 30)));
 }
 
 proptest::proptest! {
@@ -33,22 +33,22 @@
     ) {
         let t0 = Instant::now();
         let mut now = t0;
-        let t = terms(6, 100);
+        let t = policy(6, 100);
         let mut all: Vec<Budget> = (0..6).map(|_| Budget::default()).collect();
-        let (mut arrivals, mut again) = (Vec::new(), Vec::new());
-        for (who, what, pause) in steps {
-            now += Duration::from_millis(pause);
+        let (mut arrivals, mut retries) = (Vec::new(), Vec::new());
+        for (who, what, idle_for) in steps {
+            now += Duration::from_millis(idle_for);
             if what == 0 {
                 all[who].arrived(now, &t);
                 arrivals.push(now);
-            } else if all[who].charge(now, &t) {
-                again.push(now);
+            } else if all[who].spend(now, &t) {
+                retries.push(now);
             }
         }
         let w = Duration::from_secs(10);
-        for end in &again {
+        for end in &retries {
             let start = *end - w;
-            let sent = again.iter().filter(|x| **x > start && **x <= *end).count() as f64;
+            let sent = retries.iter().filter(|x| **x > start && **x <= *end).count() as f64;
             let count = |from: Instant, to: Instant| arrivals.iter().filter(|x| **x > from && **x <= to).count() as f64;
             let most = count(start, *end)
                 .max(count(start - w, start))
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -13,9 +13,9 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// A call for the configuration that waits for its answer.
-struct Asked {
+struct PendingRequest {
     at: Ipv4Addr,
-    ask: ConfigRequest,
+    request: ConfigRequest,
     answer: oneshot::Sender<Body>,
 }
 
@@ -23,7 +23,7 @@
 struct PlayedController {
     ip: Ipv4Addr,
     connected: mpsc::UnboundedSender<Peer>,
-    asked: mpsc::UnboundedSender<Asked>,
+    pending: mpsc::UnboundedSender<PendingRequest>,
 }
 
 impl fleet_core::link::PeerHandler for PlayedController {
@@ -34,9 +34,9 @@
     fn disconnected(self: &Arc<Self>, _: &Peer) {}
 
     async fn answer(self: &Arc<Self>, _: &Peer, body: Body) -> Option<Body> {
-        let Body::ConfigRequest(ask) = body else { return Some(Body::Acknowledged(Empty {})) };
+        let Body::ConfigRequest(request) = body else { return Some(Body::Acknowledged(Empty {})) };
         let (answer, answered) = oneshot::channel();
-        self.asked.send(Asked { at: self.ip, ask, answer }).ok()?;
+        self.pending.send(PendingRequest { at: self.ip, request, answer }).ok()?;
         answered.await.ok()
     }
 
@@ -46,14 +46,14 @@
 }
 
 /// A router linked to three controllers.
-struct Stand {
+struct Harness {
     router: Arc<Router>,
     peers: Vec<Peer>,
-    asked: mpsc::UnboundedReceiver<Asked>,
+    pending: mpsc::UnboundedReceiver<PendingRequest>,
 }
 
-impl Stand {
-    async fn start() -> Stand {
+impl Harness {
+    async fn start() -> Harness {
         let ips = [2, 3, 4].map(|last| Ipv4Addr::new(127, 0, 0, last));
         let first = tokio::net::TcpListener::bind(SocketAddr::from((ips[0], 0))).await.unwrap();
         let port = first.local_addr().unwrap().port();
@@ -63,10 +63,10 @@
                 .push(tokio::net::TcpListener::bind(SocketAddr::from((*ip, port))).await.unwrap());
         }
         let (connected, mut joins) = mpsc::unbounded_channel();
-        let (asked_tx, asked) = mpsc::unbounded_channel();
+        let (pending_tx, pending) = mpsc::unbounded_channel();
         for (ip, listener) in ips.into_iter().zip(listeners) {
             let host =
-                PlayedController { ip, connected: connected.clone(), asked: asked_tx.clone() };
+                PlayedController { ip, connected: connected.clone(), pending: pending_tx.clone() };
             tokio::spawn(fleet_core::link::serve_peers(Box::new(listener), Arc::new(host)));
         }
         let text = format!("nodeName=c1\nip=127.0.0.1\nzone=z\nportRange={port},{}\n", port + 1);
@@ -74,35 +74,40 @@
         let router = Router::assemble(settings, slog::Logger::root(slog::Discard, slog::o!()));
         let members = ips.map(|ip| Member { ip: ip.to_string(), ..Default::default() }).into();
         let membership = Some(Membership { epoch: 1, members });
-        router.fleet_view.hear(&FleetUpdate { membership, ..Default::default() });
-        tokio::spawn(links::watching(router.clone()));
-        tokio::spawn(config_fetch::fetching(router.clone()));
+        router.fleet_view.apply(&FleetUpdate { membership, ..Default::default() });
+        tokio::spawn(links::run_link_maintenance(router.clone()));
+        tokio::spawn(config_fetch::run_config_fetch(router.clone()));
         let mut peers = Vec::new();
         while peers.len() < ips.len() {
             peers.push(joins.recv().await.unwrap());
         }
-        Stand { router, peers, asked }
+        Harness { router, peers, pending }
     }
 
     /// All controllers tell of a version.
-    fn tell(&self, config: u64) {
+    fn announce(&self, config: u64) {
         for peer in &self.peers {
             peer.push(Body::FleetUpdate(FleetUpdate { config, ..Default::default() })).unwrap();
         }
     }
 
     /// Waits until the router has heard of a version from one of them.
-    async fn heard(&self, config: u64) {
-        self.router.fleet_view.told_config().wait_for(|told| *told >= config).await.unwrap();
+    async fn wait_for_announcement(&self, config: u64) {
+        self.router
+            .fleet_view
+            .announced_config()
+            .wait_for(|announced| *announced >= config)
+            .await
+            .unwrap();
     }
 
-    async fn next(&mut self) -> Asked {
-        self.asked.recv().await.unwrap()
+    async fn next(&mut self) -> PendingRequest {
+        self.pending.recv().await.unwrap()
     }
 
     /// The version in force; while a call is held here, that is the one before it.
     fn in_force(&self) -> u64 {
-        self.router.fleet_view.table().map_or(0, |table| table.version)
+        self.router.fleet_view.routing_table().map_or(0, |routing_table| routing_table.version)
     }
 }
 
@@ -114,60 +119,60 @@
     bytes::Bytes::copy_from_slice(BodyDigest::of(body(version).as_bytes()).as_bytes())
 }
 
-fn whole(version: u64) -> ConfigResponse {
+fn full(version: u64) -> ConfigResponse {
     let form = Some(ConfigForm::Full(packing::pack(body(version).as_bytes())));
     ConfigResponse { version, isolation: 1, digest: digest(version), form }
 }
 
-fn give(asked: Asked, given: ConfigResponse) {
-    asked.answer.send(Body::ConfigResponse(given)).unwrap();
+fn respond(pending: PendingRequest, response: ConfigResponse) {
+    pending.answer.send(Body::ConfigResponse(response)).unwrap();
 }
 
 #[tokio::test]
 async fn one_fetch_is_under_way_at_a_time_and_then_one_for_the_newest() {
-    let mut stand = Stand::start().await;
-    stand.tell(1);
-    let first = stand.next().await;
-    assert!(first.ask.digest.is_empty(), "it has none as yet");
+    let mut harness = Harness::start().await;
+    harness.announce(1);
+    let first = harness.next().await;
+    assert!(first.request.digest.is_empty(), "it has none as yet");
     for version in 2..6 {
-        stand.tell(version);
+        harness.announce(version);
     }
-    stand.heard(5).await;
-    assert!(stand.asked.try_recv().is_err(), "one fetch is under way");
-    give(first, whole(1));
-    let second = stand.next().await;
-    assert_eq!(stand.in_force(), 1);
-    assert_eq!(second.ask.digest, digest(1), "it tells what it has");
-    give(second, whole(5));
-    stand.tell(6);
-    let third = stand.next().await;
-    assert_eq!(stand.in_force(), 5);
-    assert_eq!(third.ask.digest, digest(5), "nothing was asked for versions in between");
+    harness.wait_for_announcement(5).await;
+    assert!(harness.pending.try_recv().is_err(), "one fetch is under way");
+    respond(first, full(1));
+    let second = harness.next().await;
+    assert_eq!(harness.in_force(), 1);
+    assert_eq!(second.request.digest, digest(1), "it tells what it has");
+    respond(second, full(5));
+    harness.announce(6);
+    let third = harness.next().await;
+    assert_eq!(harness.in_force(), 5);
+    assert_eq!(third.request.digest, digest(5), "nothing was asked for versions in between");
 }
 
 #[tokio::test]
 async fn answers_that_bring_nothing_are_made_up_for_by_another_controller() {
-    let mut stand = Stand::start().await;
-    stand.tell(1);
-    let first = stand.next().await;
-    give(first, whole(1));
-    stand.tell(2);
-    let old = stand.next().await;
-    let mut asked_at = vec![old.at];
-    give(old, whole(1));
-    let damaged = stand.next().await;
-    asked_at.push(damaged.at);
-    give(damaged, ConfigResponse { digest: digest(7), ..whole(2) });
-    let unfitting = stand.next().await;
-    asked_at.push(unfitting.at);
-    assert!(unfitting.ask.digest.is_empty(), "the whole is asked for after a wrong digest");
+    let mut harness = Harness::start().await;
+    harness.announce(1);
+    let first = harness.next().await;
+    respond(first, full(1));
+    harness.announce(2);
+    let old = harness.next().await;
+    let mut pending_at = vec![old.at];
+    respond(old, full(1));
+    let damaged = harness.next().await;
+    pending_at.push(damaged.at);
+    respond(damaged, ConfigResponse { digest: digest(7), ..full(2) });
+    let unfitting = harness.next().await;
+    pending_at.push(unfitting.at);
+    assert!(unfitting.request.digest.is_empty(), "the whole is asked for after a wrong digest");
     unfitting.answer.send(Body::Acknowledged(Empty {})).unwrap();
-    let last = stand.next().await;
-    asked_at.sort_unstable();
-    asked_at.dedup();
-    assert_eq!(asked_at.len(), 3, "three controllers in turn");
-    assert_eq!(stand.in_force(), 1, "what was in force stays");
-    give(last, whole(2));
-    stand.tell(3);
-    assert_eq!(stand.next().await.ask.digest, digest(2));
+    let last = harness.next().await;
+    pending_at.sort_unstable();
+    pending_at.dedup();
+    assert_eq!(pending_at.len(), 3, "three controllers in turn");
+    assert_eq!(harness.in_force(), 1, "what was in force stays");
+    respond(last, full(2));
+    harness.announce(3);
+    assert_eq!(harness.next().await.request.digest, digest(2));
 }
--- a/crates/data-plane/tests/engines/answers.rs
+++ b/crates/data-plane/tests/engines/answers.rs
@@ -1,13 +1,15 @@
 //! Whose answer it is, and whether it is whole: what can't be told is not passed on as a success.
 
-use super::stand::{Fleet, Seen, StandIn, Then, chunk, event, request, sealed, status, whole};
+use super::harness::{
+    Fleet, ReceivedRequest, StubEngine, Then, chunk, complete, event, request, sealed, status,
+};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// Answers whose end or meaning can't be told; each ends as a failure of ours, after one arrival.
 #[tokio::test]
 async fn answers_without_a_provable_end_are_never_successes() {
-    type Play = fn(&Seen) -> String;
-    let table: Vec<(&str, Play)> = vec![
+    type Play = fn(&ReceivedRequest) -> String;
+    let routing_table: Vec<(&str, Play)> = vec![
         ("ends with the connection", |s| format!("{}half", sealed(s, "200 OK", ""))),
         ("an older protocol, ends with the connection", |s| {
             format!("{}half", sealed(s, "200 OK", "").replace("HTTP/1.1", "HTTP/1.0"))
@@ -23,11 +25,11 @@
             sealed(s, "101 Switching Protocols", "Connection: upgrade\r\nUpgrade: x\r\n")
         }),
     ];
-    for (what, play) in table {
-        let script = move |_: usize, s: &Seen| (play(s).into_bytes(), Then::Close);
-        let (a, b) = (StandIn::start("e1", script).await, StandIn::start("e2", script).await);
+    for (what, play) in routing_table {
+        let script = move |_: usize, s: &ReceivedRequest| (play(s).into_bytes(), Then::Close);
+        let (a, b) = (StubEngine::start("e1", script).await, StubEngine::start("e2", script).await);
         let f = Fleet::start(&[&a, &b]).await;
-        let got = f.ask("/twice/", "").await;
+        let got = f.send("/twice/", "").await;
         assert_eq!(status(&got), 502, "{what}: {got}");
         assert_eq!(a.arrivals() + b.arrivals(), 1, "{what}");
     }
@@ -35,17 +37,18 @@
 
 #[tokio::test]
 async fn short_bodies_never_look_complete() {
-    let length = |s: &Seen| format!("{}half", sealed(s, "200 OK", "Content-Length: 9\r\n"));
-    let chunks = |s: &Seen| {
+    let length =
+        |s: &ReceivedRequest| format!("{}half", sealed(s, "200 OK", "Content-Length: 9\r\n"));
+    let chunks = |s: &ReceivedRequest| {
         format!("{}{}9\r\nhalf", sealed(s, "200 OK", "Transfer-Encoding: chunked\r\n"), chunk("x"))
     };
-    let plays: [fn(&Seen) -> String; 2] = [length, chunks];
+    let plays: [fn(&ReceivedRequest) -> String; 2] = [length, chunks];
     for play in plays {
         for reset in [false, true] {
-            let script = move |_: usize, s: &Seen| {
+            let script = move |_: usize, s: &ReceivedRequest| {
                 (play(s).into_bytes(), if reset { Then::Reset } else { Then::Close })
             };
-            let e = StandIn::start("e1", script).await;
+            let e = StubEngine::start("e1", script).await;
             let f = Fleet::start(&[&e]).await;
             let got = f.raw_to_end(request("/once/", "").as_bytes()).await;
             let proper = got.ends_with("0\r\n\r\n") || got.ends_with("123456789");
@@ -58,12 +61,12 @@
 /// To a client of an older protocol the end of a stream would look like a break of it.
 #[tokio::test]
 async fn clients_that_could_not_tell_a_break_from_an_end_are_not_served() {
-    let script = |_: usize, s: &Seen| {
+    let script = |_: usize, s: &ReceivedRequest| {
         let half =
             format!("{}{}", sealed(s, "200 OK", "Transfer-Encoding: chunked\r\n"), chunk("x"));
         (half.into_bytes(), Then::Close)
     };
-    let e = StandIn::start("e1", script).await;
+    let e = StubEngine::start("e1", script).await;
     let f = Fleet::start(&[&e]).await;
     let old = request("/once/", "").replace("HTTP/1.1", "HTTP/1.0");
     let got = f.raw_to_end(old.as_bytes()).await;
@@ -73,20 +76,20 @@
 /// The engine answers the first request twice, the second time where the next answer is due.
 #[tokio::test]
 async fn late_second_answer_goes_to_nobody() {
-    let first_head = std::sync::Mutex::new(None::<Seen>);
-    let script = move |n: usize, s: &Seen| {
+    let first_head = std::sync::Mutex::new(None::<ReceivedRequest>);
+    let script = move |n: usize, s: &ReceivedRequest| {
         if n == 1 {
             *first_head.lock().unwrap() = Some(s.clone());
-            return (whole(s, 1..=1), Then::Keep);
+            return (complete(s, 1..=1), Then::Keep);
         }
         let former = first_head.lock().unwrap().clone().unwrap();
-        let mut out = whole(&former, 7..=7);
-        out.extend_from_slice(&whole(s, 2..=2));
+        let mut out = complete(&former, 7..=7);
+        out.extend_from_slice(&complete(s, 2..=2));
         (out, Then::Keep)
     };
-    let e = StandIn::start("e1", script).await;
+    let e = StubEngine::start("e1", script).await;
     let f = Fleet::start(&[&e]).await;
-    assert_eq!(status(&f.ask("/once/", "").await), 200);
+    assert_eq!(status(&f.send("/once/", "").await), 200);
     let second = f.raw(request("/once/", "").replace("a1", "a2").as_bytes()).await;
     assert_eq!(status(&second), 502, "{second}");
     assert!(!second.contains(&event(7)));
@@ -97,23 +100,23 @@
 #[tokio::test]
 async fn refusal_without_an_id_counts_only_as_the_first_answer_of_a_connection() {
     let bare = b"HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n";
-    let e = StandIn::start("e1", move |n, s| match n {
-        1 => (whole(s, 1..=1), Then::Keep),
+    let e = StubEngine::start("e1", move |n, s| match n {
+        1 => (complete(s, 1..=1), Then::Keep),
         _ => (bare.to_vec(), Then::Keep),
     })
     .await;
     let f = Fleet::start(&[&e]).await;
-    assert_eq!(status(&f.ask("/once/", "").await), 200);
-    assert_eq!(status(&f.ask("/once/", "").await), 502, "an earlier request's, perhaps");
-    assert_eq!(status(&f.ask("/once/", "").await), 503, "nobody else's");
-    let seen = e.seen.lock();
-    assert_eq!(seen[0].connection, seen[1].connection);
-    assert_ne!(seen[1].connection, seen[2].connection);
+    assert_eq!(status(&f.send("/once/", "").await), 200);
+    assert_eq!(status(&f.send("/once/", "").await), 502, "an earlier request's, perhaps");
+    assert_eq!(status(&f.send("/once/", "").await), 503, "nobody else's");
+    let received = e.received.lock();
+    assert_eq!(received[0].connection, received[1].connection);
+    assert_ne!(received[1].connection, received[2].connection);
 }
 
 #[tokio::test]
 async fn answers_without_a_body_are_whole_and_leave_the_connection_usable() {
-    let e = StandIn::start("e1", |_, s| {
+    let e = StubEngine::start("e1", |_, s| {
         let answer = if s.head.starts_with("HEAD") {
             sealed(s, "200 OK", "Content-Length: 5\r\n")
         } else {
@@ -123,18 +126,18 @@
     })
     .await;
     let f = Fleet::start(&[&e]).await;
-    assert_eq!(status(&f.ask("/once/", "").await), 204);
+    assert_eq!(status(&f.send("/once/", "").await), 204);
     let head = request("/once/", "").replace("POST", "HEAD");
     let got = f.raw(head.as_bytes()).await;
     assert_eq!(status(&got), 200);
     assert!(got.ends_with("\r\n\r\n"), "a body after HEAD: {got}");
-    let seen = e.seen.lock();
-    assert_eq!(seen[0].connection, seen[1].connection);
+    let received = e.received.lock();
+    assert_eq!(received[0].connection, received[1].connection);
 }
 
 #[tokio::test]
 async fn interim_answers_and_trailers_do_not_reach_the_client() {
-    let e = StandIn::start("e1", |_, s| {
+    let e = StubEngine::start("e1", |_, s| {
         let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
         let head = sealed(s, "200 OK", "Transfer-Encoding: chunked\r\n");
         (format!("{interim}{head}{}0\r\nX-Late: t\r\n\r\n", chunk("abc")).into_bytes(), Then::Keep)
@@ -142,17 +145,17 @@
     .await;
     let f = Fleet::start(&[&e]).await;
     for _ in 0..2 {
-        let got = f.ask("/once/", "").await;
+        let got = f.send("/once/", "").await;
         assert_eq!(status(&got), 200);
         assert!(got.contains("abc") && !got.contains("X-Late") && !got.contains("Link"), "{got}");
     }
-    let seen = e.seen.lock();
-    assert_eq!(seen[0].connection, seen[1].connection);
+    let received = e.received.lock();
+    assert_eq!(received[0].connection, received[1].connection);
 }
 
 #[tokio::test]
 async fn pipelined_requests_get_their_own_answers_in_their_order() {
-    let e = StandIn::start("e1", |_, s| {
+    let e = StubEngine::start("e1", |_, s| {
         let id = s.header("x-attempt-id").unwrap().to_owned();
         let length = format!("Content-Length: {}\r\n", id.len());
         (format!("{}{id}", sealed(s, "200 OK", &length)).into_bytes(), Then::Keep)
@@ -173,13 +176,13 @@
 /// A client goes away in the middle of a stream: its engine connection serves nobody else.
 #[tokio::test]
 async fn connection_of_a_client_that_left_midway_is_not_used_again() {
-    let e = StandIn::start("e1", |n, s| match n {
+    let e = StubEngine::start("e1", |n, s| match n {
         1 => (
             format!("{}{}", sealed(s, "200 OK", "Transfer-Encoding: chunked\r\n"), chunk("part"))
                 .into_bytes(),
             Then::Keep,
         ),
-        _ => (whole(s, 2..=2), Then::Keep),
+        _ => (complete(s, 2..=2), Then::Keep),
     })
     .await;
     let f = Fleet::start(&[&e]).await;
@@ -196,42 +199,42 @@
     drop(client);
     let got = f.raw(request("/once/", "").replace("a1", "a2").as_bytes()).await;
     assert!(got.contains(&event(2)) && !got.contains("part"), "{got}");
-    let seen = e.seen.lock();
-    assert_ne!(seen[0].connection, seen[1].connection);
+    let received = e.received.lock();
+    assert_ne!(received[0].connection, received[1].connection);
 }
 
 /// A client breaks off inside its request: nothing of it reaches an engine.
 #[tokio::test]
 async fn half_a_request_is_never_sent_on() {
-    let e = StandIn::start("e1", |_, s| (whole(s, 1..=1), Then::Keep)).await;
+    let e = StubEngine::start("e1", |_, s| (complete(s, 1..=1), Then::Keep)).await;
     let f = Fleet::start(&[&e]).await;
     let half = request("/once/", "").replace("Content-Length: 2", "Content-Length: 9");
     let mut client = f.connect().await;
     client.write_all(half.as_bytes()).await.unwrap();
     client.shutdown().await.unwrap();
-    let mut rest = Vec::new();
-    client.read_to_end(&mut rest).await.unwrap();
-    assert!(!String::from_utf8_lossy(&rest).contains(" 200 "));
-    assert_eq!(status(&f.ask("/once/", "").await), 200);
+    let mut tail = Vec::new();
+    client.read_to_end(&mut tail).await.unwrap();
+    assert!(!String::from_utf8_lossy(&tail).contains(" 200 "));
+    assert_eq!(status(&f.send("/once/", "").await), 200);
     assert_eq!(e.arrivals(), 1);
 }
 
 /// What a `Connection` header names concerns that connection alone; an id is never lost that way.
 #[tokio::test]
 async fn headers_named_by_connection_stay_on_their_connection() {
-    let e = StandIn::start("e1", |_, s| {
-        let named =
+    let e = StubEngine::start("e1", |_, s| {
+        let target =
             "Connection: X-Hop, X-Server-Seal\r\nX-Hop: 1\r\nX-Kept: 2\r\nContent-Length: 0\r\n";
-        (sealed(s, "200 OK", named).into_bytes(), Then::Keep)
+        (sealed(s, "200 OK", target).into_bytes(), Then::Keep)
     })
     .await;
     let f = Fleet::start(&[&e]).await;
-    let named = "Connection: x-hop, X-Attempt-Id, keep-alive\r\nX-Hop: 1\r\nX-Kept: 2\r\n";
-    let got = f.ask("/once/", named).await.to_ascii_lowercase();
+    let target = "Connection: x-hop, X-Attempt-Id, keep-alive\r\nX-Hop: 1\r\nX-Kept: 2\r\n";
+    let got = f.send("/once/", target).await.to_ascii_lowercase();
     assert_eq!(status(&got), 200);
-    let seen = e.seen.lock()[0].clone();
-    assert_eq!((seen.header("x-hop"), seen.header("x-kept")), (None, Some("2")));
-    assert_eq!(seen.header("x-attempt-id"), Some("a1"));
+    let received = e.received.lock()[0].clone();
+    assert_eq!((received.header("x-hop"), received.header("x-kept")), (None, Some("2")));
+    assert_eq!(received.header("x-attempt-id"), Some("a1"));
     assert!(!got.contains("x-hop") && got.contains("x-kept: 2"), "{got}");
     assert!(got.contains("x-server-seal: s1"), "{got}");
 }
@@ -241,16 +244,16 @@
 async fn news_in_an_answer_of_another_request_is_not_taken_in() {
     for (id, believed) in [("a1", Some(77)), ("b7", None)] {
         let news = "X-Instance-Load: 77,0,8\r\nContent-Length: 0\r\n";
-        let e = StandIn::start("e1", move |_, s| {
+        let e = StubEngine::start("e1", move |_, s| {
             let answer = sealed(s, "200 OK", news)
                 .replace("X-Attempt-Id: a1", &format!("X-Attempt-Id: {id}"));
             (answer.into_bytes(), Then::Keep)
         })
         .await;
         let f = Fleet::start(&[&e]).await;
-        f.ask("/once/", "").await;
-        let engine = f.d.fleet_view.engines.read()["e1"].clone();
-        let running = engine.work().told.map(|told| told.running);
+        f.send("/once/", "").await;
+        let engine = f.router.fleet_view.engines.read()["e1"].clone();
+        let running = engine.work().reported.map(|reported| reported.running);
         assert_eq!(running, believed, "{id}");
     }
 }
--- a/crates/data-plane/tests/engines/stand.rs
+++ b/crates/data-plane/tests/engines/harness.rs
@@ -1,7 +1,7 @@
 //! A router on loopback, stand-in engines that play scripts, and a plain client.
 
 use data_plane::Router;
-use data_plane::fleet_view::table::Table;
+use data_plane::fleet_view::routing_table::Table;
 use fleet_core::wire::{Engine, FleetUpdate, TargetWeights, Weights};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -9,13 +9,13 @@
 
 /// What an engine saw of one request.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
     pub connection: usize,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
@@ -42,24 +42,24 @@
     Reset,
 }
 
-type Script = dyn Fn(usize, &Seen) -> (Vec<u8>, Then) + Send + Sync;
+type Script = dyn Fn(usize, &ReceivedRequest) -> (Vec<u8>, Then) + Send + Sync;
 
-pub struct StandIn {
+pub struct StubEngine {
     pub id: String,
     pub address: std::net::SocketAddr,
-    pub seen: Arc<parking_lot::Mutex<Vec<Seen>>>,
+    pub received: Arc<parking_lot::Mutex<Vec<ReceivedRequest>>>,
 }
 
-impl StandIn {
+impl StubEngine {
     pub async fn start(
         id: &str,
-        script: impl Fn(usize, &Seen) -> (Vec<u8>, Then) + Send + Sync + 'static,
-    ) -> StandIn {
+        script: impl Fn(usize, &ReceivedRequest) -> (Vec<u8>, Then) + Send + Sync + 'static,
+    ) -> StubEngine {
         let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = l.local_addr().unwrap();
-        let seen: Arc<parking_lot::Mutex<Vec<Seen>>> = Arc::default();
+        let received: Arc<parking_lot::Mutex<Vec<ReceivedRequest>>> = Arc::default();
         let script: Arc<Script> = Arc::new(script);
-        let all = seen.clone();
+        let all = received.clone();
         tokio::spawn(async move {
             let mut connection = 0;
             while let Ok((s, _)) = l.accept().await {
@@ -67,11 +67,11 @@
                 tokio::spawn(play(s, connection, all.clone(), script.clone()));
             }
         });
-        StandIn { id: id.to_owned(), address, seen }
+        StubEngine { id: id.to_owned(), address, received }
     }
 
     pub fn arrivals(&self) -> usize {
-        self.seen.lock().len()
+        self.received.lock().len()
     }
 }
 
@@ -99,27 +99,27 @@
 async fn play(
     mut s: TcpStream,
     connection: usize,
-    all: Arc<parking_lot::Mutex<Vec<Seen>>>,
+    all: Arc<parking_lot::Mutex<Vec<ReceivedRequest>>>,
     script: Arc<Script>,
 ) {
     while let Some((head, body)) = read_message(&mut s).await {
-        let seen = Seen { head, body, connection };
+        let received = ReceivedRequest { head, body, connection };
         let n = {
             let mut a = all.lock();
-            a.push(seen.clone());
+            a.push(received.clone());
             a.len()
         };
-        let (bytes, then) = script(n, &seen);
+        let (bytes, then) = script(n, &received);
         if s.write_all(&bytes).await.is_err() {
             return;
         }
         match then {
             Then::Keep => {}
             Then::Close => return,
-            Then::CloseOn(word) => return word.notified().await,
-            Then::Finish(word, rest) => {
-                word.notified().await;
-                if s.write_all(&rest).await.is_err() {
+            Then::CloseOn(signal) => return signal.notified().await,
+            Then::Finish(signal, tail) => {
+                signal.notified().await;
+                if s.write_all(&tail).await.is_err() {
                     return;
                 }
             }
@@ -140,34 +140,34 @@
 }
 
 /// Head of a proper stream, answering this request.
-pub fn head_for(seen: &Seen, more: &str) -> String {
-    let id = seen.header("x-attempt-id").unwrap_or("");
+pub fn stream_head(received: &ReceivedRequest, more: &str) -> String {
+    let id = received.header("x-attempt-id").unwrap_or("");
     format!(
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s1\r\nContent-Type: text/event-stream\r\n{more}Transfer-Encoding: chunked\r\n\r\n"
     )
 }
 
-pub fn whole(seen: &Seen, ids: std::ops::RangeInclusive<u32>) -> Vec<u8> {
+pub fn complete(received: &ReceivedRequest, ids: std::ops::RangeInclusive<u32>) -> Vec<u8> {
     let body: String = ids.map(|i| chunk(&event(i))).collect();
-    format!("{}{body}0\r\n\r\n", head_for(seen, "")).into_bytes()
+    format!("{}{body}0\r\n\r\n", stream_head(received, "")).into_bytes()
 }
 
 pub struct Fleet {
-    pub d: Arc<Router>,
+    pub router: Arc<Router>,
     front: std::net::SocketAddr,
 }
 
 impl Fleet {
-    pub async fn start(engines: &[&StandIn]) -> Fleet {
+    pub async fn start(engines: &[&StubEngine]) -> Fleet {
         Fleet::with_max_conns(engines, 100).await
     }
 
     /// A fleet whose engines take so many connections from all routers.
-    pub async fn with_max_conns(engines: &[&StandIn], max_conns: u32) -> Fleet {
+    pub async fn with_max_conns(engines: &[&StubEngine], max_conns: u32) -> Fleet {
         let text = "nodeName=c1\nip=127.0.0.1\nzone=z\nportRange=1,9\nbounds.retryRatio=10\n\
             bounds.retryWindowS=10\nbounds.retrySlack=0\nbounds.versionMs=8000\n";
         let settings = fleet_core::settings::Settings::parse(text).unwrap();
-        let d = Router::assemble(settings, slog::Logger::root(slog::Discard, slog::o!()));
+        let router = Router::assemble(settings, slog::Logger::root(slog::Discard, slog::o!()));
         let route = |prefix: &str, resumable: bool, attempts: u32| {
             serde_json::json!({"host": "h.example", "pathPrefix": prefix, "kind": "streaming",
                 "timeoutMs": 20000, "service": "s", "maxAttempts": attempts, "resumable": resumable})
@@ -181,17 +181,17 @@
             "limits": {"maxHeaderBytes": 8192, "maxBodyBytes": 1000, "headerTimeoutMs": 3000, "idleTimeoutMs": 9000},
             "tenants": [{"name": "t1", "apiKeys": ["k1"]}, {"name": "t2", "apiKeys": ["k2"], "isolated": true}],
         });
-        d.fleet_view.set_table(Table::compile(sheet.to_string().as_bytes(), 4).unwrap());
+        router.fleet_view.set_table(Table::compile(sheet.to_string().as_bytes(), 4).unwrap());
         let view = FleetUpdate {
-            engines: engines.iter().map(|e| known(e)).collect(),
+            engines: engines.iter().map(|e| engine_state(e)).collect(),
             weights: vec![TargetWeights { model: "m".into(), version: 2, age_ms: 0 }],
             ..Default::default()
         };
-        d.fleet_view.hear(&view);
+        router.fleet_view.apply(&view);
         let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let front = l.local_addr().unwrap();
-        tokio::spawn(data_plane::serve::accepting(d.clone(), l));
-        Fleet { d, front }
+        tokio::spawn(data_plane::proxy::run_client_listener(router.clone(), l));
+        Fleet { router, front }
     }
 
     /// A client's connection to the router.
@@ -233,7 +233,7 @@
         String::from_utf8_lossy(&out).into_owned()
     }
 
-    pub async fn ask(&self, path: &str, more: &str) -> String {
+    pub async fn send(&self, path: &str, more: &str) -> String {
         self.raw(request(path, more).as_bytes()).await
     }
 }
@@ -257,8 +257,8 @@
 }
 
 /// Head of an answer of any status that bears the request's id and a seal.
-pub fn sealed(seen: &Seen, status: &str, more: &str) -> String {
-    let id = seen.header("x-attempt-id").unwrap_or("");
+pub fn sealed(received: &ReceivedRequest, status: &str, more: &str) -> String {
+    let id = received.header("x-attempt-id").unwrap_or("");
     format!("HTTP/1.1 {status}\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s1\r\n{more}\r\n")
 }
 
@@ -269,7 +269,7 @@
     )
 }
 
-pub fn known(e: &StandIn) -> Engine {
+pub fn engine_state(e: &StubEngine) -> Engine {
     Engine {
         id: e.id.clone(),
         call: 1,
--- a/crates/data-plane/tests/engines/promises.rs
+++ b/crates/data-plane/tests/engines/promises.rs
@@ -1,6 +1,6 @@
 //! 408, 421, 429 and 503 promise that a request has not run: they need proof.
 
-use super::stand::{Fleet, StandIn, Then, sealed, status, whole};
+use super::harness::{Fleet, StubEngine, Then, complete, sealed, status};
 
 /// Unproven: an engine's own refusal without the mark that it has not run the request.
 const UNPROVEN: [&str; 3] = ["408 Request Timeout", "429 Too Many", "503 Unavailable"];
@@ -13,12 +13,13 @@
 async fn refusal_without_proof_is_no_promise_for_what_may_run_only_once() {
     for what in UNPROVEN {
         for path in ["/once/", "/twice/"] {
-            let script = move |_: usize, s: &super::stand::Seen| {
+            let script = move |_: usize, s: &super::harness::ReceivedRequest| {
                 (sealed(s, what, "Content-Length: 0\r\n").into_bytes(), Then::Keep)
             };
-            let (a, b) = (StandIn::start("e1", script).await, StandIn::start("e2", script).await);
+            let (a, b) =
+                (StubEngine::start("e1", script).await, StubEngine::start("e2", script).await);
             let f = Fleet::start(&[&a, &b]).await;
-            let got = f.ask(path, "").await;
+            let got = f.send(path, "").await;
             assert_eq!(status(&got), 502, "{what} at {path}: {got}");
             assert!(!has_seal(&got), "{what} at {path}: a seal with a status of our own");
             assert_eq!(a.arrivals() + b.arrivals(), 1, "{what} at {path}");
@@ -28,12 +29,12 @@
 
 #[tokio::test]
 async fn refusal_by_its_status_alone_is_proof_where_the_engine_is_another_one() {
-    let script = |_: usize, s: &super::stand::Seen| {
+    let script = |_: usize, s: &super::harness::ReceivedRequest| {
         (sealed(s, "421 Misdirected", "Content-Length: 0\r\n").into_bytes(), Then::Keep)
     };
-    let e = StandIn::start("e1", script).await;
+    let e = StubEngine::start("e1", script).await;
     let f = Fleet::start(&[&e]).await;
-    let got = f.ask("/once/", "").await;
+    let got = f.send("/once/", "").await;
     assert_eq!((status(&got), has_seal(&got)), (503, false));
 }
 
@@ -46,17 +47,18 @@
         ("404 Not Found", "/once/", 404),
         ("503 Unavailable", "/safe/", 503),
     ] {
-        let script = move |_: usize, s: &super::stand::Seen| {
+        let script = move |_: usize, s: &super::harness::ReceivedRequest| {
             (sealed(s, what, "Content-Length: 2\r\n").into_bytes(), Then::Keep)
         };
-        let with_body = move |n: usize, s: &super::stand::Seen| {
+        let with_body = move |n: usize, s: &super::harness::ReceivedRequest| {
             let (mut bytes, then) = script(n, s);
             bytes.extend_from_slice(b"no");
             (bytes, then)
         };
-        let (a, b) = (StandIn::start("e1", with_body).await, StandIn::start("e2", with_body).await);
+        let (a, b) =
+            (StubEngine::start("e1", with_body).await, StubEngine::start("e2", with_body).await);
         let f = Fleet::start(&[&a, &b]).await;
-        let got = f.ask(path, "").await;
+        let got = f.send(path, "").await;
         assert_eq!((status(&got), has_seal(&got)), (code, true), "{what} at {path}: {got}");
     }
 }
@@ -64,14 +66,14 @@
 /// Once a request may have run somewhere, nothing that follows can promise the contrary.
 #[tokio::test]
 async fn nothing_is_refused_after_an_uncertain_send() {
-    let lost = |_: usize, _: &super::stand::Seen| (Vec::new(), Then::Close);
-    let alone = StandIn::start("e1", lost).await;
+    let lost = |_: usize, _: &super::harness::ReceivedRequest| (Vec::new(), Then::Close);
+    let alone = StubEngine::start("e1", lost).await;
     let f = Fleet::start(&[&alone]).await;
-    let got = f.ask("/safe/", "").await;
+    let got = f.send("/safe/", "").await;
     assert_eq!((status(&got), alone.arrivals()), (502, 1), "no second engine: {got}");
 
     let first = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-    let script = move |_: usize, s: &super::stand::Seen| {
+    let script = move |_: usize, s: &super::harness::ReceivedRequest| {
         if first.swap(false, std::sync::atomic::Ordering::Relaxed) {
             return (Vec::new(), Then::Close);
         }
@@ -80,19 +82,20 @@
             Then::Keep,
         )
     };
-    let (a, b) = (StandIn::start("e1", script.clone()).await, StandIn::start("e2", script).await);
+    let (a, b) =
+        (StubEngine::start("e1", script.clone()).await, StubEngine::start("e2", script).await);
     let f = Fleet::start(&[&a, &b]).await;
-    let got = f.ask("/safe/", "").await;
+    let got = f.send("/safe/", "").await;
     assert_eq!((status(&got), a.arrivals() + b.arrivals()), (502, 2), "turned away after: {got}");
 }
 
 #[tokio::test]
 async fn what_may_be_repeated_is_sent_again_after_an_uncertain_end() {
-    let lost = StandIn::start("e1", |_, _| (Vec::new(), Then::Reset)).await;
-    let well = StandIn::start("e2", |_, s| (whole(s, 1..=1), Then::Keep)).await;
+    let lost = StubEngine::start("e1", |_, _| (Vec::new(), Then::Reset)).await;
+    let well = StubEngine::start("e2", |_, s| (complete(s, 1..=1), Then::Keep)).await;
     let f = Fleet::start(&[&lost, &well]).await;
     for _ in 0..8 {
-        assert_eq!(status(&f.ask("/safe/", "").await), 200);
+        assert_eq!(status(&f.send("/safe/", "").await), 200);
     }
     assert_eq!(well.arrivals(), 8);
 }
@@ -100,10 +103,10 @@
 #[tokio::test]
 async fn what_may_run_only_once_is_sent_once_whatever_ends_it() {
     for path in ["/once/", "/twice/"] {
-        let lost = |_: usize, _: &super::stand::Seen| (Vec::new(), Then::Reset);
-        let (a, b) = (StandIn::start("e1", lost).await, StandIn::start("e2", lost).await);
+        let lost = |_: usize, _: &super::harness::ReceivedRequest| (Vec::new(), Then::Reset);
+        let (a, b) = (StubEngine::start("e1", lost).await, StubEngine::start("e2", lost).await);
         let f = Fleet::start(&[&a, &b]).await;
-        assert_eq!(status(&f.ask(path, "").await), 502, "{path}");
+        assert_eq!(status(&f.send(path, "").await), 502, "{path}");
         assert_eq!(a.arrivals() + b.arrivals(), 1, "{path}");
     }
 }
@@ -121,9 +124,9 @@
             socket2::SockRef::from(&socket).set_linger(Some(std::time::Duration::ZERO)).unwrap();
         }
     });
-    let full = StandIn { id: "e1".into(), address, seen: Default::default() };
+    let full = StubEngine { id: "e1".into(), address, received: Default::default() };
     let f = Fleet::start(&[&full]).await;
-    let got = status(&f.ask("/twice/", "").await);
+    let got = status(&f.send("/twice/", "").await);
     assert!([502, 503].contains(&got), "{got}");
     assert_eq!(accepted.load(std::sync::atomic::Ordering::Relaxed), 1);
 }
--- a/crates/data-plane/tests/engines/silence.rs
+++ b/crates/data-plane/tests/engines/silence.rs
@@ -1,14 +1,20 @@
 //! Engines that run and say nothing, and what the time limits make of them.
 
-use super::stand::{
-    Fleet, Seen, StandIn, Then, chunk, head_for, pass, request, sealed, status, until, whole,
+use super::harness::{
+    Fleet, ReceivedRequest, StubEngine, Then, chunk, complete, pass, request, sealed, status,
+    stream_head, until,
 };
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// The answer to one request after its deadline of 15 s has passed.
-async fn answer_after_deadline(f: &Arc<Fleet>, e: &StandIn, path: &str, arrivals: usize) -> String {
+async fn answer_after_deadline(
+    f: &Arc<Fleet>,
+    e: &StubEngine,
+    path: &str,
+    arrivals: usize,
+) -> String {
     let (asked, bytes) = (f.clone(), request(path, ""));
     let asking = tokio::spawn(async move { asked.raw(bytes.as_bytes()).await });
     until(|| e.arrivals() == arrivals).await;
@@ -23,7 +29,7 @@
 #[tokio::test]
 async fn silence_lasts_until_the_deadline_and_is_never_a_refusal() {
     for path in ["/once/", "/twice/", "/on/", "/safe/"] {
-        let e = StandIn::start("e1", |_, _| (Vec::new(), Then::Keep)).await;
+        let e = StubEngine::start("e1", |_, _| (Vec::new(), Then::Keep)).await;
         let f = Arc::new(Fleet::start(&[&e]).await);
         let got = answer_after_deadline(&f, &e, path, 1).await;
         assert_eq!(status(&got), 504, "{path}: {got}");
@@ -34,16 +40,16 @@
 /// The head says that it has not run; the rest of that answer is of no use, and is not waited for.
 #[tokio::test]
 async fn refusal_whose_body_never_ends_holds_nobody_up() {
-    let script = |_: usize, s: &Seen| {
+    let script = |_: usize, s: &ReceivedRequest| {
         (
             sealed(s, "503 Full", "X-Not-Executed: 1\r\nContent-Length: 9\r\n").into_bytes(),
             Then::Keep,
         )
     };
-    let e = StandIn::start("e1", script).await;
+    let e = StubEngine::start("e1", script).await;
     let f = Arc::new(Fleet::start(&[&e]).await);
     let asked = f.clone();
-    let asking = tokio::spawn(async move { asked.ask("/once/", "").await });
+    let asking = tokio::spawn(async move { asked.send("/once/", "").await });
     until(|| e.arrivals() == 1).await;
     for _ in 0..500 {
         tokio::task::yield_now().await;
@@ -60,15 +66,15 @@
 #[tokio::test]
 async fn deadline_that_finds_a_slow_client_never_makes_the_answer_look_complete() {
     for path in ["/once/", "/on/"] {
-        let script = |_: usize, s: &Seen| {
-            let mut bytes = head_for(s, "").into_bytes();
+        let script = |_: usize, s: &ReceivedRequest| {
+            let mut bytes = stream_head(s, "").into_bytes();
             let large = chunk(&format!("id: 1\ndata: {}\n\n", "x".repeat(1 << 20)));
             for _ in 0..24 {
                 bytes.extend_from_slice(large.as_bytes());
             }
             (bytes, Then::Keep)
         };
-        let e = StandIn::start("e1", script).await;
+        let e = StubEngine::start("e1", script).await;
         let f = Fleet::start(&[&e]).await;
         let mut client = f.connect().await;
         client.write_all(request(path, "").as_bytes()).await.unwrap();
@@ -87,9 +93,9 @@
 /// A client leaves before any answer: a late answer on that connection reaches nobody.
 #[tokio::test]
 async fn connection_of_a_client_that_left_before_its_answer_is_not_used_again() {
-    let e = StandIn::start("e1", |n, s| match n {
+    let e = StubEngine::start("e1", |n, s| match n {
         1 => (Vec::new(), Then::Keep),
-        _ => (whole(s, 2..=2), Then::Keep),
+        _ => (complete(s, 2..=2), Then::Keep),
     })
     .await;
     let f = Fleet::start(&[&e]).await;
@@ -99,9 +105,9 @@
     drop(client);
     let got = f.raw(request("/once/", "").replace("a1", "a2").as_bytes()).await;
     assert_eq!(status(&got), 200, "{got}");
-    let seen = e.seen.lock();
-    assert_eq!(seen.len(), 2);
-    assert_ne!(seen[0].connection, seen[1].connection);
+    let received = e.received.lock();
+    assert_eq!(received.len(), 2);
+    assert_ne!(received[0].connection, received[1].connection);
 }
 
 /// An address where no connection comes up, as behind a cut: its queue is full.
@@ -125,7 +131,7 @@
 #[tokio::test]
 async fn connection_that_does_not_come_up_holds_nobody_past_the_deadline() {
     let (address, _held) = black_hole();
-    let e = StandIn { id: "e1".into(), address, seen: Default::default() };
+    let e = StubEngine { id: "e1".into(), address, received: Default::default() };
     let f = Arc::new(Fleet::start(&[&e]).await);
     let bytes = request("/once/", "").replace("X-Deadline-Ms: 15000", "X-Deadline-Ms: 200");
     let asked = f.clone();
