--- a/crates/data-plane/tests/purge.rs
+++ b/crates/data-plane/tests/invalidations.rs
@@ -1,6 +1,6 @@
 //! A reader of the ring: what it keeps after lost answers, overruns and new incarnations of the keeper.
 
-use data_plane::fleet_view::purge::{Change, Place, PrefixView, step};
+use data_plane::fleet_view::invalidations::{PrefixView, RingPosition, ViewUpdate, step};
 use fleet_core::wire::{
     CachedParts, Invalidation, PartLocation, RingEntry, RingHead, RingResponse,
 };
@@ -13,11 +13,11 @@
 
 #[test]
 fn another_incarnation_counts_only_with_a_reset() {
-    let at = Place::new(2, 7, 5, 0);
+    let at = RingPosition::new(2, 7, 5, 0);
     let g = RingResponse { head: head(2, 8, 9), cursor: 9, ..Default::default() };
     assert!(step(at, g.clone()).is_none());
     let (next, change) = step(at, RingResponse { reset: true, ..g }).unwrap();
-    assert_eq!(next, Place::new(2, 8, 9, 0));
+    assert_eq!(next, RingPosition::new(2, 8, 9, 0));
     assert!(change.is_some_and(|c| c.reset));
     let old = RingResponse { head: head(1, 3, 9), reset: true, ..Default::default() };
     assert!(step(at, old).is_none());
@@ -27,13 +27,13 @@
 fn entries_are_applied_before_the_view_is_looked_at() {
     let s = PrefixView::new();
     let holds = |s: &PrefixView| {
-        let index = s.look();
+        let index = s.current_index();
         let chain = index.chain("m|1|#1", [(4, 10)]);
         index.learn("m|1|#1", &chain);
         index.cells().iter().any(|c| !c.query(&chain, &HolderBitmap::ALL).groups.is_empty())
     };
     assert!(!holds(&s));
-    s.put(Change {
+    s.put(ViewUpdate {
         reset: true,
         snapshot: vec![CachedParts {
             holder: "e".into(),
@@ -50,7 +50,7 @@
         part: 4,
         cached_tokens: 0,
     });
-    s.put(Change {
+    s.put(ViewUpdate {
         reset: false,
         snapshot: Vec::new(),
         entries: vec![RingEntry { scope: 0, what: Some(gone) }],
@@ -71,7 +71,7 @@
         let (mut ring, mut incarnation) = (Ring::<RingEntry>::new(8, 2, 4), 1u64);
         let mut truth = std::collections::HashSet::<u64>::new();
         let mut view = View::new(100);
-        let mut at = Place::default();
+        let mut at = RingPosition::default();
         for (what, p) in steps {
             match what {
                 0 => { truth.insert(p); }
--- a/crates/data-plane/tests/loads.rs
+++ b/crates/data-plane/tests/load_reports.rs
@@ -1,6 +1,6 @@
 //! Which controller a router tells its loads, and what it makes of the sum it hears.
 
-use data_plane::fleet_view::loads::chosen;
+use data_plane::fleet_view::load_reports::chosen;
 use fleet_core::wire::{Engine, FleetUpdate, Member};
 
 fn members() -> Vec<Member> {
@@ -27,29 +27,29 @@
 
 #[test]
 fn long_streams_get_more_engines_when_they_fill_a_third() {
-    use data_plane::fleet_view::roll::heavies;
-    assert_eq!(heavies(18, 48, 0.0), 13);
-    assert_eq!(heavies(18, 48, 100.0), 13, "a few engines are enough");
-    assert_eq!(heavies(140, 12, 500.0), 84);
-    assert_eq!(heavies(140, 12, 9000.0), 82, "heavy requests keep their half");
-    assert_eq!(heavies(0, 0, 5.0), 0);
+    use data_plane::fleet_view::endpoints::prefill_heavy_count;
+    assert_eq!(prefill_heavy_count(18, 48, 0.0), 13);
+    assert_eq!(prefill_heavy_count(18, 48, 100.0), 13, "a few engines are enough");
+    assert_eq!(prefill_heavy_count(140, 12, 500.0), 84);
+    assert_eq!(prefill_heavy_count(140, 12, 9000.0), 82, "heavy requests keep their half");
+    assert_eq!(prefill_heavy_count(0, 0, 5.0), 0);
 }
 
 #[test]
 fn own_sends_are_counted_once_in_the_sum() {
     let fleet_view = data_plane::fleet_view::FleetView::new();
     let e = Engine { id: "e".into(), address: "10.0.0.9:80".into(), ..Default::default() };
-    fleet_view.hear(&FleetUpdate { engines: vec![e], ..Default::default() });
+    fleet_view.apply(&FleetUpdate { engines: vec![e], ..Default::default() });
     let engine = fleet_view.engines.read()["e"].clone();
     {
         let mut w = engine.work();
         w.runs = 2;
-        w.reported = w.own();
+        w.last_published = w.own();
         w.runs = 3;
     }
-    let told = fleet_core::load::Load { unread: 640, runs: 5, interactive: 0 };
-    let sum = std::iter::once((engine.key, told)).collect();
-    fleet_view.hear_loads(&fleet_core::load::pack(&sum));
+    let reported = fleet_core::load::Load { unread: 640, runs: 5, interactive: 0 };
+    let sum = std::iter::once((engine.key, reported)).collect();
+    fleet_view.update_loads(&fleet_core::load::pack(&sum));
     let now = tokio::time::Instant::now();
     let all = engine.work().all(now);
     assert_eq!((all.runs, all.unread), (6, 640));
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -23,24 +23,24 @@
 /// connections to one engine that a router may open, whatever its part of all of them.
 pub const CONNECTIONS_LEAST: usize = 2;
 /// ms; how long the body of a refusal is read, so that its connection may serve again.
-pub const REFUSAL_BODY_LIMIT: Duration = Duration::from_millis(50);
+pub const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(50);
 /// pieces of a body read ahead of its client; an event each, so that slow clients slow the engine.
 pub const RELAY_BACKLOG: usize = 4;
 /// s; an idle connection is given up before engines usually close it.
-pub const IDLE_LIMIT: Duration = Duration::from_secs(4);
+pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
 /// s; rest after which a request that may run only once takes another connection, until more is
 /// known: half of what is kept.
-pub const IDLE_LIFE_UNPROVEN: Duration = Duration::from_secs(2);
+pub const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(2);
 /// ms; a connection that rested for less was in use: its break tells of the engine, not of the rest.
-pub const IDLE_LIFE_LEAST: Duration = Duration::from_millis(100);
+pub const IDLE_TIMEOUT_MIN: Duration = Duration::from_millis(100);
 /// share of the shortest rest seen forgotten that counts as safe, for rests vary.
-pub const IDLE_LIFE_SHARE: f64 = 0.6;
+pub const IDLE_TIMEOUT_MARGIN: f64 = 0.6;
 /// share of the way to a longer rest by which one answer after it moves what counts as safe.
-pub const IDLE_LIFE_GAIN: f64 = 0.125;
+pub const IDLE_TIMEOUT_GAIN: f64 = 0.125;
 /// s; what was learnt to be short is doubled this often, for engines change.
-pub const IDLE_LIFE_DOUBLES: Duration = Duration::from_secs(30);
+pub const IDLE_TIMEOUT_DOUBLING_PERIOD: Duration = Duration::from_secs(30);
 /// doublings at the most; more than lead from the least to the unproven one.
-pub const IDLE_LIFE_DOUBLINGS: f64 = 16.0;
+pub const IDLE_TIMEOUT_MAX_DOUBLINGS: f64 = 16.0;
 /// bytes; read ahead from an engine, a few events of a stream.
 pub const ENGINE_READ_BUFFER: usize = 32 << 10;
 /// tokens a ms; how fast an engine reads a prompt until more is known.
@@ -50,11 +50,11 @@
 /// ms; what a request waiting at an engine costs.
 pub const WAIT_COST_MS: f64 = 40.0;
 /// ms; what an engine told of its own load counts this long.
-pub const TOLD_LIMIT: Duration = Duration::from_millis(500);
+pub const REPORTED_LOAD_TIMEOUT: Duration = Duration::from_millis(500);
 /// ms; what leaving the zone costs in bytes and time.
 pub const ZONE_COST_MS: f64 = 4.0;
 /// tokens; a move of fewer costs about as much as reading them.
-pub const MOVE_TOKENS: u64 = 400;
+pub const TRANSFER_MIN_TOKENS: u64 = 400;
 /// own tokens that may go along to the store with shared ones, as their share.
 pub const SINK_OWN_SHARE: f64 = 0.25;
 /// holders of one depth that are weighed as sources; more hardly differ.
@@ -62,35 +62,35 @@
 /// tokens; shared parts of this size are worth a place in the store.
 pub const SINK_TOKENS: u64 = 1500;
 /// tokens read for each token put out, above which a request counts as heavy to read.
-pub const HEAVY_RATIO: u64 = 10;
+pub const PREFILL_HEAVY_RATIO: u64 = 10;
 /// share of a service's engines that heavy requests settle at.
-pub const HEAVY_SHARE: f64 = 0.67;
+pub const PREFILL_HEAVY_SHARE: f64 = 0.67;
 /// share of their slots that long streams may fill, before more engines are kept for them.
 pub const LIGHT_FILL: f64 = 0.75;
 /// share of a service's engines that heavy requests keep in any case.
-pub const HEAVY_LEAST: f64 = 0.58;
+pub const PREFILL_HEAVY_MIN_SHARE: f64 = 0.58;
 /// engines by which the division has to be off before it moves, as a share of all.
 pub const DIVISION_STEP: f64 = 0.05;
 /// weight of the newest sum of runs in what the division goes by; a second or two of news.
 pub const DIVISION_WEIGHT: f64 = 0.05;
 /// ms; what it costs to leave the half of the engines where one belongs.
-pub const ASTRAY_COST_MS: f64 = 120.0;
+pub const WRONG_GROUP_COST_MS: f64 = 120.0;
 /// calls; an engine met with no more of them behind it has just started.
-pub const NEWCOMER_CALLS: u64 = 3;
+pub const NEW_ENGINE_CALLS: u64 = 3;
 /// s; how long a newcomer is not taken for the home of parts that it was not seen to keep.
-pub const WARM_SPAN: Duration = Duration::from_secs(5);
+pub const WARM_UP_PERIOD: Duration = Duration::from_secs(5);
 /// ms; what bringing a shared part to its new home is worth while the newcomer is taken in.
-pub const WARM_BONUS_MS: f64 = 30.0;
+pub const WARM_UP_BONUS_MS: f64 = 30.0;
 /// answers to heavy requests over which a newcomer's waits are set against all others'.
-pub const WARM_ANSWERS: u64 = 8;
+pub const WARM_UP_ANSWERS: u64 = 8;
 /// ms; setting up a move.
-pub const MOVE_COST_MS: f64 = 3.0;
+pub const TRANSFER_COST_MS: f64 = 3.0;
 /// share of a shared part that the first engine by rendezvous is taken to hold unseen.
 pub const RENDEZVOUS_TRUST: f64 = 0.8;
 /// ms; an engine that broke a connection is left alone this long; doubles.
-pub const ENGINE_REST: Duration = Duration::from_millis(400);
+pub const BASE_EJECTION_TIME: Duration = Duration::from_millis(400);
 /// ms; longest such rest.
-pub const ENGINE_REST_MAX: Duration = Duration::from_millis(3200);
+pub const MAX_EJECTION_TIME: Duration = Duration::from_millis(3200);
 /// ms; answer to a client goes out this long before its deadline.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 /// ms; what a client with no deadline waits.
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -57,15 +57,15 @@
 }
 
 /// Whether the engine is to be ordered soon, and is not yet at the named weights.
-pub fn is_draining_streams(engine: &Engine, model: &str, named: Option<u64>) -> bool {
-    let is_behind = |version| named.is_some_and(|named| version < named);
+pub fn is_draining_streams(engine: &Engine, model: &str, target: Option<u64>) -> bool {
+    let is_behind = |version| target.is_some_and(|target| version < target);
     engine.drain_seq % 2 == 1 && version_of(engine, model).is_some_and(is_behind)
 }
 
 /// Whether the engine is under order, and not yet at the named weights: whoever ordered it may have
 /// died before telling the end.
-pub fn is_updating(engine: &Engine, model: &str, named: Option<u64>) -> bool {
-    let is_behind = |version| named.is_none_or(|named| version < named);
+pub fn is_updating(engine: &Engine, model: &str, target: Option<u64>) -> bool {
+    let is_behind = |version| target.is_none_or(|target| version < target);
     engine.update_seq % 2 == 1 && version_of(engine, model).is_none_or(is_behind)
 }
 
--- a/crates/fleet-core/src/link.rs
+++ b/crates/fleet-core/src/link.rs
@@ -19,7 +19,7 @@
     /// not connected
     Down,
     /// no answer in time
-    Late,
+    Timeout,
     /// a frame of {0} bytes is too large
     TooLarge(usize),
     /// a frame can't be read
@@ -308,7 +308,7 @@
             Ok(Err(_)) => Err(LinkError::Down),
             Err(_) => {
                 pending.lock().remove(&no);
-                Err(LinkError::Late)
+                Err(LinkError::Timeout)
             }
         }
     }
--- a/crates/fleet-core/src/link_tests.rs
+++ b/crates/fleet-core/src/link_tests.rs
@@ -20,7 +20,7 @@
     ) -> BoxFuture<'_, Result<BoxedStream, TransportError>> {
         Box::pin(async move {
             let (near, far) = tokio::io::duplex(1 << 16);
-            self.0.send(far).map_err(|_| TransportError::Late)?;
+            self.0.send(far).map_err(|_| TransportError::Timeout)?;
             Ok(Box::new(near) as BoxedStream)
         })
     }
@@ -130,7 +130,7 @@
     let (link, mut far_ends) = link();
     let mut far = far_end(&mut far_ends).await;
     let (late, late_no) = call(&link, &mut far).await;
-    assert_eq!(late.await.unwrap(), Err(LinkError::Late));
+    assert_eq!(late.await.unwrap(), Err(LinkError::Timeout));
     let (next, next_no) = call(&link, &mut far).await;
     far.write_all(&frame(late_no, true, Some(fetched(false)))).await.unwrap();
     far.write_all(&frame(next_no, true, Some(fetched(true)))).await.unwrap();
--- a/crates/fleet-core/src/transport.rs
+++ b/crates/fleet-core/src/transport.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum TransportError {
     /// no answer in time
-    Late,
+    Timeout,
     /// {0}
     Socket(std::io::ErrorKind),
 }
@@ -155,7 +155,7 @@
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.bind(SocketAddr::new(own.into(), 0))?;
     let connecting = tokio::time::timeout(limit, socket.connect(to));
-    let stream = connecting.await.map_err(|_| TransportError::Late)??;
+    let stream = connecting.await.map_err(|_| TransportError::Timeout)??;
     set_socket_options(&stream)?;
     Ok(stream)
 }
--- a/crates/fleet-core/src/wire/views.rs
+++ b/crates/fleet-core/src/wire/views.rs
@@ -11,7 +11,7 @@
     pub version: u64,
     /// It has been told to stop, and takes no new connections.
     #[prost(bool, tag = "2")]
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 /// The version named for a model.
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -228,7 +228,7 @@
             "17",
             Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine()], request_all: true }),
         ),
-        ("20", Body::RouterHeartbeat(RouterHeartbeat { version: 1, leaving: true })),
+        ("20", Body::RouterHeartbeat(RouterHeartbeat { version: 1, shutting_down: true })),
         ("21", Body::FleetUpdate(view)),
         ("24", Body::Empty(Empty {})),
         ("25", Body::Acknowledged(Empty {})),
--- a/crates/fleetctl/src/findings.rs
+++ b/crates/fleetctl/src/findings.rs
@@ -1,6 +1,6 @@
 //! What is wrong with a configuration, and what is valid but unwise now.
 
-use crate::ask::AsItIs;
+use crate::query::AsItIs;
 use fleet_core::configuration::{ConfigError, Configuration, Route};
 
 /// How much a finding weighs.
@@ -65,23 +65,23 @@
 }
 
 fn removed_routes(new: &Configuration, old: &Configuration, found: &mut Vec<Finding>) {
-    let is_kept = |route: &Route| new.routes.iter().any(|other| same_place(other, route));
-    for route in old.routes.iter().filter(|route| !is_kept(route)) {
+    let remains = |route: &Route| new.routes.iter().any(|other| same_place(other, route));
+    for route in old.routes.iter().filter(|route| !remains(route)) {
         let text = format!("{}{} is no longer served", route.host, route.path_prefix);
         found.push(warning("removed_route", "routes".to_owned(), text));
     }
 }
 
 fn removed_keys(new: &Configuration, old: &Configuration, found: &mut Vec<Finding>) {
-    let is_kept = |key: &String| new.tenants.iter().any(|tenant| tenant.api_keys.contains(key));
+    let remains = |key: &String| new.tenants.iter().any(|tenant| tenant.api_keys.contains(key));
     for tenant in &old.tenants {
-        let gone = tenant.api_keys.iter().filter(|key| !is_kept(key)).count();
-        if gone == 0 {
+        let removed = tenant.api_keys.iter().filter(|key| !remains(key)).count();
+        if removed == 0 {
             continue;
         }
         let index = new.tenants.iter().position(|other| other.name == tenant.name);
         let place = index.map_or("tenants".to_owned(), |i| format!("tenants[{i}].apiKeys"));
-        let text = format!("{gone} keys of tenant `{}` are taken away", tenant.name);
+        let text = format!("{removed} keys of tenant `{}` are taken away", tenant.name);
         found.push(warning("removed_key", place, text));
     }
 }
@@ -141,9 +141,9 @@
 
 fn short_timeouts(new: &Configuration, found: &mut Vec<Finding>) {
     for (i, route) in new.routes.iter().enumerate() {
-        let (timeout, aim) = (route.timeout_ms, route.target_ms);
-        if timeout < aim {
-            let text = format!("time-out {timeout} ms is below the aim of {aim} ms");
+        let (timeout, target) = (route.timeout_ms, route.target_ms);
+        if timeout < target {
+            let text = format!("time-out {timeout} ms is below the aim of {target} ms");
             found.push(warning("timeout_below_aim", format!("routes[{i}].timeoutMs"), text));
         }
     }
--- a/crates/fleetctl/src/findings_tests.rs
+++ b/crates/fleetctl/src/findings_tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `findings`.
 
 use super::*;
-use crate::ask::{Fleet, SeenEngine};
+use crate::query::{EngineView, Fleet};
 
 fn sheet(revision: u64) -> serde_json::Value {
     serde_json::json!({
@@ -14,7 +14,7 @@
 }
 
 fn now() -> AsItIs {
-    let e = |state: &str| SeenEngine {
+    let e = |state: &str| EngineView {
         service: "s".into(),
         state: state.into(),
         heartbeat_missed: false,
--- a/crates/fleetctl/src/lib.rs
+++ b/crates/fleetctl/src/lib.rs
@@ -1,8 +1,8 @@
 //! Checks a configuration against the fleet as it is, before it is sent, and tells how a roll-out and the
 //! control plane stand.
 
-pub mod ask;
 pub mod findings;
 pub mod members;
+pub mod query;
 pub mod report;
 pub mod rollout;
--- a/crates/fleetctl/src/main.rs
+++ b/crates/fleetctl/src/main.rs
@@ -82,7 +82,7 @@
 }
 
 /// Between two looks at a roll-out that is watched.
-const WATCH_PAUSE: Duration = Duration::from_secs(1);
+const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 const USAGE: &str =
     "usage: fleetctl check FILE --control ADDR[,ADDR...] [--json] [--strict] [--limit-ms MS]
@@ -120,7 +120,7 @@
         Err(finding) => vec![finding],
         Ok(configuration) => {
             let limit = Duration::from_millis(check.limit_ms);
-            let now = runtime.block_on(fleetctl::ask::look(&nodes, limit))?;
+            let now = runtime.block_on(fleetctl::query::fetch(&nodes, limit))?;
             fleetctl::findings::findings(&configuration, &now)
         }
     };
@@ -137,7 +137,7 @@
     let runtime = build_runtime()?;
     loop {
         let limit = Duration::from_millis(options.limit_ms);
-        let rollout = runtime.block_on(fleetctl::rollout::ask(&nodes, limit))?;
+        let rollout = runtime.block_on(fleetctl::rollout::query(&nodes, limit))?;
         if options.json {
             println!("{}", rollout.json());
         } else {
@@ -146,14 +146,14 @@
         if !options.watch || rollout.is_done() || rollout.exit() != report::CLEAN {
             return Ok(rollout.exit());
         }
-        std::thread::sleep(WATCH_PAUSE);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
 fn members(options: &Members) -> Result<u8, Unchecked> {
     let nodes = control_addresses(&options.control)?;
     let limit = Duration::from_millis(options.limit_ms);
-    let members = build_runtime()?.block_on(fleetctl::members::ask(&nodes, limit))?;
+    let members = build_runtime()?.block_on(fleetctl::members::query(&nodes, limit))?;
     if options.json {
         println!("{}", members.json());
     } else {
--- a/crates/fleetctl/src/members.rs
+++ b/crates/fleetctl/src/members.rs
@@ -5,7 +5,7 @@
 pub use control_plane::service::membership::MembersView;
 pub use verdict::Verdict;
 
-use crate::ask::{AskError, NodeAnswer, answers};
+use crate::query::{NodeAnswer, QueryError, answers};
 use crate::report;
 use control_plane::service::membership::{LeaseView, VoterView};
 use std::net::SocketAddr;
@@ -47,12 +47,12 @@
 
 impl Members {
     /// Believes a node in contact before others, then the later membership, then who hears more voters.
-    fn of(nodes: Vec<NodeView>) -> Result<Members, AskError> {
+    fn of(nodes: Vec<NodeView>) -> Result<Members, QueryError> {
         let rank = |view: &&MembersView| (view.in_contact, view.membership_epoch, view.voting());
         let views = nodes.iter().filter_map(|node| node.view.as_ref());
         let Some(view) = views.max_by_key(rank).cloned() else {
             let why: Vec<String> = nodes.into_iter().filter_map(|node| node.error).collect();
-            return Err(AskError::Unreachable(why.join("; ")));
+            return Err(QueryError::Unreachable(why.join("; ")));
         };
         Ok(Members { view, nodes })
     }
@@ -104,9 +104,9 @@
 
     fn voter_line(&self, voter: &VoterView) -> String {
         let zone = if voter.zone.is_empty() { "an unknown zone" } else { &voter.zone };
-        let standing = voter_standing(voter);
+        let status = voter_status(voter);
         let own = self.view_of(&voter.ip).map_or(String::new(), |view| format!(", {}", own(view)));
-        format!("voter {} in {zone}: {standing}{own}", voter.ip)
+        format!("voter {} in {zone}: {status}{own}", voter.ip)
     }
 
     /// A node that was asked and is no voter.
@@ -118,23 +118,23 @@
 
     fn lease_line(&self, lease: &LeaseView) -> String {
         let (name, holder, fencing_token) = (&lease.name, &lease.holder, lease.fencing_token);
-        let told = self.nodes.iter().filter_map(|node| node.view.as_ref());
-        let seen = told.flat_map(|view| &view.leases).filter(|seen| seen.name == *name);
-        let grants: Vec<u64> = seen
-            .filter_map(|seen| seen.granted.as_ref())
+        let answers = self.nodes.iter().filter_map(|node| node.view.as_ref());
+        let lease = answers.flat_map(|view| &view.leases).filter(|lease| lease.name == *name);
+        let grants: Vec<u64> = lease
+            .filter_map(|lease| lease.granted.as_ref())
             .filter(|grant| grant.node == *holder)
             .map(|grant| grant.remaining_ms)
             .collect();
-        let left = match grants.iter().max() {
-            Some(left) => format!("granted by {} for up to {left} ms more", grants.len()),
+        let remaining = match grants.iter().max() {
+            Some(remaining) => format!("granted by {} for up to {remaining} ms more", grants.len()),
             None => "no lease is known to run".to_owned(),
         };
-        format!("duty {name}: holder {holder}, fencing token {fencing_token}, {left}")
+        format!("duty {name}: holder {holder}, fencing token {fencing_token}, {remaining}")
     }
 }
 
 /// What others see of a voter.
-fn voter_standing(voter: &VoterView) -> String {
+fn voter_status(voter: &VoterView) -> String {
     if !voter.answered {
         return match voter.last_answer_ms {
             Some(age) => format!("no answer, the last one {age} ms ago"),
@@ -166,19 +166,20 @@
     format!("{contact}{disk}{shutting_down}")
 }
 
-async fn ask_each(nodes: &[SocketAddr], limit: Duration) -> Vec<NodeView> {
-    let told = answers(nodes, "/anisedyke/Members.Look", limit).await;
-    told.into_iter().map(NodeView::of).collect()
+async fn query_each(nodes: &[SocketAddr], limit: Duration) -> Vec<NodeView> {
+    let answers = answers(nodes, "/anisedyke/Members.Look", limit).await;
+    answers.into_iter().map(NodeView::of).collect()
 }
 
 /// Asks these nodes, and then the voters that they name, each once.
-pub async fn ask(nodes: &[SocketAddr], limit: Duration) -> Result<Members, AskError> {
-    let mut asked = ask_each(nodes, limit).await;
-    let voters = asked.iter().filter_map(|node| node.view.as_ref()).flat_map(|view| &view.voters);
-    let named = voters.filter_map(|voter| voter.control.parse().ok());
-    let mut others: Vec<SocketAddr> = named.filter(|node| !nodes.contains(node)).collect();
+pub async fn query(nodes: &[SocketAddr], limit: Duration) -> Result<Members, QueryError> {
+    let mut queried = query_each(nodes, limit).await;
+    let voters = queried.iter().filter_map(|node| node.view.as_ref()).flat_map(|view| &view.voters);
+    let control_addresses = voters.filter_map(|voter| voter.control.parse().ok());
+    let mut others: Vec<SocketAddr> =
+        control_addresses.filter(|node| !nodes.contains(node)).collect();
     others.sort_unstable();
     others.dedup();
-    asked.extend(ask_each(&others, limit).await);
-    Members::of(asked)
+    queried.extend(query_each(&others, limit).await);
+    Members::of(queried)
 }
--- a/crates/fleetctl/src/members/verdict_tests.rs
+++ b/crates/fleetctl/src/members/verdict_tests.rs
@@ -39,7 +39,7 @@
     let mut one_behind = view(3, 3, 1);
     one_behind.voters[0].membership_epoch = 3;
     assert_eq!(Verdict::of(&one_behind), Verdict::AtRisk);
-    let mut one_silent = view(3, 3, 1);
-    one_silent.voters[2].answered = false;
-    assert_eq!(Verdict::of(&one_silent), Verdict::AtRisk);
+    let mut one_unanswered = view(3, 3, 1);
+    one_unanswered.voters[2].answered = false;
+    assert_eq!(Verdict::of(&one_unanswered), Verdict::AtRisk);
 }
--- a/crates/fleetctl/src/ask.rs
+++ b/crates/fleetctl/src/query.rs
@@ -11,7 +11,7 @@
 
 /// Why the fleet could not be asked.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub enum AskError {
+pub enum QueryError {
     /// no node answered: {0}
     Unreachable(String),
     /// {0}: the answer can't be read: {1}
@@ -30,12 +30,12 @@
     pub routers: u32,
     /// All engines that the controller remembers, gone ones too.
     #[serde(default)]
-    pub engines: Vec<SeenEngine>,
+    pub engines: Vec<EngineView>,
 }
 
 /// An engine as a controller sees it.
 #[derive(Debug, Clone, serde::Deserialize)]
-pub struct SeenEngine {
+pub struct EngineView {
     /// Name of its service.
     pub service: String,
     /// `ready`, `draining` or `gone`.
@@ -93,7 +93,7 @@
     nodes: &[SocketAddr],
     path: &str,
     limit: Duration,
-) -> Result<NodeResponse, AskError> {
+) -> Result<NodeResponse, QueryError> {
     let mut why = Vec::new();
     for node in nodes {
         match get(*node, path, limit).await {
@@ -104,7 +104,7 @@
             Err(e) => why.push(e),
         }
     }
-    Err(AskError::Unreachable(why.join("; ")))
+    Err(QueryError::Unreachable(why.join("; ")))
 }
 
 /// What each node answers to a read, one node after the other.
@@ -130,15 +130,15 @@
 }
 
 /// Asks the first node that answers, with up to `limit` for each call.
-pub async fn look(nodes: &[SocketAddr], limit: Duration) -> Result<AsItIs, AskError> {
+pub async fn fetch(nodes: &[SocketAddr], limit: Duration) -> Result<AsItIs, QueryError> {
     let found = first_of(nodes, "/anisedyke/Fleet.Look", limit).await?;
     let fleet: Fleet = serde_json::from_slice(&found.response.body)
-        .map_err(|e| AskError::Malformed(found.node, e.to_string()))?;
+        .map_err(|e| QueryError::Malformed(found.node, e.to_string()))?;
     if fleet.revision == 0 {
         return Ok(AsItIs { in_force: None, fleet });
     }
     let found = first_of(nodes, "/anisedyke/Config.Fetch", limit).await?;
     let in_force = fleet_core::configuration::Configuration::read(&found.response.body)
-        .map_err(|e| AskError::Malformed(found.node, e.to_string()))?;
+        .map_err(|e| QueryError::Malformed(found.node, e.to_string()))?;
     Ok(AsItIs { in_force: Some(in_force), fleet })
 }
--- a/crates/fleetctl/src/rollout.rs
+++ b/crates/fleetctl/src/rollout.rs
@@ -1,6 +1,6 @@
 //! How a roll-out of weights stands, for people and for programs.
 
-use crate::ask::{AskError, answers};
+use crate::query::{QueryError, answers};
 use crate::report;
 pub use control_plane::rollout::status::State;
 use std::net::SocketAddr;
@@ -129,7 +129,7 @@
 }
 
 /// The view of the node that carries the roll-out out; any other's where that one can't be reached.
-pub async fn ask(nodes: &[SocketAddr], limit: Duration) -> Result<Rollout, AskError> {
+pub async fn query(nodes: &[SocketAddr], limit: Duration) -> Result<Rollout, QueryError> {
     let mut best: Option<Rollout> = None;
     let mut why = Vec::new();
     for answer in answers(nodes, "/anisedyke/Rollout.Look", limit).await {
@@ -141,5 +141,5 @@
             Err(e) => why.push(e),
         }
     }
-    best.ok_or_else(|| AskError::Unreachable(why.join("; ")))
+    best.ok_or_else(|| QueryError::Unreachable(why.join("; ")))
 }
--- a/crates/fleetctl/tests/stand/mod.rs
+++ b/crates/fleetctl/tests/harness/mod.rs
@@ -22,6 +22,6 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-pub fn nowhere() -> SocketAddr {
+pub fn unreachable_address() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
--- a/crates/fleetctl/tests/json_output.rs
+++ b/crates/fleetctl/tests/json_output.rs
@@ -1,11 +1,11 @@
 //! What `fleetctl --json` prints, field by field, and its exit codes: programs read them.
 
-mod stand;
+mod harness;
 
 use fleetctl::findings::{Finding, Weight};
 use fleetctl::{members, report, rollout};
+use harness::{node, ok, unreachable_address};
 use serde_json::{Value, json};
-use stand::{node, nowhere, ok};
 use std::time::Duration;
 
 const LIMIT: Duration = Duration::from_secs(5);
@@ -33,7 +33,7 @@
 #[tokio::test]
 async fn members_are_printed_as_one_object() {
     let at = node(|_| ok(&view().to_string())).await;
-    let members = members::ask(&[at], LIMIT).await.unwrap();
+    let members = members::query(&[at], LIMIT).await.unwrap();
     let expected = json!({
         "verdict": "atRisk", "voting": 1, "quorum": 1, "view": view(),
         "nodes": [{"node": at.to_string(), "view": view(), "error": null}],
@@ -50,7 +50,7 @@
         {"model": "m", "revision": 2, "ageMs": 900, "leftMs": 10, "engines": engines}]});
     let answer = rollout.to_string();
     let at = node(move |_| ok(&answer)).await;
-    let read = rollout::ask(&[at], LIMIT).await.unwrap();
+    let read = rollout::query(&[at], LIMIT).await.unwrap();
     let expected = json!({"rollout": rollout, "done": false});
     assert_eq!(serde_json::from_str::<Value>(&read.json()).unwrap(), expected);
     assert_eq!(read.exit(), 0);
@@ -72,7 +72,7 @@
 
 #[tokio::test]
 async fn without_an_answer_there_is_an_error_and_no_output() {
-    assert!(members::ask(&[nowhere()], LIMIT).await.is_err());
-    assert!(rollout::ask(&[nowhere()], LIMIT).await.is_err());
-    assert!(fleetctl::ask::look(&[nowhere()], LIMIT).await.is_err());
+    assert!(members::query(&[unreachable_address()], LIMIT).await.is_err());
+    assert!(rollout::query(&[unreachable_address()], LIMIT).await.is_err());
+    assert!(fleetctl::query::fetch(&[unreachable_address()], LIMIT).await.is_err());
 }
--- a/crates/fleetctl/tests/members.rs
+++ b/crates/fleetctl/tests/members.rs
@@ -1,17 +1,17 @@
 //! The control plane as several nodes tell it, some of them cut off, gone or garbled.
 
-mod stand;
+mod harness;
 
-use fleetctl::ask::AskError;
-use fleetctl::members::{Verdict, ask};
-use stand::{nowhere, ok};
+use fleetctl::members::{Verdict, query};
+use fleetctl::query::QueryError;
+use harness::{ok, unreachable_address};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 const LIMIT: Duration = Duration::from_secs(5);
 
 async fn node(body: String) -> SocketAddr {
-    stand::node(move |head| {
+    harness::node(move |head| {
         assert!(head.starts_with("GET /anisedyke/Members.Look "));
         ok(&body)
     })
@@ -19,7 +19,7 @@
 }
 
 /// Voters 1 to 3, of which the first so many answer; `control` is where voter 2 takes calls.
-fn told(teller: u8, in_contact: bool, voting: usize, control: &str) -> String {
+fn node_view(teller: u8, in_contact: bool, voting: usize, control: &str) -> String {
     let voters: Vec<_> = (1..=3)
         .map(|n| {
             let behind = (n == 2).then(|| serde_json::json!({"epochs": 1, "rounds": 4}));
@@ -43,10 +43,10 @@
 
 #[tokio::test]
 async fn a_node_in_contact_is_believed_and_the_voters_it_names_are_asked_too() {
-    let second = node(told(2, true, 3, "")).await;
-    let first = node(told(1, true, 3, &second.to_string())).await;
-    let cut_off = node(told(3, false, 1, "")).await;
-    let members = ask(&[nowhere(), cut_off, first], LIMIT).await.unwrap();
+    let second = node(node_view(2, true, 3, "")).await;
+    let first = node(node_view(1, true, 3, &second.to_string())).await;
+    let cut_off = node(node_view(3, false, 1, "")).await;
+    let members = query(&[unreachable_address(), cut_off, first], LIMIT).await.unwrap();
     assert_eq!((members.verdict(), members.exit()), (Verdict::Healthy, 0));
     let text = members.text();
     for part in [
@@ -66,8 +66,8 @@
 #[tokio::test]
 async fn a_view_without_spare_voters_is_a_finding() {
     for (voting, verdict) in [(2, Verdict::AtRisk), (1, Verdict::NoQuorum)] {
-        let first = node(told(1, voting > 1, voting, "")).await;
-        let members = ask(&[first], LIMIT).await.unwrap();
+        let first = node(node_view(1, voting > 1, voting, "")).await;
+        let members = query(&[first], LIMIT).await.unwrap();
         assert_eq!((members.verdict(), members.exit()), (verdict, 1));
         assert!(members.text().contains("voter 10.0.0.3 in z: no answer, the last one 5300 ms"));
     }
@@ -75,9 +75,9 @@
 
 #[tokio::test]
 async fn nobody_to_ask_is_an_error_that_names_each() {
-    let (garbled, gone) = (node("[]".to_owned()).await, nowhere());
-    let Err(AskError::Unreachable(why)) = ask(&[gone, garbled], LIMIT).await else {
+    let (garbled, unreachable) = (node("[]".to_owned()).await, unreachable_address());
+    let Err(QueryError::Unreachable(why)) = query(&[unreachable, garbled], LIMIT).await else {
         panic!("nobody answered well");
     };
-    assert!(why.contains(&gone.to_string()) && why.contains("can't be read"), "{why}");
+    assert!(why.contains(&unreachable.to_string()) && why.contains("can't be read"), "{why}");
 }
--- a/crates/fleetctl/tests/ask.rs
+++ b/crates/fleetctl/tests/query.rs
@@ -1,9 +1,9 @@
 //! Nodes that are down, point elsewhere, or answer nonsense.
 
-mod stand;
+mod harness;
 
-use fleetctl::ask::{AskError, look};
-use stand::{node, nowhere, ok};
+use fleetctl::query::{QueryError, fetch};
+use harness::{node, ok, unreachable_address};
 use std::time::Duration;
 
 const LIMIT: Duration = Duration::from_secs(5);
@@ -24,22 +24,22 @@
         format!("HTTP/1.1 307 Go\r\nLocation: http://{good}/x\r\nContent-Length: 0\r\n\r\n")
     })
     .await;
-    let now = look(&[nowhere(), points], LIMIT).await.unwrap();
+    let now = fetch(&[unreachable_address(), points], LIMIT).await.unwrap();
     assert_eq!(now.in_force.unwrap().revision, 3);
     assert_eq!((now.fleet.routers, now.fleet.engines.len()), (2, 1));
 }
 
 #[tokio::test]
 async fn no_node_and_nonsense_are_told_apart() {
-    let down = look(&[nowhere()], LIMIT).await.err();
-    assert!(matches!(down, Some(AskError::Unreachable(_))));
+    let down = fetch(&[unreachable_address()], LIMIT).await.err();
+    assert!(matches!(down, Some(QueryError::Unreachable(_))));
     let loops = node(|h| {
         let host = h.lines().find_map(|l| l.strip_prefix("host: ")).unwrap_or_default().to_owned();
         format!("HTTP/1.1 307 Go\r\nLocation: http://{host}/x\r\nContent-Length: 0\r\n\r\n")
     })
     .await;
-    assert!(matches!(look(&[loops], LIMIT).await.err(), Some(AskError::Unreachable(_))));
+    assert!(matches!(fetch(&[loops], LIMIT).await.err(), Some(QueryError::Unreachable(_))));
     let nonsense = node(|_| ok("nonsense")).await;
-    let got = look(&[nonsense], LIMIT).await.err();
-    assert!(matches!(got, Some(AskError::Malformed(at, _)) if at == nonsense));
+    let got = fetch(&[nonsense], LIMIT).await.err();
+    assert!(matches!(got, Some(QueryError::Malformed(at, _)) if at == nonsense));
 }
--- a/crates/invalidation/src/ring.rs
+++ b/crates/invalidation/src/ring.rs
@@ -16,7 +16,7 @@
 }
 
 struct Slots<T> {
-    kept: Vec<Option<T>>,
+    slots: Vec<Option<T>>,
     head: u64,
     floor: u64,
 }
@@ -41,7 +41,7 @@
 }
 
 /// Locks, also after a panic under the lock.
-fn held<T>(mutex: &Mutex<T>) -> Guard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> Guard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
@@ -56,7 +56,7 @@
     pub fn new(size: usize, batch: usize, lag: u64) -> Self {
         Ring {
             readers: Mutex::new(hashbrown::HashMap::new()),
-            slots: Mutex::new(Slots { kept: vec![None; size], head: 0, floor: 0 }),
+            slots: Mutex::new(Slots { slots: vec![None; size], head: 0, floor: 0 }),
             batch: batch.min(size).max(1),
             lag,
         }
@@ -64,18 +64,18 @@
 
     /// Position behind the newest entry.
     pub fn head(&self) -> u64 {
-        held(&self.slots).head
+        lock(&self.slots).head
     }
 
     /// Nothing below is unread by a reader that still counts.
     pub fn floor(&self) -> u64 {
-        held(&self.slots).floor
+        lock(&self.slots).floor
     }
 
     /// Lets a reader start at the head, which is given as well; whatever it knew before is void.
     pub fn enter(&self, reader: u64) -> (Arc<Cursor>, u64) {
-        let mut readers = held(&self.readers);
-        let head = held(&self.slots).head;
+        let mut readers = lock(&self.readers);
+        let head = lock(&self.slots).head;
         let cursor = Arc::new(Cursor {
             next: AtomicU64::new(head),
             pending: AtomicBool::new(false),
@@ -88,22 +88,22 @@
 
     /// The cursor of a reader that has entered and was not dropped.
     pub fn cursor(&self, reader: u64) -> Option<Arc<Cursor>> {
-        held(&self.readers).get(&reader).cloned()
+        lock(&self.readers).get(&reader).cloned()
     }
 
     /// Drops the cursor of a reader that is stuck, so that it does not hold the floor; it has to enter anew.
     pub fn drop_reader(&self, reader: u64) -> bool {
-        held(&self.readers).remove(&reader).is_some()
+        lock(&self.readers).remove(&reader).is_some()
     }
 
     /// Publishes in batches and names the laggards to nudge, each once until it has caught up.
     pub fn publish(&self, entries: &[T]) -> Vec<u64> {
         let mut nudged = Vec::new();
         for batch in entries.chunks(self.batch) {
-            let readers = held(&self.readers);
-            let mut slots = held(&self.slots);
+            let readers = lock(&self.readers);
+            let mut slots = lock(&self.slots);
             let end = slots.head + batch.len() as u64;
-            slots.floor = self.advance(&readers, end, slots.kept.len() as u64, &mut nudged);
+            slots.floor = self.advance(&readers, end, slots.slots.len() as u64, &mut nudged);
             slots.append(batch);
             for cursor in readers.values() {
                 cursor.pending.store(true, Ordering::Release);
@@ -143,7 +143,7 @@
         if !cursor.pending.load(Ordering::Acquire) {
             return Read::Nothing;
         }
-        let slots = held(&self.slots);
+        let slots = lock(&self.slots);
         cursor.pending.store(false, Ordering::Relaxed);
         if cursor.overrun.load(Ordering::Relaxed) {
             cursor.next.store(slots.head, Ordering::Relaxed);
@@ -166,17 +166,17 @@
 
 impl<T: Clone> Slots<T> {
     fn append(&mut self, batch: &[T]) {
-        let size = self.kept.len() as u64;
+        let size = self.slots.len() as u64;
         for entry in batch {
             let slot = (self.head % size) as usize;
-            self.kept[slot] = Some(entry.clone());
+            self.slots[slot] = Some(entry.clone());
             self.head += 1;
         }
     }
 
     fn copy(&self, from: u64, to: u64) -> Vec<T> {
-        let size = self.kept.len() as u64;
-        (from..to).filter_map(|position| self.kept[(position % size) as usize].clone()).collect()
+        let size = self.slots.len() as u64;
+        (from..to).filter_map(|position| self.slots[(position % size) as usize].clone()).collect()
     }
 }
 
--- a/crates/invalidation/src/ring_interleavings_tests.rs
+++ b/crates/invalidation/src/ring_interleavings_tests.rs
@@ -15,7 +15,7 @@
             })
         };
         let mut at = 0;
-        let take = |at: &mut u64| match r.read(&c, 8) {
+        let read_once = |at: &mut u64| match r.read(&c, 8) {
             Read::Nothing => {}
             Read::Reset(h) => *at = h,
             Read::Entries(e) => {
@@ -25,10 +25,10 @@
                 }
             }
         };
-        take(&mut at);
+        read_once(&mut at);
         w.join().unwrap();
-        take(&mut at);
-        take(&mut at);
+        read_once(&mut at);
+        read_once(&mut at);
         assert_eq!(at, 3);
     });
 }
@@ -73,10 +73,10 @@
         };
         r.publish(&[1u64, 2]);
         let first = reader.join().unwrap();
-        let rest = match r.read(&c, 8) {
+        let second = match r.read(&c, 8) {
             Read::Entries(e) => e.len(),
             _ => 0,
         };
-        assert_eq!(first + rest, 2);
+        assert_eq!(first + second, 2);
     });
 }
--- a/crates/invalidation/src/view.rs
+++ b/crates/invalidation/src/view.rs
@@ -14,7 +14,7 @@
 }
 
 /// A part that is kept: the number of its salt, and when it was used last.
-struct Kept {
+struct CachedPart {
     salt: u32,
     used: u64,
 }
@@ -22,7 +22,7 @@
 /// What one holder keeps.
 #[derive(Default)]
 struct PrefixView {
-    parts: hashbrown::HashMap<Part, Kept, ahash::RandomState>,
+    parts: hashbrown::HashMap<Part, CachedPart, ahash::RandomState>,
 }
 
 type Callback = Box<dyn Fn(&RingEntry) + Send + Sync>;
@@ -78,14 +78,14 @@
         let used = self.clock;
         let prefix_view = self.holders.entry_ref(holder).or_default();
         for part in parts {
-            prefix_view.parts.insert(part_of(salt, part), Kept { salt: number, used });
+            prefix_view.parts.insert(part_of(salt, part), CachedPart { salt: number, used });
         }
         if prefix_view.parts.len() > self.most {
-            let mut ages: Vec<u64> = prefix_view.parts.values().map(|kept| kept.used).collect();
-            let cut = ages.len() / 4;
-            let (_, edge, _) = ages.select_nth_unstable(cut);
+            let mut ages: Vec<u64> = prefix_view.parts.values().map(|cached| cached.used).collect();
+            let oldest = ages.len() / 4;
+            let (_, edge, _) = ages.select_nth_unstable(oldest);
             let edge = *edge;
-            prefix_view.parts.retain(|_, kept| kept.used > edge);
+            prefix_view.parts.retain(|_, cached| cached.used > edge);
         }
     }
 
@@ -132,7 +132,7 @@
             return;
         }
         for prefix_view in self.holders.values_mut() {
-            prefix_view.parts.retain(|_, kept| !dead[kept.salt as usize]);
+            prefix_view.parts.retain(|_, cached| !dead[cached.salt as usize]);
         }
     }
 
--- a/crates/invalidation/src/view_tests.rs
+++ b/crates/invalidation/src/view_tests.rs
@@ -43,9 +43,9 @@
 
 #[test]
 fn out_of_scope_is_skipped_and_derived_views_hear_afterwards() {
-    let heard = std::sync::Arc::new(std::sync::atomic::AtomicU64::new(0));
+    let notified = std::sync::Arc::new(std::sync::atomic::AtomicU64::new(0));
     let mut v = View::new(100);
-    let h = heard.clone();
+    let h = notified.clone();
     v.on_purge(Box::new(move |_| {
         h.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     }));
@@ -56,7 +56,7 @@
     assert!(v.holds("e", part_of("m|1|#1", 1)));
     v.apply(&e, |s| s == 9);
     assert!(!v.holds("e", part_of("m|1|#1", 1)));
-    assert_eq!(heard.load(std::sync::atomic::Ordering::Relaxed), 1);
+    assert_eq!(notified.load(std::sync::atomic::Ordering::Relaxed), 1);
 }
 
 #[test]
--- a/crates/prompt-index/src/bitmap.rs
+++ b/crates/prompt-index/src/bitmap.rs
@@ -66,13 +66,13 @@
     /// Its holders, lowest first.
     pub fn iter(&self) -> impl Iterator<Item = u8> + '_ {
         self.0.iter().enumerate().flat_map(|(index, word)| {
-            let mut left = *word;
+            let mut remaining = *word;
             std::iter::from_fn(move || {
-                if left == 0 {
+                if remaining == 0 {
                     return None;
                 }
-                let bit = left.trailing_zeros();
-                left &= left - 1;
+                let bit = remaining.trailing_zeros();
+                remaining &= remaining - 1;
                 Some(index as u8 * 64 + bit as u8)
             })
         })
--- a/crates/prompt-index/src/cell.rs
+++ b/crates/prompt-index/src/cell.rs
@@ -172,7 +172,7 @@
 
     /// Holder gone: excluded at once; what the shards say of it is scrubbed later. False if its number is
     /// out of date.
-    pub fn gone(&self, holder: HolderNo) -> bool {
+    pub fn remove(&self, holder: HolderNo) -> bool {
         if !is_live(holder.generation) {
             return false;
         }
--- a/crates/prompt-index/src/index.rs
+++ b/crates/prompt-index/src/index.rs
@@ -164,20 +164,20 @@
     }
 
     /// Holder gone: what it kept no longer counts. It comes back under another number.
-    pub fn gone(&self, holder: &str) -> bool {
+    pub fn remove(&self, holder: &str) -> bool {
         let Some(at) = write(&self.names).remove(holder) else { return false };
         self.moves.fetch_add(1, Ordering::Release);
-        self.cell(at.cell).is_some_and(|cell| cell.gone(at.no))
+        self.cell(at.cell).is_some_and(|cell| cell.remove(at.no))
     }
 
     /// All kept under the salts that `dead` names.
     pub fn void(&self, dead: impl Fn(&str) -> bool) {
-        let gone: Vec<u64> = {
+        let remove: Vec<u64> = {
             let mut seeds = write(&self.seeds);
             seeds.extract_if(|salt, _| dead(salt)).map(|(_, seed)| seed).collect()
         };
         for cell in read(&self.cells).iter() {
-            for seed in &gone {
+            for seed in &remove {
                 cell.void(*seed);
             }
         }
@@ -189,7 +189,7 @@
         self.moves.fetch_add(1, Ordering::Release);
         for (_, at) in all {
             if let Some(cell) = self.cell(at.cell) {
-                cell.gone(at.no);
+                cell.remove(at.no);
             }
         }
     }
--- a/crates/prompt-index/tests/index.rs
+++ b/crates/prompt-index/tests/index.rs
@@ -100,8 +100,8 @@
     for h in &all {
         cell.registered(*h, SEED, c.0[0].raw, None);
     }
-    assert!(cell.gone(all[7]));
-    assert!(!cell.gone(all[7]), "gone twice is gone once");
+    assert!(cell.remove(all[7]));
+    assert!(!cell.remove(all[7]), "gone twice is gone once");
     assert_eq!(cell.query(&c, &HolderBitmap::ALL).groups[0].1.count(), 255);
     assert!(cell.admit().is_none(), "not before the scrub");
     let mut turns = 0;
@@ -130,7 +130,7 @@
     cell.registered(a, SEED, one.0[0].raw, None);
     cell.registered(b, 8, two.0[0].raw, None);
     assert_eq!((cell.entries(), cell.blocks()), (2, 2));
-    cell.gone(a);
+    cell.remove(a);
     while !cell.scrub(64) {}
     assert_eq!((cell.entries(), cell.blocks()), (1, 1));
     cell.void(8);
@@ -174,7 +174,7 @@
         .collect();
     let at = index.at("e599").unwrap();
     assert_eq!(found, vec![(at.cell, vec![at.no.index])]);
-    assert!(index.gone("e599") && !index.gone("e599"));
+    assert!(index.remove("e599") && !index.remove("e599"));
     assert!(index.at("e599").is_none());
     let moves = index.moves();
     index.registered("e599", "m|1|#1", 5, None);
@@ -243,7 +243,7 @@
                     model[h].0.remove(&raw);
                 }
                 5 => {
-                    cell.gone(live[h]);
+                    cell.remove(live[h]);
                     former.push(live[h]);
                     model[h] = Naive::default();
                     live[h] = cell.admit().unwrap();
@@ -251,7 +251,7 @@
                 6 => { cell.scrub(7); }
                 7 => for f in &former {
                     proptest::prop_assert!(!cell.registered(*f, SEED, raw, None));
-                    proptest::prop_assert!(!cell.gone(*f));
+                    proptest::prop_assert!(!cell.remove(*f));
                 },
                 _ => cell.learn(SEED, &chains[c]),
             }
--- a/crates/prompt-index/tests/interleavings.rs
+++ b/crates/prompt-index/tests/interleavings.rs
@@ -68,7 +68,7 @@
             let cell = cell.clone();
             loom::thread::spawn(move || cell.registered(h, 3, raw, None))
         };
-        assert!(cell.gone(h));
+        assert!(cell.remove(h));
         while !cell.scrub(1000) {}
         let next = loop {
             let n = cell.admit().unwrap();
@@ -100,7 +100,7 @@
             let (cell, c) = (cell.clone(), c.clone());
             loom::thread::spawn(move || cell.query(&c, &HolderBitmap::ALL).of(h.index))
         };
-        assert!(cell.gone(h));
+        assert!(cell.remove(h));
         assert_eq!(cell.query(&c, &HolderBitmap::ALL).of(h.index), 0);
         assert!(t.join().unwrap() <= 1);
     });
--- a/crates/router/tests/whole.rs
+++ b/crates/router/tests/whole.rs
@@ -158,13 +158,13 @@
     let running = p.controller(true);
     assert_eq!(until(p.control, &get("Config.Fetch"), 503).await.0, 503);
     assert_eq!(until(p.control, &replace(0, &sheet(5, 100)), 200).await.0, 200);
-    let cut = sheet(9, 100);
+    let truncated = sheet(9, 100);
     let table = vec![
         ("resent", replace(0, &sheet(5, 100)), 200, ""),
         ("stale base", replace(3, &sheet(9, 100)), 412, "stale_base"),
         ("version not above", replace(5, &sheet(5, 200)), 400, "version_not_above"),
         ("no time", replace(5, &sheet(9, 0)), 400, "out_of_bounds"),
-        ("cut short", replace(5, &cut[..cut.len() / 2]), 400, "unreadable"),
+        ("cut short", replace(5, &truncated[..truncated.len() / 2]), 400, "unreadable"),
         ("no base", post("Config.Replace", "", &sheet(9, 100)), 400, "no_base"),
         ("negative base", replace("-5", &sheet(9, 100)), 400, "no_base"),
         ("base with a sign", replace("+5", &sheet(9, 100)), 400, "no_base"),
@@ -184,8 +184,8 @@
         assert!(text.contains(code), "{what}: {text}");
     }
     for breaks_off in [replace(5, &sheet(9, 100)), chunked(5, &sheet(9, 100))] {
-        let cut = &breaks_off[..breaks_off.len() - 5];
-        assert_ne!(call_and_end(p.control, cut).await, Some(200), "a body that ends early");
+        let truncated = &breaks_off[..breaks_off.len() - 5];
+        assert_ne!(call_and_end(p.control, truncated).await, Some(200), "a body that ends early");
     }
     let (_, before) = call(p.control, &get("Config.Fetch")).await.unwrap();
     assert!(before.ends_with(&sheet(5, 100)), "what was refused changed nothing: {before}");
@@ -232,7 +232,7 @@
     controller.end().await;
 }
 
-async fn stand_in() -> SocketAddr {
+async fn stub_engine() -> SocketAddr {
     let l = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = l.local_addr().unwrap();
     tokio::spawn(async move {
@@ -271,20 +271,20 @@
     let (status, text) = call(p.front, rq).await.unwrap();
     assert_eq!(status, 503, "no engine as yet");
     assert!(text.to_ascii_lowercase().contains("retry-after"));
-    let engine = stand_in().await;
-    let tell = |state: &str, call: u64| {
+    let engine = stub_engine().await;
+    let heartbeat = |state: &str, call: u64| {
         let beat = serde_json::json!({"service": "s", "address": engine.to_string(), "zone": "z", "revision": "v1",
             "slots": 8, "state": state, "coldLeftMs": 0, "models": [], "callSeq": call});
         post("Instances.Heartbeat/i-1", "", &beat.to_string())
     };
-    assert_eq!(call(p.control, &tell("ready", 1)).await.unwrap().0, 200);
+    assert_eq!(call(p.control, &heartbeat("ready", 1)).await.unwrap().0, 200);
     let (status, text) = until(p.front, rq, 200).await;
     assert_eq!(status, 200);
     assert!(text.ends_with("well"));
-    assert_eq!(call(p.control, &tell("draining", 2)).await.unwrap().0, 200);
+    assert_eq!(call(p.control, &heartbeat("draining", 2)).await.unwrap().0, 200);
     assert_eq!(until(p.front, rq, 503).await.0, 503, "a draining engine gets nothing");
     assert_eq!(
-        call(p.control, &tell("ready", 1)).await.unwrap().0,
+        call(p.control, &heartbeat("ready", 1)).await.unwrap().0,
         200,
         "a late beat is acknowledged"
     );
--- a/crates/simulation/src/link_workload.rs
+++ b/crates/simulation/src/link_workload.rs
@@ -97,7 +97,7 @@
     let request = Body::RegisterRequest(RegisterRequest { key: question.clone() });
     let mut answer = link.call(request.clone(), constants::ECHO_TIMEOUT).await;
     let repeats = world.injected_bug == Some(InjectedBug::RepeatedCall);
-    if repeats && answer == Err(LinkError::Late) {
+    if repeats && answer == Err(LinkError::Timeout) {
         answer = link.call(request, constants::ECHO_TIMEOUT).await;
     }
     let answered = match answer {
--- a/crates/simulation/src/transport.rs
+++ b/crates/simulation/src/transport.rs
@@ -43,7 +43,7 @@
         Box::pin(async move {
             self.alive()?;
             let connecting = tokio::time::timeout(limit, self.network.connect(own, to));
-            let stream = connecting.await.map_err(|_| TransportError::Late)??;
+            let stream = connecting.await.map_err(|_| TransportError::Timeout)??;
             self.alive()?;
             Ok(Box::new(stream) as BoxedStream)
         })
