--- a/crates/control-plane/src/api/config.rs
+++ b/crates/control-plane/src/api/config.rs
@@ -13,7 +13,7 @@
     // before the body is read: who sends no base needn't send all of it
     configuration::base_of(base)?;
     let body = read_limited(body, fleet_core::constants::CONFIG_BYTES).await?;
-    let replaced = configuration::replace(rq.context(), base, body).await?;
+    let replaced = configuration::replace(rq.context().consensus(), base, body).await?;
     json(StatusCode::OK, format!("{{\"revision\":{}}}", replaced.version))
 }
 
@@ -21,6 +21,6 @@
 pub async fn fetch(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = configuration::fetch(rq.context()).await?;
+    let body = configuration::fetch(rq.context().consensus()).await?;
     json(StatusCode::OK, body.to_vec())
 }
--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -23,7 +23,7 @@
 pub async fn view(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = rq.context().read_state(|n| {
+    let body = rq.context().cluster_state().read(|n| {
         serde_json::json!({
             "revision": n.config.map_or(0, |c| c.0),
             "routers": n.routers,
--- a/crates/control-plane/src/api/instances.rs
+++ b/crates/control-plane/src/api/instances.rs
@@ -17,7 +17,7 @@
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let body = read_limited(body, constants::HEARTBEAT_MAX_BYTES).await?;
-    instances::heartbeat(rq.context(), path.into_inner().id, body).await?;
+    instances::heartbeat(rq.context().registry(), path.into_inner().id, body).await?;
     json(StatusCode::OK, "{}")
 }
 
@@ -28,6 +28,6 @@
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let body = read_limited(body, constants::HEARTBEAT_MAX_BYTES).await?;
-    instances::deregister(rq.context(), path.into_inner().id, body).await?;
+    instances::deregister(rq.context().registry(), path.into_inner().id, body).await?;
     json(StatusCode::OK, "{}")
 }
--- a/crates/control-plane/src/api/membership.rs
+++ b/crates/control-plane/src/api/membership.rs
@@ -7,7 +7,7 @@
 pub async fn view(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let view = crate::service::membership::view(rq.context()).await;
+    let view = crate::service::membership::view(rq.context().view_sources()).await;
     let body = serde_json::to_string(&view)
         .map_err(|error| dropshot::HttpError::for_internal_error(error.to_string()))?;
     json(StatusCode::OK, body)
--- a/crates/control-plane/src/api/rollout.rs
+++ b/crates/control-plane/src/api/rollout.rs
@@ -7,5 +7,5 @@
 pub async fn view(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    json(StatusCode::OK, crate::rollout::status::view(rq.context()).to_string())
+    json(StatusCode::OK, crate::rollout::status::view(rq.context().rollout()).to_string())
 }
--- a/crates/control-plane/src/api/weights.rs
+++ b/crates/control-plane/src/api/weights.rs
@@ -10,6 +10,6 @@
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let body = read_limited(body, fleet_core::constants::HEARTBEAT_MAX_BYTES).await?;
-    weights::put(rq.context(), body).await?;
+    weights::put(rq.context().consensus(), body).await?;
     json(StatusCode::OK, "{}")
 }
--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -1,6 +1,14 @@
-//! Events of a controller, and the view folded from them.
+//! What a controller knows of the cluster, folded from changes, and pushed to routers as updates.
+//!
+//! Nothing here is on disk: the configuration, the target weights and the membership are learned from the
+//! registers, engines from their heartbeats, and the ring from the index owner.
 
+use fleet_core::change_log::{ChangeLog, Fold};
 use fleet_core::wire::{Engine, FleetUpdate, Membership, RingHead, TargetWeights};
+use tokio::sync::watch;
+
+/// Changes that are retained for routers that lag behind; more come in a second only while a fleet starts.
+const CHANGES_RETAINED: usize = 512;
 
 /// Something that this controller learned and routers may have to hear of.
 #[derive(Debug, Clone)]
@@ -46,7 +54,7 @@
     pub routers: u32,
 }
 
-impl fleet_core::journal::Fold for ClusterState {
+impl Fold for ClusterState {
     type Event = StateChange;
     fn fold(&mut self, change: &StateChange) {
         match change {
@@ -68,7 +76,7 @@
 }
 
 impl ClusterState {
-    fn named(&self, model: &str) -> Option<TargetWeights> {
+    fn target(&self, model: &str) -> Option<TargetWeights> {
         let (version, at) = self.weights.get(model)?;
         let age_ms = at.map_or(0, |t| t.elapsed().as_millis() as u64);
         Some(TargetWeights { model: model.to_owned(), version: *version, age_ms })
@@ -79,7 +87,7 @@
         FleetUpdate {
             membership: Some(self.membership.clone()),
             config: self.config.map_or(0, |c| c.0),
-            weights: self.weights.keys().filter_map(|m| self.named(m)).collect(),
+            weights: self.weights.keys().filter_map(|m| self.target(m)).collect(),
             engines: self.engines.values().cloned().collect(),
             ring: self.ring.clone(),
             routers: self.routers,
@@ -95,7 +103,7 @@
                 StateChange::Config { .. } => v.config = self.config.map_or(0, |c| c.0),
                 StateChange::Weights { model, .. } => {
                     v.weights.retain(|w| w.model != *model);
-                    v.weights.extend(self.named(model));
+                    v.weights.extend(self.target(model));
                 }
                 StateChange::Membership(_) => v.membership = Some(self.membership.clone()),
                 StateChange::Engine(e) => {
@@ -110,16 +118,60 @@
     }
 }
 
-impl crate::Controller {
-    /// What is new since `position`; all of it when the journal no longer reaches back.
-    pub fn view_since(&self, position: Option<u64>) -> (u64, Option<FleetUpdate>) {
-        let j = self.cluster_state.lock();
-        let head = j.head();
-        let view = match position {
-            Some(s) if s == head => None,
-            Some(s) => Some(j.since(s).map_or_else(|| j.view().complete(), |f| j.view().delta(f))),
-            None => Some(j.view().complete()),
+/// The cluster state of one controller, with the newest changes to it.
+pub struct ClusterStateStore {
+    log: parking_lot::Mutex<ChangeLog<ClusterState>>,
+    /// Number of changes so far.
+    position: watch::Sender<u64>,
+}
+
+impl ClusterStateStore {
+    /// A store that knows nothing.
+    pub fn new() -> ClusterStateStore {
+        let log = ChangeLog::new(ClusterState::default(), CHANGES_RETAINED);
+        ClusterStateStore { log: parking_lot::Mutex::new(log), position: watch::channel(0).0 }
+    }
+
+    /// Folds a change in, and wakes who follows the state.
+    pub fn append(&self, change: StateChange) {
+        let position = self.log.lock().append(change);
+        self.position.send_replace(position);
+    }
+
+    /// Changes the state by what no router has to hear of, so that nobody is woken.
+    pub fn amend(&self, change: impl FnOnce(&mut ClusterState)) {
+        self.log.lock().amend(change);
+    }
+
+    /// Reads the state. The lock is held meanwhile, so `read` must take no other one.
+    pub fn read<T>(&self, read: impl FnOnce(&ClusterState) -> T) -> T {
+        read(self.log.lock().view())
+    }
+
+    /// Moves with each change.
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
+        self.position.subscribe()
+    }
+
+    /// What is new since `position`, and the position now: nothing if nothing is, and the complete state
+    /// where the changes since are no longer retained.
+    pub fn update_since(&self, position: Option<u64>) -> (u64, Option<FleetUpdate>) {
+        let log = self.log.lock();
+        let head = log.head();
+        let update = match position {
+            Some(position) if position == head => None,
+            Some(position) => Some(
+                log.since(position)
+                    .map_or_else(|| log.view().complete(), |changes| log.view().delta(changes)),
+            ),
+            None => Some(log.view().complete()),
         };
-        (head, view)
+        (head, update)
+    }
+}
+
+impl Default for ClusterStateStore {
+    fn default() -> Self {
+        Self::new()
     }
 }
--- a/crates/control-plane/src/config_distribution/distribution_tests.rs
+++ b/crates/control-plane/src/config_distribution/distribution_tests.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_router_gets_a_delta_for_a_kept_body_and_else_the_whole() {
-    let config_distribution = ConfigDistribution::default();
+    let config_distribution = ConfigBodies::default();
     let (former, new) = (text(4), text(5));
     let (old, now) = (value(&former, 4), value(&new, 5));
     config_distribution.remember(&old);
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_delta_larger_than_the_whole_is_not_given() {
-    let config_distribution = ConfigDistribution::default();
+    let config_distribution = ConfigBodies::default();
     let old = value(&text(4), 4);
     config_distribution.remember(&old);
     let now = value("{}", 5);
@@ -59,13 +59,13 @@
 #[test]
 fn a_router_that_has_the_body_gets_none() {
     let now = value(&text(5), 5);
-    let respond = ConfigDistribution::default().respond(&request(&now.digest), &now);
+    let respond = ConfigBodies::default().respond(&request(&now.digest), &now);
     assert_eq!((respond.version, respond.form), (5, None));
 }
 
 #[test]
 fn stores_follow_the_configuration() {
-    let config_distribution = ConfigDistribution::default();
+    let config_distribution = ConfigBodies::default();
     let body = |store: &str| {
         serde_json::json!({"revision": 1, "routes": [], "services": [{"name": "k", "kvStore": store}]})
             .to_string()
--- a/crates/control-plane/src/config_distribution/mod.rs
+++ b/crates/control-plane/src/config_distribution/mod.rs
@@ -1,24 +1,27 @@
-//! Giving configurations to routers: confirmed by a majority, and only what changed of them.
+//! Gives configurations to routers: confirmed by a majority, and only what changed of them.
+//!
+//! A router says which body it has. Where that one is still retained here it gets a delta against it, else the
+//! complete body, deflated. When a configuration comes into force all routers ask at once: those that wait behind a
+//! read share the next one.
 
 mod bodies;
 mod shared_read;
 
-use crate::Controller;
-use crate::consensus::state_machine;
+use crate::consensus::{ConfigObserver, Consensus, state_machine};
 use bodies::Bodies;
 use fleet_core::constants;
 use fleet_core::digest::BodyDigest;
 use fleet_core::wire::{ConfigForm, ConfigRequest, ConfigResponse, ConfigValue};
+use parking_lot::Mutex;
 use prost::Message;
 use shared_read::SharedRead;
 use std::sync::Arc;
 
-/// What a controller keeps for the routers that ask it.
+/// The last configurations that were in force, and what is derived from them. Both locks are leaves.
 #[derive(Default)]
-pub struct ConfigDistribution {
-    bodies: parking_lot::Mutex<Bodies>,
-    confirmed: SharedRead<ConfigValue>,
-    kv_stores: parking_lot::Mutex<KvStores>,
+pub struct ConfigBodies {
+    bodies: Mutex<Bodies>,
+    kv_stores: Mutex<KvStores>,
 }
 
 /// Addresses of the stores that a configuration names.
@@ -28,7 +31,7 @@
     addresses: Vec<String>,
 }
 
-impl ConfigDistribution {
+impl ConfigBodies {
     /// Keeps a committed body, so that routers that have it get only what changed since.
     pub fn remember(&self, value: &ConfigValue) {
         if let Some(digest) = BodyDigest::from_bytes(&value.digest) {
@@ -80,24 +83,42 @@
     }
 }
 
-/// The committed configuration, confirmed by a majority after this call; None if none is known.
-async fn confirmed(controller: &Arc<Controller>) -> Option<Arc<ConfigValue>> {
-    let read = async {
-        let read =
-            tokio::time::timeout(constants::CHANGE_TIMEOUT, controller.read(state_machine::CONFIG));
-        let (_, value) = read.await.ok()??;
-        ConfigValue::decode(value).ok().filter(|value| value.version > 0)
-    };
-    controller.config_distribution.confirmed.get(read).await
+impl ConfigObserver for ConfigBodies {
+    fn config_committed(&self, value: &ConfigValue) {
+        self.remember(value);
+    }
+}
+
+/// Gives configurations to routers.
+pub struct ConfigDistribution {
+    consensus: Arc<Consensus>,
+    bodies: Arc<ConfigBodies>,
+    confirmed: SharedRead<ConfigValue>,
 }
 
-/// Answers a router that asks for the configuration in force; version 0 where no majority confirms
-/// one, so that the router goes on to another controller.
-pub async fn answer(controller: &Arc<Controller>, request: &ConfigRequest) -> ConfigResponse {
-    let value = confirmed(controller).await;
-    value.map_or_else(ConfigResponse::default, |value| {
-        controller.config_distribution.respond(request, &value)
-    })
+impl ConfigDistribution {
+    /// Reads through this node's part in the agreement.
+    pub fn new(consensus: Arc<Consensus>, bodies: Arc<ConfigBodies>) -> ConfigDistribution {
+        ConfigDistribution { consensus, bodies, confirmed: SharedRead::default() }
+    }
+
+    /// The committed configuration, confirmed by a majority after this call; none if there is none, or no
+    /// majority confirms one.
+    async fn confirmed(&self) -> Option<Arc<ConfigValue>> {
+        let read = async {
+            let read = self.consensus.read(state_machine::CONFIG);
+            let chosen = tokio::time::timeout(constants::CHANGE_TIMEOUT, read).await.ok()??;
+            ConfigValue::decode(chosen.value).ok().filter(|value| value.version > 0)
+        };
+        self.confirmed.get(read).await
+    }
+
+    /// Answers a router that asks for the configuration in force; version 0 where no majority confirms one, so
+    /// that the router goes on to another controller.
+    pub async fn answer(&self, request: &ConfigRequest) -> ConfigResponse {
+        let value = self.confirmed().await;
+        value.map_or_else(ConfigResponse::default, |value| self.bodies.respond(request, &value))
+    }
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -1,9 +1,9 @@
 //! Bringing a change to the owner of its key, wherever it comes in.
 
+use super::Consensus;
 use super::key_owner::propose_and_commit;
 use super::proposer::ProposalError;
 use super::state_machine;
-use crate::Controller;
 use fleet_core::constants;
 use fleet_core::wire::{Body, ChangeKind, ChangeRequest, ChangeResponse, Outcome};
 use std::sync::Arc;
@@ -18,68 +18,69 @@
 }
 
 /// The node that owns a key, as far as this node has heard: it may be behind.
-fn believed_owner(controller: &Controller, key: &str) -> Option<u64> {
-    let promised = controller.acceptor.lock().promised(key);
-    let learned = controller.learned.lock().get(key).map(|(b, _)| *b).unwrap_or_default();
-    let highest = promised.max(learned).max(controller.key_owners.observed_ballot(key));
-    (highest.node != 0 && !controller.key_owners.has_resigned(key, highest)).then_some(highest.node)
+fn believed_owner(consensus: &Consensus, key: &str) -> Option<u64> {
+    let promised = consensus.acceptor.lock().promised(key);
+    let learned = consensus.learned(key).map(|known| known.ballot).unwrap_or_default();
+    let highest = promised.max(learned).max(consensus.key_owners.observed_ballot(key));
+    (highest.node != 0 && !consensus.key_owners.has_resigned(key, highest)).then_some(highest.node)
 }
 
 /// Has a change decided by the owner of its key, which is elected anew if it is silent.
 ///
 /// An outcome of `Unknown` says that the change may yet be chosen.
-pub async fn submit(controller: &Arc<Controller>, change: ChangeKind) -> ChangeResponse {
+pub async fn submit(consensus: &Arc<Consensus>, change: ChangeKind) -> ChangeResponse {
     let limit = constants::change_timeout(value_bytes(&change));
-    let run = forward_or_decide(controller, &change, 0);
+    let run = forward_or_decide(consensus, &change, 0);
     tokio::time::timeout(limit, run).await.unwrap_or_else(|_| state_machine::unknown())
 }
 
-/// A change that another controller passed here.
+/// A change that another consensus passed here.
 pub async fn submit_forwarded(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     change: &ChangeRequest,
 ) -> ChangeResponse {
     let Some(kind) = &change.kind else { return state_machine::unknown() };
     let limit = constants::change_timeout(value_bytes(kind));
-    let run = forward_or_decide(controller, kind, change.hops);
+    let run = forward_or_decide(consensus, kind, change.hops);
     tokio::time::timeout(limit, run).await.unwrap_or_else(|_| state_machine::unknown())
 }
 
 /// Passes the change to the owner or decides it here, and goes on to a new owner when one was elected.
 async fn forward_or_decide(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     change: &ChangeKind,
     hops: u32,
 ) -> ChangeResponse {
     let key = state_machine::key_of(change);
-    let own = controller.node.id();
+    let own = consensus.process.node.id();
     let until = Instant::now() + constants::change_timeout(value_bytes(change));
     let mut forwarded_to = None;
     loop {
-        let owner = believed_owner(controller, &key).filter(|o| *o != own);
+        let owner = believed_owner(consensus, &key).filter(|o| *o != own);
         if let Some(owner) =
             owner.filter(|o| forwarded_to != Some(*o) && hops < constants::CHANGE_HOPS)
         {
             forwarded_to = Some(owner);
-            if let Some(changed) = forward_to(controller, change, owner, hops).await {
+            if let Some(changed) = forward_to(consensus, change, owner, hops).await {
                 return changed;
             }
         }
-        if !can_decide(controller) {
-            return forward_to_any(controller, change, forwarded_to, hops).await;
+        if !can_decide(consensus) {
+            return forward_to_any(consensus, change, forwarded_to, hops).await;
         }
         let proposed =
-            propose_and_commit(controller, &key, |now| state_machine::decide(change, now)).await;
+            propose_and_commit(consensus, &key, |now| state_machine::decide(change, now)).await;
         match proposed {
             Ok(changed) => return changed,
             Err(ProposalError::NoOwnVote) => {
-                return forward_to_any(controller, change, forwarded_to, hops).await;
+                return forward_to_any(consensus, change, forwarded_to, hops).await;
             }
             Err(ProposalError::Preempted(_) | ProposalError::OwnerActive) => forwarded_to = None,
             Err(ProposalError::NoQuorum) => return state_machine::unknown(),
         }
-        let wait =
-            Duration::from_millis(1 + controller.random_below(constants::ELECTION_BACKOFF_MS));
+        let wait = Duration::from_millis(
+            1 + consensus.process.random_below(constants::ELECTION_BACKOFF_MS),
+        );
         if Instant::now() + wait >= until {
             return state_machine::unknown();
         }
@@ -87,13 +88,13 @@
     }
 }
 
-fn can_decide(controller: &Controller) -> bool {
-    controller.may_own() && controller.acceptor.lock().votes()
+fn can_decide(consensus: &Consensus) -> bool {
+    consensus.may_own() && consensus.acceptor.lock().votes()
 }
 
 /// For a node without a vote: one member after the other brings the change to its owner.
 async fn forward_to_any(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     change: &ChangeKind,
     forwarded_to: Option<u64>,
     hops: u32,
@@ -101,13 +102,13 @@
     if hops >= constants::CHANGE_HOPS {
         return state_machine::unknown();
     }
-    let members = controller.acceptor.lock().membership().members.clone();
+    let members = consensus.acceptor.lock().membership().members.clone();
     for member in &members {
         let Some(id) = member.addr().map(|a| u64::from(u32::from(a))) else { continue };
-        if id == controller.node.id() || forwarded_to == Some(id) {
+        if id == consensus.process.node.id() || forwarded_to == Some(id) {
             continue;
         }
-        if let Some(changed) = forward_to(controller, change, id, hops).await {
+        if let Some(changed) = forward_to(consensus, change, id, hops).await {
             return changed;
         }
     }
@@ -116,13 +117,13 @@
 
 /// The answer of the node that the change was passed to, unless it is unknown there.
 async fn forward_to(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     change: &ChangeKind,
     to: u64,
     hops: u32,
 ) -> Option<ChangeResponse> {
-    let members = controller.acceptor.lock().membership().members.clone();
-    let (_, link) = controller.links_to(&members).into_iter().find(|(id, _)| *id == to)?;
+    let members = consensus.acceptor.lock().membership().members.clone();
+    let (_, link) = consensus.links_to(&members).into_iter().find(|(id, _)| *id == to)?;
     let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
     match link.call(body, constants::owner_timeout(value_bytes(change))).await {
         Ok(Body::ChangeResponse(changed)) if changed.outcome() != Outcome::Unknown => Some(changed),
--- a/crates/control-plane/src/consensus/key_owner.rs
+++ b/crates/control-plane/src/consensus/key_owner.rs
@@ -1,10 +1,10 @@
 //! Owning keys: drives a [`Proposer`] for each key that this node owns or takes over.
 
+use super::Consensus;
 use super::election::Elections;
 use super::proposer::{Action, ProposalError, Proposer, Request, Scope};
 use super::resignation::ResignedBallots;
 use super::state_machine::Decision;
-use crate::Controller;
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::wire::{Ballot, Body, ChangeResponse, PreVoteRequest, PreVoteResponse, Vote};
@@ -80,24 +80,24 @@
 }
 
 /// Answers whether this voter would take part in electing another owner for the key.
-pub fn pre_vote(controller: &Controller, request: &PreVoteRequest) -> PreVoteResponse {
+pub fn pre_vote(consensus: &Consensus, request: &PreVoteRequest) -> PreVoteResponse {
     let (eligible, promised, bytes) = {
-        let acceptor = controller.acceptor.lock();
-        let votes = acceptor.votes() && !controller.disk_broken();
+        let acceptor = consensus.acceptor.lock();
+        let votes = acceptor.votes() && !consensus.is_disk_broken();
         let eligible = votes && acceptor.membership().epoch == request.membership;
         let bytes = acceptor.register(&request.key).map_or(0, |r| r.value.len());
         (eligible, acceptor.promised(&request.key), bytes)
     };
-    let key_owners = &controller.key_owners;
+    let key_owners = &consensus.key_owners;
     let free =
         key_owners.has_resigned(&request.key, promised) || key_owners.is_quiet(&request.key, bytes);
     PreVoteResponse { ok: eligible && free, promised }
 }
 
-async fn own_vote(controller: &Arc<Controller>, request: &Request) -> Option<Vote> {
+async fn own_vote(consensus: &Arc<Consensus>, request: &Request) -> Option<Vote> {
     match request {
-        Request::Prepare(p) => controller.vote(|a| a.prepare(p)).await,
-        Request::Accept(a) => controller.vote(|acceptor| acceptor.accept(a)).await,
+        Request::Prepare(p) => consensus.vote(|a| a.prepare(p)).await,
+        Request::Accept(a) => consensus.vote(|acceptor| acceptor.accept(a)).await,
     }
 }
 
@@ -110,28 +110,28 @@
 
 /// One voter's vote over its link. A later membership in the answer is adopted.
 async fn vote_of(
-    controller: Arc<Controller>,
+    consensus: Arc<Consensus>,
     link: Arc<Link>,
     request: Request,
     limit: Duration,
 ) -> Option<Vote> {
     let Ok(Body::Vote(vote)) = link.call(body_of(request), limit).await else { return None };
     if let Some(membership) = &vote.membership {
-        controller.adopt(membership).await;
+        consensus.adopt(membership).await;
     }
     Some(vote)
 }
 
 /// Sends the round's request to all other voters; their votes come in as they answer.
-fn broadcast(controller: &Arc<Controller>, proposer: &Proposer) -> Votes {
-    let members = controller.acceptor.lock().membership().members.clone();
+fn broadcast(consensus: &Arc<Consensus>, proposer: &Proposer) -> Votes {
+    let members = consensus.acceptor.lock().membership().members.clone();
     let limit = constants::phase_timeout(proposer.value().len());
     let (votes, inbox) = mpsc::channel(members.len().max(1));
-    for (id, link) in controller.links_to(&members) {
+    for (id, link) in consensus.links_to(&members) {
         let request = proposer.request_for(id);
-        let (controller, votes) = (controller.clone(), votes.clone());
+        let (consensus, votes) = (consensus.clone(), votes.clone());
         tokio::spawn(async move {
-            let vote = vote_of(controller, link, request, limit).await;
+            let vote = vote_of(consensus, link, request, limit).await;
             let _ = votes.send((id, vote)).await;
         });
     }
@@ -140,7 +140,7 @@
 
 /// Carries out what a proposer asks for, until its value is chosen or it fails.
 async fn drive(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     proposer: &mut Proposer,
     first: Action,
 ) -> Result<(), ProposalError> {
@@ -153,12 +153,12 @@
             Action::Failed(error) => return Err(error),
             Action::SendToSelf(request) => {
                 let limit = constants::phase_timeout(proposer.value().len());
-                let vote = tokio::time::timeout(limit, own_vote(controller, &request)).await;
+                let vote = tokio::time::timeout(limit, own_vote(consensus, &request)).await;
                 let vote = vote.ok().flatten();
-                proposer.on_vote(step, controller.node.id(), vote.as_ref())
+                proposer.on_vote(step, consensus.process.node.id(), vote.as_ref())
             }
             Action::Broadcast => {
-                inbox = Some(broadcast(controller, proposer));
+                inbox = Some(broadcast(consensus, proposer));
                 Action::Wait
             }
             Action::Wait => match next_vote(&mut inbox).await {
@@ -167,8 +167,8 @@
             },
         };
         let latest = proposer.latest_recovery_epoch();
-        if latest > controller.acceptor.lock().recovery_epoch() {
-            controller.persist(|a| a.advance(latest)).await;
+        if latest > consensus.acceptor.lock().recovery_epoch() {
+            consensus.persist(|a| a.advance(latest)).await;
         }
     }
 }
@@ -179,27 +179,27 @@
 
 /// A round of an owner: the value is told to the others once it is chosen.
 async fn run_round(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     key: &str,
     proposer: &mut Proposer,
     first: Action,
 ) -> Result<(), ProposalError> {
-    let done = drive(controller, proposer, first).await;
+    let done = drive(consensus, proposer, first).await;
     if let Err(ProposalError::Preempted(promised)) = &done {
-        controller.key_owners.observe_ballot(key, *promised);
+        consensus.key_owners.observe_ballot(key, *promised);
     }
     done?;
-    controller.committed(key, proposer.ballot(), proposer.value()).await;
+    consensus.committed(key, proposer.ballot(), proposer.value()).await;
     Ok(())
 }
 
 /// Whether a quorum has seen nothing of the key's owner for a while.
-async fn owner_timed_out(controller: &Arc<Controller>, key: &str) -> bool {
-    let membership = controller.acceptor.lock().membership().clone();
+async fn owner_timed_out(consensus: &Arc<Consensus>, key: &str) -> bool {
+    let membership = consensus.acceptor.lock().membership().clone();
     let request = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
     let quorum = membership.members.len() / 2 + 1;
     let (answers, mut inbox) = mpsc::channel(membership.members.len().max(1));
-    for (_, link) in controller.links_to(&membership.members) {
+    for (_, link) in consensus.links_to(&membership.members) {
         let (answers, request) = (answers.clone(), request.clone());
         tokio::spawn(async move {
             if let Ok(Body::PreVoteResponse(answer)) =
@@ -210,10 +210,10 @@
         });
     }
     drop(answers);
-    let mut willing = usize::from(pre_vote(controller, &request).ok);
+    let mut willing = usize::from(pre_vote(consensus, &request).ok);
     while willing < quorum {
         let Some(answer) = inbox.recv().await else { return false };
-        controller.key_owners.observe_ballot(key, answer.promised);
+        consensus.key_owners.observe_ballot(key, answer.promised);
         willing += usize::from(answer.ok);
     }
     true
@@ -221,17 +221,17 @@
 
 /// Takes a key over: once its owner is silent, prepares above all that was seen and completes what was open.
 async fn acquire_ownership(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     key: &str,
 ) -> Result<Proposer, ProposalError> {
     let until = Instant::now() + constants::CHANGE_TIMEOUT;
     let mut backoff_ms = constants::ELECTION_BACKOFF_MS;
     loop {
-        let error = match elect(controller, key).await {
+        let error = match elect(consensus, key).await {
             Ok(proposer) => return Ok(proposer),
             Err(error) => error,
         };
-        let wait = Duration::from_millis(1 + controller.random_below(backoff_ms));
+        let wait = Duration::from_millis(1 + consensus.process.random_below(backoff_ms));
         let hopeless = matches!(error, ProposalError::NoOwnVote | ProposalError::Preempted(_));
         if hopeless || Instant::now() + wait >= until {
             return Err(error);
@@ -241,10 +241,10 @@
     }
 }
 
-async fn elect(controller: &Arc<Controller>, key: &str) -> Result<Proposer, ProposalError> {
+async fn elect(consensus: &Arc<Consensus>, key: &str) -> Result<Proposer, ProposalError> {
     let (scope, above) = {
-        let acceptor = controller.acceptor.lock();
-        if !acceptor.votes() || !controller.may_own() {
+        let acceptor = consensus.acceptor.lock();
+        if !acceptor.votes() || !consensus.may_own() {
             return Err(ProposalError::NoOwnVote);
         }
         let scope = Scope {
@@ -254,22 +254,22 @@
         };
         (scope, acceptor.highest(key))
     };
-    if !owner_timed_out(controller, key).await {
+    if !owner_timed_out(consensus, key).await {
         return Err(ProposalError::OwnerActive);
     }
-    let observed_ballots = controller.key_owners.observed_ballot(key);
-    let is_plausible = controller.acceptor.lock().is_plausible(key, observed_ballots);
+    let observed_ballots = consensus.key_owners.observed_ballot(key);
+    let is_plausible = consensus.acceptor.lock().is_plausible(key, observed_ballots);
     let above = if is_plausible { above.max(observed_ballots.n) } else { above };
-    let (mut proposer, first) = Proposer::prepare(controller.node.id(), key, scope, above);
-    run_round(controller, key, &mut proposer, first).await?;
-    fleet_core::log_event!(controller.log, fleet_core::log::Event::KeyOwnershipAcquired,
+    let (mut proposer, first) = Proposer::prepare(consensus.process.node.id(), key, scope, above);
+    run_round(consensus, key, &mut proposer, first).await?;
+    fleet_core::log_event!(consensus.process.log, fleet_core::log::Event::KeyOwnershipAcquired,
         "key" => key, "epoch" => proposer.ballot().n);
     Ok(proposer)
 }
 
 /// Whether an ownership still stands: same scope, and the own acceptor has promised nobody else.
-fn stands(controller: &Controller, key: &str, proposer: &Proposer) -> bool {
-    let acceptor = controller.acceptor.lock();
+fn stands(consensus: &Consensus, key: &str, proposer: &Proposer) -> bool {
+    let acceptor = consensus.acceptor.lock();
     let scope = proposer.scope();
     proposer.is_owner()
         && scope.membership == acceptor.membership().epoch
@@ -282,31 +282,31 @@
 /// # Errors
 /// The change may have been chosen all the same, except after [`ProposalError::NoOwnVote`] of a take-over.
 pub async fn propose_and_commit(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     key: &str,
     decide: impl Fn(&[u8]) -> Decision,
 ) -> Result<ChangeResponse, ProposalError> {
-    let slot = controller.key_owners.slot(key);
+    let slot = consensus.key_owners.slot(key);
     let mut slot = slot.lock().await;
-    if !controller.may_own() {
+    if !consensus.may_own() {
         return Err(ProposalError::NoOwnVote);
     }
-    let owned = slot.take().filter(|proposer| stands(controller, key, proposer));
+    let owned = slot.take().filter(|proposer| stands(consensus, key, proposer));
     let mut owned = match owned {
         Some(proposer) => {
-            controller.key_owners.record_progress(key);
+            consensus.key_owners.record_progress(key);
             proposer
         }
-        None => acquire_ownership(controller, key).await?,
+        None => acquire_ownership(consensus, key).await?,
     };
     let answer = match decide(owned.value()) {
         Decision::Answer(answer) => {
-            confirm(controller, key, &mut owned).await?;
+            confirm(consensus, key, &mut owned).await?;
             answer
         }
         Decision::Write(value, answer) => {
             let first = owned.propose(value);
-            run_round(controller, key, &mut owned, first).await?;
+            run_round(consensus, key, &mut owned, first).await?;
             answer
         }
     };
@@ -316,13 +316,13 @@
 
 /// An answer without a change still needs a quorum that has not moved on.
 async fn confirm(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     key: &str,
     owned: &mut Proposer,
 ) -> Result<(), ProposalError> {
-    if controller.majority_at(key, owned.ballot()).await {
+    if consensus.majority_at(key, owned.ballot()).await {
         return Ok(());
     }
     let first = owned.confirm();
-    run_round(controller, key, owned, first).await
+    run_round(consensus, key, owned, first).await
 }
--- a/crates/control-plane/src/membership/quorum_contact.rs
+++ b/crates/control-plane/src/consensus/quorum_contact.rs
@@ -1,6 +1,6 @@
-//! Contact with a majority of the voters, which a controller needs in order to answer for all of them.
+//! Contact with a majority of the voters, which a consensus needs in order to answer for all of them.
 
-use crate::Controller;
+use super::Consensus;
 use fleet_core::constants;
 use fleet_core::log::Event;
 use std::sync::Arc;
@@ -41,9 +41,9 @@
     }
 }
 
-impl Controller {
+impl Consensus {
     fn contact_span(&self) -> Duration {
-        let bound = self.settings().bounds.contact.mul_f64(constants::CONTACT_SHARE);
+        let bound = self.process.settings().bounds.contact.mul_f64(constants::CONTACT_SHARE);
         bound.min(constants::CONTACT_SPAN)
     }
 
@@ -72,21 +72,20 @@
 
 /// Looks whether contact stands. The learner's rounds keep it up; only where these are late does this
 /// task ask the voters itself.
-pub async fn run_contact_check(controller: Arc<Controller>) {
+pub async fn run_contact_check(consensus: Arc<Consensus>) {
     let mut was_in_contact = false;
     loop {
         tokio::time::sleep(constants::CONTACT_CHECK_INTERVAL).await;
         let remaining =
-            controller.contact_until().map(|t| t.saturating_duration_since(Instant::now()));
-        if remaining
-            .is_some_and(|l| l < controller.contact_span().mul_f64(constants::CONTACT_RENEW))
+            consensus.contact_until().map(|t| t.saturating_duration_since(Instant::now()));
+        if remaining.is_some_and(|l| l < consensus.contact_span().mul_f64(constants::CONTACT_RENEW))
         {
-            controller.contact_majority().await;
+            consensus.contact_majority().await;
         }
-        let is_in_contact = controller.in_contact();
+        let is_in_contact = consensus.in_contact();
         if is_in_contact != was_in_contact {
             let event = if is_in_contact { Event::ContactGained } else { Event::ContactLost };
-            fleet_core::log_event!(controller.log, event);
+            fleet_core::log_event!(consensus.process.log, event);
         }
         was_in_contact = is_in_contact;
     }
--- /dev/null
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -0,0 +1,137 @@
+//! Reads that a majority confirms: the value was current at some time after the read began.
+//!
+//! A read asks all voters for their ballots. Where a majority has accepted under the same ballot, that value is
+//! chosen, and no later one was when the read began (majorities meet). A read never takes a key from its owner:
+//! while a round is under way it asks again, and then has the owner complete the round.
+
+use super::quorum_status::{KeyStatus, QuorumStatus};
+use super::{ChosenValue, Consensus, forward};
+use fleet_core::constants;
+use fleet_core::wire::{
+    Ballot, BallotReport, Body, ChangeKind, Membership, Outcome, ReadBallots, RegisterRequest,
+};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+impl Consensus {
+    /// Asks all voters what they hold now, until `is_enough`; their answers come from disk.
+    pub(super) async fn query_voters(
+        self: &Arc<Self>,
+        is_enough: impl Fn(&QuorumStatus) -> bool,
+    ) -> QuorumStatus {
+        let membership = self.membership();
+        let begun = Instant::now();
+        let mut status = QuorumStatus::new(&membership);
+        let mut answers = self.send_to_voters(&membership);
+        let own = self.vote(|acceptor| acceptor.read_ballots(false));
+        if let Ok(Some(answer)) = tokio::time::timeout(constants::PHASE_TIMEOUT, own).await {
+            self.count(&mut status, self.process.node.id(), &answer, begun);
+        }
+        while !is_enough(&status) {
+            let Some((voter, answer)) = answers.recv().await else { break };
+            self.count(&mut status, voter, &answer, begun);
+        }
+        status
+    }
+
+    /// Sends the question to all other voters. A later membership in an answer is adopted. The tasks end with
+    /// the time-out of their calls.
+    fn send_to_voters(
+        self: &Arc<Self>,
+        membership: &Membership,
+    ) -> mpsc::Receiver<(u64, BallotReport)> {
+        let (answers, inbox) = mpsc::channel(membership.members.len().max(1));
+        for (voter, link) in self.links.to(&membership.members) {
+            let (answers, consensus) = (answers.clone(), self.clone());
+            let request =
+                Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
+            tokio::spawn(async move {
+                let answer = link.call(request, constants::PHASE_TIMEOUT).await;
+                let Ok(Body::BallotReport(answer)) = answer else { return };
+                if let Some(later) = &answer.membership {
+                    consensus.adopt(later).await;
+                }
+                let _ = answers.send((voter, answer)).await;
+            });
+        }
+        inbox
+    }
+
+    fn count(&self, status: &mut QuorumStatus, voter: u64, answer: &BallotReport, begun: Instant) {
+        if status.add(voter, answer) {
+            self.contact.lock().answered(voter, begun);
+        }
+    }
+
+    /// Asks the voters for no other reason than to be in contact with a majority of them.
+    pub async fn contact_majority(self: &Arc<Self>) {
+        self.query_voters(|_| false).await;
+    }
+
+    /// Whether a majority holds the key at just this ballot, asked after the call began.
+    pub(super) async fn majority_at(self: &Arc<Self>, key: &str, ballot: Ballot) -> bool {
+        let status = self.query_voters(|status| status.has_quorum_at(key, ballot)).await;
+        status.has_quorum_at(key, ballot)
+    }
+
+    /// The chosen value of a key, confirmed with a majority after the call came; none if no majority confirms
+    /// one.
+    pub async fn read(self: &Arc<Self>, key: &str) -> Option<ChosenValue> {
+        let mut backoff_ms = constants::READ_BACKOFF_MS;
+        for _ in 0..constants::READ_ATTEMPTS {
+            if let Some(found) = self.read_once(key).await {
+                return Some(found);
+            }
+            let pause = 1 + self.process.random_below(backoff_ms);
+            tokio::time::sleep(Duration::from_millis(pause)).await;
+            backoff_ms *= 2;
+        }
+        let confirmed = forward::submit(self, ChangeKind::Confirm(key.to_owned())).await;
+        if confirmed.outcome() != Outcome::Done {
+            return None;
+        }
+        self.read_once(key).await
+    }
+
+    /// The value that a majority stands at now, if it stands at one.
+    async fn read_once(self: &Arc<Self>, key: &str) -> Option<ChosenValue> {
+        let is_chosen =
+            |status: &QuorumStatus| matches!(status.key_status(key), Some(KeyStatus::Chosen(_)));
+        let status = self.query_voters(is_chosen).await;
+        let Some(KeyStatus::Chosen(ballot)) = status.key_status(key) else { return None };
+        let value = self.value_at(key, ballot, &status).await?;
+        Some(ChosenValue { ballot, value })
+    }
+
+    /// The value that was accepted under this ballot: from here, or from a voter that holds it.
+    pub(super) async fn value_at(
+        self: &Arc<Self>,
+        key: &str,
+        ballot: Ballot,
+        status: &QuorumStatus,
+    ) -> Option<bytes::Bytes> {
+        let own = self.with_acceptor(|acceptor| {
+            let register = acceptor.register(key).filter(|register| register.accepted == ballot);
+            register.map(|register| register.value.clone())
+        });
+        let learned = || self.learned(key).filter(|known| known.ballot == ballot);
+        if let Some(value) = own.or_else(|| learned().map(|known| known.value)) {
+            return Some(value);
+        }
+        for (voter, link) in self.links_to_voters() {
+            if !status.is_accepted_by(key, voter, ballot) {
+                continue;
+            }
+            let request = Body::RegisterRequest(RegisterRequest { key: key.to_owned() });
+            let answer = link.call(request, constants::PHASE_TIMEOUT).await;
+            if let Ok(Body::RegisterResponse(response)) = answer
+                && let Some(register) = response.register.filter(|r| r.accepted == ballot)
+            {
+                return Some(register.value);
+            }
+        }
+        None
+    }
+}
--- a/crates/control-plane/src/consensus/resignation.rs
+++ b/crates/control-plane/src/consensus/resignation.rs
@@ -1,7 +1,7 @@
-//! Giving keys back: a controller that is told to stop decides nothing more, and voters elect another
+//! Giving keys back: a consensus that is told to stop decides nothing more, and voters elect another
 //! owner at once instead of waiting until this one has been silent for long enough.
 
-use crate::Controller;
+use super::Consensus;
 use fleet_core::constants;
 use fleet_core::wire::{Ballot, Body, Empty};
 use std::net::Ipv4Addr;
@@ -27,23 +27,23 @@
 }
 
 /// Ends what is under way as an owner, and tells the other voters that the keys are free.
-pub async fn release_keys(controller: &Arc<Controller>) {
-    controller.key_owners.release_keys().await;
-    record_resignation(controller, controller.node.ip);
-    let members = controller.acceptor.lock().membership().members.clone();
-    let calls = controller.links_to(&members).into_iter().map(|(_, link)| async move {
+pub async fn release_keys(consensus: &Arc<Consensus>) {
+    consensus.key_owners.release_keys().await;
+    record_resignation(consensus, consensus.process.node.ip);
+    let members = consensus.acceptor.lock().membership().members.clone();
+    let calls = consensus.links_to(&members).into_iter().map(|(_, link)| async move {
         // one that can't be told waits until this owner has been silent
         let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
     });
     futures_util::future::join_all(calls).await;
 }
 
-/// The controller at this address owns nothing any more: its keys may be taken over at once.
-pub fn record_resignation(controller: &Controller, from: Ipv4Addr) {
+/// The consensus at this address owns nothing any more: its keys may be taken over at once.
+pub fn record_resignation(consensus: &Consensus, from: Ipv4Addr) {
     let owner = u64::from(u32::from(from));
-    let acceptor = controller.acceptor.lock();
+    let acceptor = consensus.acceptor.lock();
     for register in acceptor.registers().filter(|register| register.promised.node == owner) {
-        controller.key_owners.owner_resigned(&register.key, register.promised);
+        consensus.key_owners.owner_resigned(&register.key, register.promised);
     }
 }
 
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -1,174 +1,237 @@
-//! Engines by instance; rebuilt from their own heartbeats.
+//! The engines by instance, rebuilt from their heartbeats after each start.
+//!
+//! The highest call number of an instance wins, and deregistration is final. A routine heartbeat reaches the other
+//! controllers in batches; that an engine drains or is deregistered is acknowledged only once a majority has it.
 
-use crate::Controller;
-use crate::cluster_state::StateChange;
+use crate::cluster_state::{ClusterStateStore, StateChange};
+use crate::consensus::Consensus;
+use crate::membership::peer_links::PeerLinks;
+use crate::process::Process;
 use fleet_core::constants;
+use fleet_core::link::Link;
 use fleet_core::log::Event;
 use fleet_core::wire::{Body, Engine, EngineHeartbeats, EngineState};
+use hashbrown::{HashMap, HashSet};
+use parking_lot::Mutex;
+use std::collections::BTreeMap;
 use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
 
-/// When engines were heard, and what is still to be told to the other controllers.
-#[derive(Default)]
-pub struct Registry {
-    /// when news of each engine came last
-    last_heartbeat: parking_lot::Mutex<hashbrown::HashMap<String, tokio::time::Instant>>,
-    /// own heartbeats that go with the next batch
-    outbox: parking_lot::Mutex<std::collections::BTreeMap<String, Engine>>,
+/// Who reported an engine's state to this controller.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum HeartbeatSource {
+    /// The engine itself: the other controllers have to hear of it.
+    Engine,
+    /// Another controller, which tells the others itself.
+    Controller,
 }
 
-/// Takes news of an engine; its own heartbeats are told on, those of other controllers are not.
-pub fn record_heartbeat(controller: &Controller, update: Engine, own: bool) -> bool {
-    let current = controller.read_state(|n| n.engines.get(&update.id).cloned());
-    let is_newer = current.as_ref().is_none_or(|e| update.call > e.call);
-    if is_newer && update.state() != EngineState::Deregistered {
-        controller
-            .engines
-            .last_heartbeat
-            .lock()
-            .insert(update.id.clone(), tokio::time::Instant::now());
+/// When engines were heard from, and what the other controllers have yet to hear. The engines themselves are part
+/// of the cluster state. Its locks are leaves.
+pub struct EngineRegistry {
+    process: Arc<Process>,
+    consensus: Arc<Consensus>,
+    links: Arc<PeerLinks>,
+    cluster_state: Arc<ClusterStateStore>,
+    last_heartbeat: Mutex<HashMap<String, Instant>>,
+    /// Engines that go with the next batch.
+    outbox: Mutex<BTreeMap<String, Engine>>,
+}
+
+impl EngineRegistry {
+    /// A registry that has heard of no engine.
+    pub fn new(
+        process: Arc<Process>,
+        consensus: Arc<Consensus>,
+        links: Arc<PeerLinks>,
+        cluster_state: Arc<ClusterStateStore>,
+    ) -> EngineRegistry {
+        EngineRegistry {
+            process,
+            consensus,
+            links,
+            cluster_state,
+            last_heartbeat: Mutex::default(),
+            outbox: Mutex::default(),
+        }
     }
-    if own && is_newer {
-        controller.engines.outbox.lock().insert(update.id.clone(), update.clone());
+
+    /// The agreement that this registry replicates through.
+    pub fn consensus(&self) -> &Arc<Consensus> {
+        &self.consensus
+    }
+
+    /// What is known of an engine.
+    pub fn get(&self, id: &str) -> Option<Engine> {
+        self.cluster_state.read(|state| state.engines.get(id).cloned())
     }
-    let (merged, changed) = match current {
-        None => (update, true),
-        Some(mut e) => {
-            let changed = fleet_core::fleet::merge(&mut e, &update);
-            (e, changed)
+
+    /// Takes in the state of an engine.
+    pub fn record_heartbeat(&self, update: Engine, source: HeartbeatSource) {
+        let current = self.get(&update.id);
+        let is_newer = current.as_ref().is_none_or(|engine| update.call > engine.call);
+        if is_newer && update.state() != EngineState::Deregistered {
+            self.last_heartbeat.lock().insert(update.id.clone(), Instant::now());
+        }
+        if is_newer && source == HeartbeatSource::Engine {
+            self.outbox.lock().insert(update.id.clone(), update.clone());
+        }
+        let (merged, is_changed) = match current {
+            None => (update, true),
+            Some(mut engine) => {
+                let is_changed = fleet_core::fleet::merge(&mut engine, &update);
+                (engine, is_changed)
+            }
+        };
+        if is_changed {
+            self.log_state(&merged);
+            self.cluster_state.append(StateChange::Engine(merged));
+        } else if is_newer {
+            // routers need not hear of a call number alone
+            self.cluster_state.amend(|state| {
+                state.engines.insert(merged.id.clone(), merged);
+            });
         }
-    };
-    if changed {
-        let event = match merged.state() {
+    }
+
+    fn log_state(&self, engine: &Engine) {
+        let event = match engine.state() {
             EngineState::Ready => Event::EngineNew,
             EngineState::Draining => Event::EngineDraining,
             EngineState::Deregistered => Event::EngineDeregistered,
         };
-        fleet_core::log_event!(controller.log, event, "id" => &merged.id, "at" => &merged.address);
-    }
-    if changed {
-        controller.append(StateChange::Engine(merged));
-    } else if is_newer {
-        controller.touch(merged);
+        fleet_core::log_event!(self.process.log, event, "id" => &engine.id, "at" => &engine.address);
     }
-    changed
-}
 
-impl Controller {
-    /// What another controller is told of the engines when a link comes up. An engine that is silent here
-    /// may have told others of its end: only its own next heartbeat proves that it is still ready.
+    /// What another controller is sent when a link comes up. An engine whose heartbeats are missed here may have
+    /// told others of its end: only its own next heartbeat proves that it is still ready.
     pub fn engines_to_share(&self) -> Vec<Engine> {
-        let is_shareable = |e: &&Engine| !e.heartbeat_missed || e.state() != EngineState::Ready;
-        self.read_state(|current| current.engines.values().filter(is_shareable).cloned().collect())
+        let is_shareable =
+            |engine: &&Engine| !engine.heartbeat_missed || engine.state() != EngineState::Ready;
+        self.cluster_state
+            .read(|state| state.engines.values().filter(is_shareable).cloned().collect())
+    }
+
+    /// Sends an engine's state to the other voters at once; whether a majority has it now.
+    pub async fn replicate_now(&self, engine: Engine) -> bool {
+        self.outbox.lock().remove(&engine.id);
+        let members = self.consensus.membership().members;
+        let own_ip = self.process.node.ip;
+        let mut acknowledged =
+            usize::from(members.iter().any(|member| member.addr() == Some(own_ip)));
+        let quorum = members.len() / 2 + 1;
+        let (acknowledges, mut inbox) = tokio::sync::mpsc::channel(members.len().max(1));
+        for (_, link) in self.consensus.links_to(&members) {
+            let acknowledges = acknowledges.clone();
+            let heartbeats = EngineHeartbeats { engines: vec![engine.clone()], request_all: false };
+            // ends with the time-out of its call
+            tokio::spawn(async move {
+                if share(&link, heartbeats).await.is_some() {
+                    let _ = acknowledges.send(()).await;
+                }
+            });
+        }
+        drop(acknowledges);
+        while acknowledged < quorum && inbox.recv().await.is_some() {
+            acknowledged += 1;
+        }
+        acknowledged >= quorum
     }
 
-    /// A call number without other news moves no view of the routers.
-    fn touch(&self, e: Engine) {
-        self.cluster_state.lock().amend(|n| {
-            n.engines.insert(e.id.clone(), e);
+    /// Before this controller ends: sends all that it knows to the others, since some of it may have been told to
+    /// it and one other only. Returns once they have it or the time for it is over.
+    pub async fn share_all(&self) {
+        let heartbeats = EngineHeartbeats { engines: self.engines_to_share(), request_all: false };
+        let calls = self.links.all().into_iter().map(|(_, link)| {
+            let heartbeats = heartbeats.clone();
+            async move { share(&link, heartbeats).await }
         });
+        futures_util::future::join_all(calls).await;
     }
-}
 
-/// Tells the others at once, and waits until a majority of the controllers has it.
-pub async fn replicate_now(controller: &Arc<Controller>, e: Engine) -> bool {
-    controller.engines.outbox.lock().remove(&e.id);
-    let members = controller.acceptor.lock().membership().members.clone();
-    let own = members.iter().any(|m| m.addr() == Some(controller.node.ip));
-    let quorum = members.len() / 2 + 1;
-    let (tx, mut rx) = tokio::sync::mpsc::channel(members.len().max(1));
-    for (_, link) in controller.links_to(&members) {
-        let (tx, e) = (tx.clone(), e.clone());
-        tokio::spawn(async move {
-            let b =
-                Body::EngineHeartbeats(EngineHeartbeats { engines: vec![e], request_all: false });
-            if link.call(b, constants::HEARTBEAT_SHARE_TIMEOUT).await.is_ok() {
-                let _ = tx.send(()).await;
+    /// Exchanges all engines with a controller whose link has come up.
+    async fn exchange_all(&self, link: Arc<Link>) {
+        let heartbeats = EngineHeartbeats { engines: self.engines_to_share(), request_all: true };
+        let Some(answer) = share(&link, heartbeats).await else { return };
+        for engine in answer.engines {
+            self.record_heartbeat(engine, HeartbeatSource::Controller);
+        }
+    }
+
+    /// Marks engines whose heartbeats are missed, and forgets those that were deregistered long ago.
+    fn check_heartbeats(&self) {
+        let timeout = self.process.settings().heartbeat.mul_f64(constants::MISSED_HEARTBEATS);
+        let now = Instant::now();
+        let engines: Vec<Engine> =
+            self.cluster_state.read(|state| state.engines.values().cloned().collect());
+        for engine in engines {
+            let age = self.last_heartbeat.lock().get(&engine.id).map(|last| now - *last);
+            if engine.state() == EngineState::Deregistered {
+                self.forget_if_old(&engine.id, age);
+            } else {
+                self.mark_missed(engine, age.is_none_or(|age| age > timeout));
             }
-        });
+        }
     }
-    drop(tx);
-    let mut have = usize::from(own);
-    while have < quorum && rx.recv().await.is_some() {
-        have += 1;
+
+    fn forget_if_old(&self, id: &str, age: Option<Duration>) {
+        if age.is_some_and(|age| age > constants::TOMBSTONE) {
+            self.last_heartbeat.lock().remove(id);
+            self.cluster_state.amend(|state| {
+                state.engines.remove(id);
+            });
+        }
+    }
+
+    fn mark_missed(&self, mut engine: Engine, is_missed: bool) {
+        if is_missed == engine.heartbeat_missed {
+            return;
+        }
+        engine.heartbeat_missed = is_missed;
+        if is_missed {
+            fleet_core::log_event!(self.process.log, Event::EngineHeartbeatMissed, "id" => &engine.id);
+        }
+        self.cluster_state.append(StateChange::Engine(engine));
     }
-    have >= quorum
 }
 
-/// Routine heartbeats go to the others in batches; a link that came up gets and gives all.
-pub async fn run_heartbeat_sharing(controller: Arc<Controller>) {
-    let mut up: hashbrown::HashSet<std::net::Ipv4Addr> = hashbrown::HashSet::new();
+/// Sends engines to another controller; its answer, if it took them in time.
+async fn share(link: &Link, heartbeats: EngineHeartbeats) -> Option<EngineHeartbeats> {
+    let body = Body::EngineHeartbeats(heartbeats);
+    match link.call(body, constants::HEARTBEAT_SHARE_TIMEOUT).await {
+        Ok(Body::EngineHeartbeats(answer)) => Some(answer),
+        _ => None,
+    }
+}
+
+/// Sends routine heartbeats to the other controllers in batches; with one whose link has come up, all engines are
+/// exchanged.
+pub async fn run_heartbeat_sharing(registry: Arc<EngineRegistry>) {
+    let mut up = HashSet::new();
     loop {
         tokio::time::sleep(constants::HEARTBEAT_SHARE_INTERVAL).await;
-        let outbox = std::mem::take(&mut *controller.engines.outbox.lock());
+        let outbox = std::mem::take(&mut *registry.outbox.lock());
         let engines: Vec<Engine> = outbox.into_values().collect();
-        let links = controller.peers.links();
-        up.retain(|ip| links.iter().any(|(i, l)| i == ip && l.is_up()));
+        let links = registry.links.all();
+        up.retain(|ip| links.iter().any(|(of, link)| of == ip && link.is_up()));
         for (ip, link) in links {
             if link.is_up() && up.insert(ip) {
-                let controller = controller.clone();
-                tokio::spawn(async move {
-                    let b = Body::EngineHeartbeats(EngineHeartbeats {
-                        engines: controller.engines_to_share(),
-                        request_all: true,
-                    });
-                    if let Ok(Body::EngineHeartbeats(b)) =
-                        link.call(b, constants::HEARTBEAT_SHARE_TIMEOUT).await
-                    {
-                        for e in b.engines {
-                            record_heartbeat(&controller, e, false);
-                        }
-                    }
-                });
+                let registry = registry.clone();
+                // ends with the time-out of its call
+                tokio::spawn(async move { registry.exchange_all(link).await });
             } else if !engines.is_empty() {
-                let _ = link.notify(Body::EngineHeartbeats(EngineHeartbeats {
-                    engines: engines.clone(),
-                    request_all: false,
-                }));
+                let heartbeats = EngineHeartbeats { engines: engines.clone(), request_all: false };
+                let _ = link.notify(Body::EngineHeartbeats(heartbeats));
             }
         }
     }
 }
 
-/// Before this controller ends: all that it knows goes to the others, since some of it may have been told to
-/// it and one other only. Waits until they have it or the time for it is over.
-pub async fn share_all(controller: &Arc<Controller>) {
-    let request_all = Body::EngineHeartbeats(EngineHeartbeats {
-        engines: controller.engines_to_share(),
-        request_all: false,
-    });
-    let calls = controller.peers.links().into_iter().map(|(_, link)| {
-        let request_all = request_all.clone();
-        async move { link.call(request_all, constants::HEARTBEAT_SHARE_TIMEOUT).await.is_ok() }
-    });
-    futures_util::future::join_all(calls).await;
-}
-
-/// Suspects the silent, and forgets the long gone.
-pub async fn run_failure_detection(controller: Arc<Controller>) {
+/// Watches the engines' heartbeats.
+pub async fn run_failure_detection(registry: Arc<EngineRegistry>) {
     loop {
         tokio::time::sleep(constants::ANTI_ENTROPY_INTERVAL).await;
-        let limit = controller.settings().heartbeat.mul_f64(constants::MISSED_HEARTBEATS);
-        let now = tokio::time::Instant::now();
-        let current: Vec<Engine> = controller.read_state(|n| n.engines.values().cloned().collect());
-        for mut e in current {
-            let age = controller.engines.last_heartbeat.lock().get(&e.id).map(|t| now - *t);
-            if e.state() == EngineState::Deregistered {
-                if age.is_some_and(|a| a > constants::TOMBSTONE) {
-                    controller.engines.last_heartbeat.lock().remove(&e.id);
-                    controller.cluster_state.lock().amend(|n| {
-                        n.engines.remove(&e.id);
-                    });
-                }
-                continue;
-            }
-            let heartbeat_missed = age.is_none_or(|a| a > limit);
-            if heartbeat_missed != e.heartbeat_missed {
-                e.heartbeat_missed = heartbeat_missed;
-                if heartbeat_missed {
-                    fleet_core::log_event!(controller.log, Event::EngineHeartbeatMissed, "id" => &e.id);
-                }
-                controller.append(StateChange::Engine(e));
-            }
-        }
+        registry.check_heartbeats();
     }
 }
--- a/crates/control-plane/src/index_owner/feed.rs
+++ b/crates/control-plane/src/index_owner/feed.rs
@@ -1,35 +1,20 @@
-//! What routers hear of the ring, and tell of their own sends.
+//! What the index owner answers routers that read the ring.
 
 use super::IndexOwner;
-use crate::Controller;
-use crate::leases::INDEX_OWNER_LEASE;
 use fleet_core::constants;
-use fleet_core::wire::{CachedPrefixes, RingRequest, RingResponse};
+use fleet_core::wire::{RingRequest, RingResponse};
 use invalidation::ring::Read;
-use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What a router's own sends leave behind; nothing where another is the keeper.
-pub fn record_found(controller: &Controller, f: &CachedPrefixes) {
-    if let Some(index_owner) = controller.leases.index_owner.lock().clone() {
-        index_owner.index.lock().record_found(&f.entries);
+impl IndexOwner {
+    /// Entries behind the reader's cursor, or a reset with a snapshot. An answer without a head means later.
+    pub fn answer(&self, request: &RingRequest) -> Option<RingResponse> {
+        self.readers.lock().insert(request.reader, Instant::now());
+        self.entries(request).or_else(|| self.refill(request.reader))
     }
-}
 
-/// What a router asks of the ring: entries behind its cursor, or a reset with a digest.
-/// An answer without a head means later.
-pub fn answer_reader(controller: &Arc<Controller>, request: &RingRequest) -> Option<RingResponse> {
-    let index_owner = controller.leases.index_owner.lock().clone()?;
-    controller.leases.fencing_token(INDEX_OWNER_LEASE)?;
-    index_owner.readers.lock().insert(request.reader, Instant::now());
-    index_owner
-        .entries(controller, request)
-        .or_else(|| index_owner.refill(controller, request.reader))
-}
-
-impl IndexOwner {
     /// Entries and findings behind the reader's cursor, where it is known here and not overrun.
-    fn entries(&self, controller: &Controller, request: &RingRequest) -> Option<RingResponse> {
+    fn entries(&self, request: &RingRequest) -> Option<RingResponse> {
         let same =
             request.fencing_token == self.fencing_token && request.incarnation == self.incarnation;
         if !same || request.refill {
@@ -42,12 +27,12 @@
             Read::Entries(entries) => entries,
             Read::Reset(_) => return None,
         };
-        let head = Some(self.head(controller));
+        let head = Some(self.head());
         Some(RingResponse { head, reset: false, cursor: cursor.next(), entries, snapshot })
     }
 
-    /// A digest, or later: a new keeper hears holders first, and gives no more than the line carries.
-    fn refill(&self, controller: &Controller, reader: u64) -> Option<RingResponse> {
+    /// A snapshot, or later: a new owner learns from the holders first, and sends no more than its line carries.
+    fn refill(&self, reader: u64) -> Option<RingResponse> {
         let now = Instant::now();
         let warm = now.duration_since(self.started) >= constants::INDEX_WARM_UP;
         let (snapshot, cursor) = {
@@ -57,7 +42,7 @@
             }
             (index.snapshot(), self.ring.enter(reader).1)
         };
-        let head = Some(self.head(controller));
+        let head = Some(self.head());
         Some(RingResponse { head, reset: true, cursor, snapshot, entries: Vec::new() })
     }
 }
--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -2,7 +2,6 @@
 
 use super::IndexOwner;
 use super::index::Events;
-use crate::Controller;
 use crate::engines::client::EngineClient;
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -61,19 +60,13 @@
 }
 
 /// Follows one holder until the task is ended.
-pub async fn follow(
-    controller: Arc<Controller>,
-    index_owner: Arc<IndexOwner>,
-    holder: String,
-    source: Source,
-) {
+pub async fn follow(index_owner: Arc<IndexOwner>, holder: String, source: Source) {
     let Ok(to) = source.address.parse::<SocketAddr>() else { return };
-    let mut client = EngineClient::over(controller.transport.clone(), controller.node.ip, to)
-        .with_most(constants::EVENTS_BYTES);
+    let mut client = index_owner.client(to).with_most(constants::EVENTS_BYTES);
     let mut at: Option<Position> = None;
     let void = || {
-        fleet_core::log_event!(controller.log, Event::HolderReset, "holder" => &holder);
-        index_owner.commit(&controller, [Invalidation::Holder(holder.clone())]);
+        fleet_core::log_event!(index_owner.process.log, Event::HolderReset, "holder" => &holder);
+        index_owner.commit([Invalidation::Holder(holder.clone())]);
     };
     loop {
         // what a holder has gathered by the first call can be much: few of these at a time
@@ -97,7 +90,7 @@
         }
         if update.accept {
             let invalidations = index_owner.index.lock().apply_events(&holder, &e);
-            index_owner.commit(&controller, invalidations);
+            index_owner.commit(invalidations);
         }
         drop((e, first));
         tokio::time::sleep(constants::EVENTS_INTERVAL).await;
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -1,94 +1,215 @@
-//! The index-keeper: follows what engines and stores tell of their kept parts,
-//! and derives invalidations from it (docs/purge.md).
+//! The index owner: learns from engines and stores which prefixes of prompts they cache, and publishes
+//! invalidations to all routers (docs/purge.md).
+//!
+//! One controller does this at a time, under [`INDEX_OWNER_LEASE`]. Each time the lease is acquired a new
+//! [`IndexOwner`] begins with a ring of its own and an empty index; readers of a former ring start again from a
+//! snapshot. One task follows each holder ([`follower`]); [`index`] is what they have learned, [`feed`] answers
+//! routers, [`throttle`] bounds the snapshots that are on their way.
+//!
+//! Order of locks: the index, then the throttle; the others are leaves.
 
 mod feed;
 mod follower;
 mod index;
 mod throttle;
 
-pub use feed::{answer_reader, record_found};
-
-use crate::Controller;
-use crate::cluster_state::StateChange;
-use crate::leases::INDEX_OWNER_LEASE;
-use fleet_core::constants;
+use crate::cluster_state::{ClusterState, ClusterStateStore, StateChange};
+use crate::config_distribution::ConfigBodies;
+use crate::consensus::{Consensus, state_machine};
+use crate::engines::client::EngineClient;
+use crate::leases::{INDEX_OWNER_LEASE, LeaseManager};
+use crate::membership::routers::Routers;
+use crate::process::Process;
 use fleet_core::log::Event;
+use fleet_core::transport::Transport;
 use fleet_core::wire::{
-    Body, EngineState, FleetUpdate, Invalidation, RingEntry, RingHead, Weights,
+    Body, CachedPrefixes, ConfigValue, EngineState, FleetUpdate, Invalidation, RingEntry, RingHead,
+    RingRequest, RingResponse, Weights,
 };
+use fleet_core::{constants, fleet};
 use follower::Source;
 use index::Index;
 use invalidation::draft::Draft;
 use invalidation::ring::Ring;
+use parking_lot::Mutex;
+use prost::Message;
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use throttle::SnapshotThrottle;
+use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::Instant;
 
-/// All state of one holding of the duty: a ring of its own, and an index that starts empty.
-pub struct IndexOwner {
+/// What an index owner is built with.
+#[derive(Clone)]
+pub struct IndexOwnershipParts {
+    /// The process that it runs in.
+    pub process: Arc<Process>,
+    /// The lease that it runs under.
+    pub leases: Arc<LeaseManager>,
+    /// Where the configuration is learned, which names the stores.
+    pub consensus: Arc<Consensus>,
+    /// The engines, and what routers are told of the ring.
+    pub cluster_state: Arc<ClusterStateStore>,
+    /// Which stores a configuration names.
+    pub config_bodies: Arc<ConfigBodies>,
+    /// The routers, to hurry one that lags behind.
+    pub routers: Arc<Routers>,
+    /// How holders are reached.
+    pub transport: Arc<dyn Transport>,
+}
+
+/// The index owner that this controller is, while it holds the lease.
+pub struct IndexOwnership {
+    parts: IndexOwnershipParts,
+    current: Mutex<Option<Arc<IndexOwner>>>,
+}
+
+impl IndexOwnership {
+    /// This controller is none as yet.
+    pub fn new(parts: IndexOwnershipParts) -> IndexOwnership {
+        IndexOwnership { parts, current: Mutex::default() }
+    }
+
+    /// Takes in what a router's own requests leave cached; dropped where another controller is the owner.
+    pub fn record_found(&self, found: &CachedPrefixes) {
+        if let Some(owner) = self.current.lock().clone() {
+            owner.index.lock().record_found(&found.entries);
+        }
+    }
+
+    /// Answers a router that reads the ring; none where another controller is the owner.
+    pub fn answer_reader(&self, request: &RingRequest) -> Option<RingResponse> {
+        let owner = self.current.lock().clone()?;
+        self.parts.leases.fencing_token(INDEX_OWNER_LEASE)?;
+        owner.answer(request)
+    }
+
+    /// Keeps the index until the lease is lost.
+    async fn run_until_lost(&self, owner: &Arc<IndexOwner>) {
+        let mut followers = Followers::default();
+        let mut published = PublishedInvalidations::default();
+        let mut announced = (0, 0);
+        while self.parts.leases.fencing_token(INDEX_OWNER_LEASE) == Some(owner.fencing_token) {
+            let mut invalidations = followers.follow(owner, self.holders());
+            invalidations.extend(self.parts.cluster_state.read(|state| published.collect(state)));
+            owner.commit(invalidations);
+            owner.drop_stuck_readers();
+            let head = owner.head();
+            if (head.head, head.found) != announced {
+                announced = (head.head, head.found);
+                self.parts.cluster_state.append(StateChange::Ring(head));
+            }
+            tokio::time::sleep(constants::RING_PUBLISH_INTERVAL).await;
+        }
+    }
+
+    /// Engines and stores that are there now, by name.
+    fn holders(&self) -> BTreeMap<String, Source> {
+        let state = &self.parts.cluster_state;
+        let mut holders = state.read(|state| follower::engines(state.engines.values()));
+        holders.extend(self.stores());
+        holders
+    }
+
+    fn stores(&self) -> Vec<(String, Source)> {
+        let learned = self.parts.consensus.learned(state_machine::CONFIG);
+        let config = learned.and_then(|known| ConfigValue::decode(known.value).ok());
+        let Some(config) = config else { return Vec::new() };
+        let addresses = self.parts.config_bodies.kv_stores(&config).into_iter();
+        addresses.map(|a| (a.clone(), Source { address: a, engine: false })).collect()
+    }
+}
+
+/// Is the index owner whenever this node holds the lease.
+pub async fn run_index_owner(ownership: Arc<IndexOwnership>) {
+    let parts = &ownership.parts;
+    loop {
+        tokio::time::sleep(constants::LEASE_CHECK_INTERVAL).await;
+        let Some(token) = parts.leases.fencing_token(INDEX_OWNER_LEASE) else { continue };
+        let owner = Arc::new(IndexOwner::new(token, parts.process.random() | 1, parts.clone()));
+        *ownership.current.lock() = Some(owner.clone());
+        fleet_core::log_event!(parts.process.log, Event::RingStarted,
+            "fence" => token, "incarnation" => owner.incarnation);
+        parts.cluster_state.append(StateChange::Ring(owner.head()));
+        ownership.run_until_lost(&owner).await;
+        *ownership.current.lock() = None;
+    }
+}
+
+/// The state of one index owner, from the acquisition of the lease to its loss.
+struct IndexOwner {
+    process: Arc<Process>,
+    routers: Arc<Routers>,
+    transport: Arc<dyn Transport>,
     started: Instant,
     fencing_token: u64,
     incarnation: u64,
     ring: Ring<RingEntry>,
-    index: parking_lot::Mutex<Index>,
-    readers: parking_lot::Mutex<hashbrown::HashMap<u64, Instant>>,
-    throttle: parking_lot::Mutex<SnapshotThrottle>,
-    /// bounds what is taken in at once from holders that are met
+    index: Mutex<Index>,
+    /// When each reader of the ring came last.
+    readers: Mutex<hashbrown::HashMap<u64, Instant>>,
+    throttle: Mutex<SnapshotThrottle>,
+    /// Bounds the memory for what holders have gathered before they are first asked.
     first_reads: tokio::sync::Semaphore,
 }
 
 impl IndexOwner {
-    fn new(fencing_token: u64, incarnation: u64) -> IndexOwner {
+    fn new(fencing_token: u64, incarnation: u64, parts: IndexOwnershipParts) -> IndexOwner {
         IndexOwner {
+            process: parts.process,
+            routers: parts.routers,
+            transport: parts.transport,
             started: Instant::now(),
             fencing_token,
             incarnation,
             ring: Ring::new(constants::RING_SLOTS, constants::RING_BATCH, constants::RING_LAG),
-            index: parking_lot::Mutex::default(),
-            readers: parking_lot::Mutex::default(),
-            throttle: parking_lot::Mutex::default(),
+            index: Mutex::default(),
+            readers: Mutex::default(),
+            throttle: Mutex::default(),
             first_reads: tokio::sync::Semaphore::new(constants::FIRST_READS),
         }
     }
 
-    fn head(&self, controller: &Controller) -> RingHead {
+    fn head(&self) -> RingHead {
         RingHead {
             fencing_token: self.fencing_token,
             incarnation: self.incarnation,
             head: self.ring.head(),
-            owner: controller.node.ip.to_string(),
+            owner: self.process.node.ip.to_string(),
             found: self.index.lock().found_so_far(),
         }
     }
 
-    /// One change: applied here as it comes, published when whole.
-    pub fn commit(&self, controller: &Controller, entries: impl IntoIterator<Item = Invalidation>) {
-        let nudged = {
+    fn client(&self, address: SocketAddr) -> EngineClient {
+        EngineClient::over(self.transport.clone(), self.process.node.ip, address)
+    }
+
+    /// One change: applied to the index at once, published when it is complete.
+    fn commit(&self, entries: impl IntoIterator<Item = Invalidation>) {
+        let lagging = {
             let mut index = self.index.lock();
-            let mut d = Draft::open(&mut *index);
+            let mut draft = Draft::open(&mut *index);
             for what in entries {
-                d.add(RingEntry { scope: 0, what: Some(what) });
+                draft.add(RingEntry { scope: 0, what: Some(what) });
             }
-            d.commit(&self.ring)
+            draft.commit(&self.ring)
         };
-        for reader in nudged {
-            if let Some(o) = controller.peers.router_links.lock().get(&reader) {
-                let _ =
-                    o.push(Body::FleetUpdate(FleetUpdate { nudge: true, ..Default::default() }));
-            }
+        for reader in lagging {
+            let nudge = FleetUpdate { nudge: true, ..Default::default() };
+            self.routers.push(reader, Body::FleetUpdate(nudge));
         }
     }
 
-    /// Readers that have not come for long lose their cursors.
+    /// Readers that have not come for long lose their cursors, so that they don't hold the ring up.
     fn drop_stuck_readers(&self) {
         let mut stuck = Vec::new();
-        self.readers.lock().retain(|id, seen| {
-            let stays = seen.elapsed() <= constants::READER_TIMEOUT;
-            if !stays {
-                stuck.push(*id);
+        self.readers.lock().retain(|reader, last_read| {
+            let is_live = last_read.elapsed() <= constants::READER_TIMEOUT;
+            if !is_live {
+                stuck.push(*reader);
             }
-            stays
+            is_live
         });
         for reader in stuck {
             self.ring.drop_reader(reader);
@@ -96,82 +217,40 @@
     }
 }
 
-/// Keeps the index whenever this node holds the duty.
-pub async fn run_index_owner(controller: Arc<Controller>) {
-    loop {
-        tokio::time::sleep(constants::LEASE_CHECK_INTERVAL).await;
-        let Some(fencing_token) = controller.leases.fencing_token(INDEX_OWNER_LEASE) else {
-            continue;
-        };
-        let index_owner = Arc::new(IndexOwner::new(fencing_token, controller.random() | 1));
-        *controller.leases.index_owner.lock() = Some(index_owner.clone());
-        fleet_core::log_event!(controller.log, Event::RingStarted, "fence" => fencing_token, "incarnation" => index_owner.incarnation);
-        controller.append(StateChange::Ring(index_owner.head(&controller)));
-        run_until_lost(&controller, &index_owner).await;
-        *controller.leases.index_owner.lock() = None;
-    }
-}
-
-/// Until the duty ends: follows all holders, and publishes what other changes void.
-async fn run_until_lost(controller: &Arc<Controller>, index_owner: &Arc<IndexOwner>) {
-    let mut followers = Followers::default();
-    let mut published_invalidations = PublishedInvalidations::default();
-    let mut published = (0, 0);
-    while controller.leases.fencing_token(INDEX_OWNER_LEASE) == Some(index_owner.fencing_token) {
-        let mut invalidations = followers.follow(controller, index_owner);
-        invalidations.extend(published_invalidations.collect(controller));
-        index_owner.commit(controller, invalidations);
-        index_owner.drop_stuck_readers();
-        let head = index_owner.head(controller);
-        if (head.head, head.found) != published {
-            published = (head.head, head.found);
-            controller.append(StateChange::Ring(head));
-        }
-        tokio::time::sleep(constants::RING_PUBLISH_INTERVAL).await;
-    }
-}
-
-/// One task for each holder; they end with this.
+/// One task for each holder; they are aborted when this is dropped.
 #[derive(Default)]
 struct Followers {
-    tasks: tokio::task::JoinSet<()>,
-    by_holder: BTreeMap<String, tokio::task::AbortHandle>,
+    tasks: JoinSet<()>,
+    by_holder: BTreeMap<String, AbortHandle>,
 }
 
 impl Followers {
-    /// Follows those that are there now; gives the purges of those that are no longer.
+    /// Follows the holders that are there now; returns invalidations of those that are no longer.
     fn follow(
         &mut self,
-        controller: &Arc<Controller>,
-        index_owner: &Arc<IndexOwner>,
+        owner: &Arc<IndexOwner>,
+        holders: BTreeMap<String, Source>,
     ) -> Vec<Invalidation> {
-        let mut want = controller.read_state(|n| follower::engines(n.engines.values()));
-        want.extend(stores(controller));
         while self.tasks.try_join_next().is_some() {}
         let mut invalidations = Vec::new();
         self.by_holder.retain(|holder, task| {
-            let stays = want.contains_key(holder);
+            let stays = holders.contains_key(holder);
             if !stays {
                 task.abort();
                 invalidations.push(Invalidation::Holder(holder.clone()));
             }
             stays
         });
-        for (holder, source) in want {
+        for (holder, source) in holders {
             self.by_holder.entry(holder.clone()).or_insert_with(|| {
-                self.tasks.spawn(follower::follow(
-                    controller.clone(),
-                    index_owner.clone(),
-                    holder,
-                    source,
-                ))
+                self.tasks.spawn(follower::follow(owner.clone(), holder, source))
             });
         }
         invalidations
     }
 }
 
-/// What has been published of weights and isolation.
+/// What has been published about weights and isolation.
 #[derive(Default)]
 struct PublishedInvalidations {
     weights: hashbrown::HashMap<String, u64>,
@@ -179,44 +258,27 @@
 }
 
 impl PublishedInvalidations {
-    /// Purges for weights that no engine has any more, and for a shared isolation that is over.
-    fn collect(&mut self, controller: &Controller) -> Vec<Invalidation> {
+    /// Invalidations of weights that no engine has any more, and of a shared isolation that has ended.
+    fn collect(&mut self, state: &ClusterState) -> Vec<Invalidation> {
         let mut invalidations = Vec::new();
-        controller.read_state(|n| {
-            for (model, (version, _)) in &n.weights {
-                let all_there = !n.engines.values().any(|e| {
-                    e.state() == EngineState::Ready
-                        && fleet_core::fleet::version_of(e, model).is_some_and(|x| x < *version)
-                });
-                if all_there && self.weights.insert(model.clone(), *version) != Some(*version) {
-                    invalidations.push(Invalidation::Weights(Weights {
-                        model: model.clone(),
-                        version: *version,
-                    }));
-                }
+        for (model, (version, _)) in &state.weights {
+            let (model, version) = (model.clone(), *version);
+            let is_rolled_out = !state.engines.values().any(|engine| {
+                engine.state() == EngineState::Ready
+                    && fleet::version_of(engine, &model).is_some_and(|has| has < version)
+            });
+            if is_rolled_out && self.weights.insert(model.clone(), version) != Some(version) {
+                invalidations.push(Invalidation::Weights(Weights { model, version }));
             }
-            if let Some((_, isolation)) = n.config
-                && isolation > self.isolation
-            {
-                if self.isolation > 0 {
-                    invalidations.push(Invalidation::Isolation(isolation));
-                }
-                self.isolation = isolation;
+        }
+        if let Some((_, isolation)) = state.config
+            && isolation > self.isolation
+        {
+            if self.isolation > 0 {
+                invalidations.push(Invalidation::Isolation(isolation));
             }
-        });
+            self.isolation = isolation;
+        }
         invalidations
     }
 }
-
-fn stores(controller: &Controller) -> Vec<(String, Source)> {
-    let learned = controller.learned.lock();
-    let Some((_, v)) = learned.get(crate::consensus::state_machine::CONFIG) else {
-        return Vec::new();
-    };
-    let Ok(c) = <fleet_core::wire::ConfigValue as prost::Message>::decode(v.clone()) else {
-        return Vec::new();
-    };
-    drop(learned);
-    let addresses = controller.config_distribution.kv_stores(&c).into_iter();
-    addresses.map(|a| (a.clone(), Source { address: a, engine: false })).collect()
-}
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -36,6 +36,15 @@
     until: Instant,
 }
 
+/// A grant that has not ended.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct RunningGrant {
+    /// Name of the node that has it.
+    pub node: String,
+    /// When it ends.
+    pub until: Instant,
+}
+
 /// What a member granted. After a restart, and after it became a voter, it grants no duty that gives
 /// orders for a whole lease: it may have granted one that it no longer knows, or its predecessor may.
 #[derive(Default)]
@@ -79,11 +88,11 @@
         true
     }
 
-    /// Which node has the lease by these grants, and until when.
-    pub fn granted(&self, lease_name: &str, now: Instant) -> Option<(&str, Instant)> {
+    /// Whom a lease is granted to by this voter, if a grant still runs.
+    pub fn granted(&self, lease_name: &str, now: Instant) -> Option<RunningGrant> {
         let running = self.table.get(lease_name)?.iter().filter(|grant| now < grant.until);
         let latest = running.max_by_key(|grant| grant.until)?;
-        Some((&latest.node, latest.until))
+        Some(RunningGrant { node: latest.node.clone(), until: latest.until })
     }
 
     /// Nobody of another node is known to hold it.
--- a/crates/control-plane/src/leases/lease_holder.rs
+++ b/crates/control-plane/src/leases/lease_holder.rs
@@ -1,8 +1,7 @@
-//! Asks for leases, keeps them and gives them back, as [`super::lease`] says.
+//! Acquires leases, renews them and releases them, as [`super::lease`] says.
 
 use super::lease::{LeasePolicy, Step};
-use super::{INDEX_OWNER_LEASE, ROLLOUT_LEASE, policy};
-use crate::Controller;
+use super::{INDEX_OWNER_LEASE, LeaseManager, ROLLOUT_LEASE};
 use crate::consensus::forward;
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -14,186 +13,174 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Answers a node that asks for a lease, or gives it back. Only a voter grants, and only where asker and
-/// voter know the same membership: a majority of an older one doesn't exclude a majority of this one.
-pub fn grant(controller: &Controller, l: &LeaseRequest) -> LeaseResponse {
-    let policy = policy(controller.settings().bounds.lease, &l.lease_name);
-    let may_grant = controller.acceptor.lock().may_grant(l.membership);
-    LeaseResponse {
-        ok: may_grant && controller.leases.grantor.lock().answer(l, Instant::now(), policy),
-    }
-}
+/// Shortest wait of a candidate that finds a lease free, and how much longer it may be at random: candidates that
+/// find it free at the same time don't all request it at once.
+const CANDIDATE_DELAY_MS: u64 = 50;
+const CANDIDATE_DELAY_SPREAD_MS: u64 = 400;
 
-/// Takes an attempt back that never held the duty: no order can be on its way, so others may ask at once.
-async fn withdraw(controller: &Arc<Controller>, lease_name: &str) {
-    broadcast(controller, lease_name, true, Duration::ZERO, constants::PHASE_TIMEOUT).await;
+/// What is sent to the voters about a lease.
+enum Message {
+    /// Requests it, or renews it.
+    Request,
+    /// Releases a lease that this node may have acted under.
+    Release,
+    /// Takes an attempt back that never held the lease: nothing can have been sent under it, so that others may
+    /// request it at once.
+    Withdraw,
 }
 
-/// Asks all members; true with a majority.
-async fn request_grants(
-    controller: &Arc<Controller>,
-    lease_name: &str,
-    release: bool,
-    limit: Duration,
-) -> bool {
-    let lease = policy(controller.settings().bounds.lease, lease_name).lease;
-    broadcast(controller, lease_name, release, lease, limit).await
-}
+impl LeaseManager {
+    /// Sends a message to all voters; true once a majority has agreed.
+    async fn broadcast(&self, name: &str, message: Message, timeout: Duration) -> bool {
+        let membership = self.consensus.membership();
+        let quorum = membership.members.len() / 2 + 1;
+        let request = self.request(name, &message, membership.epoch);
+        let mut agreed = usize::from(self.grant(&request).ok);
+        let (agrees, mut inbox) = tokio::sync::mpsc::channel(membership.members.len().max(1));
+        for (_, link) in self.consensus.links_to(&membership.members) {
+            let (agrees, request) = (agrees.clone(), request.clone());
+            // ends with the time-out of its call
+            tokio::spawn(async move {
+                let answer = link.call(Body::LeaseRequest(request), timeout).await;
+                if let Ok(Body::LeaseResponse(LeaseResponse { ok: true })) = answer {
+                    let _ = agrees.send(()).await;
+                }
+            });
+        }
+        drop(agrees);
+        while agreed < quorum && inbox.recv().await.is_some() {
+            agreed += 1;
+        }
+        agreed >= quorum
+    }
 
-/// `lease` is zero where the sender never acted under it.
-async fn broadcast(
-    controller: &Arc<Controller>,
-    lease_name: &str,
-    release: bool,
-    lease: Duration,
-    limit: Duration,
-) -> bool {
-    let (members, membership) = {
-        let acceptor = controller.acceptor.lock();
-        (acceptor.membership().members.clone(), acceptor.membership().epoch)
-    };
-    let l = LeaseRequest {
-        lease_name: lease_name.to_owned(),
-        incarnation: controller.node.incarnation,
-        ms: lease.as_millis() as u64,
-        release,
-        node: controller.node.name.clone(),
-        number: controller.leases.next_message(),
-        membership,
-    };
-    let quorum = members.len() / 2 + 1;
-    let mut granted = usize::from(grant(controller, &l).ok);
-    let (tx, mut rx) = tokio::sync::mpsc::channel(members.len().max(1));
-    for (_, link) in controller.links_to(&members) {
-        let (tx, l) = (tx.clone(), l.clone());
-        tokio::spawn(async move {
-            if let Ok(Body::LeaseResponse(LeaseResponse { ok: true })) =
-                link.call(Body::LeaseRequest(l), limit).await
-            {
-                let _ = tx.send(()).await;
-            }
-        });
+    fn request(&self, name: &str, message: &Message, membership: u64) -> LeaseRequest {
+        let lease = match message {
+            Message::Request | Message::Release => self.policy(name).lease,
+            Message::Withdraw => Duration::ZERO,
+        };
+        LeaseRequest {
+            lease_name: name.to_owned(),
+            incarnation: self.process.node.incarnation,
+            ms: lease.as_millis() as u64,
+            release: !matches!(message, Message::Request),
+            node: self.process.node.name.clone(),
+            number: self.next_message(),
+            membership,
+        }
     }
-    drop(tx);
-    while granted < quorum && rx.recv().await.is_some() {
-        granted += 1;
+
+    async fn withdraw(&self, name: &str) {
+        self.broadcast(name, Message::Withdraw, constants::PHASE_TIMEOUT).await;
     }
-    granted >= quorum
-}
 
-/// Gives all duties back: nothing is done under them from here on.
-pub async fn release_all(controller: &Arc<Controller>) {
-    for lease_name in [ROLLOUT_LEASE, INDEX_OWNER_LEASE] {
-        if stop_acting(controller, lease_name) {
-            request_grants(controller, lease_name, true, constants::PHASE_TIMEOUT).await;
+    /// Releases all leases: nothing is done under them from here on.
+    pub async fn release_all(&self) {
+        for name in [ROLLOUT_LEASE, INDEX_OWNER_LEASE] {
+            if self.stop_acting(name) {
+                self.broadcast(name, Message::Release, constants::PHASE_TIMEOUT).await;
+            }
         }
     }
-}
 
-/// Takes and keeps a duty whenever it is free. A task of its own, which waits for nothing but the
-/// answers of members, so that no work done under the duty is in the way of its renewal.
-pub async fn run_lease_holder(controller: Arc<Controller>, lease_name: &'static str) {
-    let mut interval = constants::LEASE_CHECK_INTERVAL;
-    while !*controller.shutting_down().borrow() {
-        tokio::time::sleep(interval).await;
-        interval = constants::LEASE_CHECK_INTERVAL;
-        let policy = policy(controller.settings().bounds.lease, lease_name);
-        let now = Instant::now();
-        match controller.leases.with(lease_name, |h| h.step(now, policy)) {
-            Step::Acquire => try_acquire(&controller, lease_name, policy).await,
-            Step::Renew => {
-                interval = constants::LEASE_RENEWAL_INTERVAL;
-                if !controller.disk_broken()
-                    && request_grants(
-                        &controller,
-                        lease_name,
-                        false,
-                        constants::LEASE_RENEWAL_TIMEOUT,
-                    )
-                    .await
-                {
-                    controller.leases.with(lease_name, |h| h.renewed(now, Instant::now(), policy));
-                }
-            }
-            Step::Record(id) => record(&controller, lease_name, id).await,
-            Step::Expired => {
-                stop_acting(&controller, lease_name);
-            }
-            Step::Idle(until) => {
-                interval =
-                    until.map_or(interval, |t| interval.min(t.saturating_duration_since(now)));
-            }
+    /// Acts under the lease no longer; whether this node held it.
+    fn stop_acting(&self, name: &'static str) -> bool {
+        let was_held = self.with_holder(name, |holder| holder.drop_lease());
+        if was_held {
+            fleet_core::log_event!(self.process.log, Event::LeaseReleased, "duty" => name);
         }
+        was_held
     }
-}
 
-/// Acts under the duty no longer; whether this node held it.
-fn stop_acting(controller: &Controller, lease_name: &'static str) -> bool {
-    let was_held = controller.leases.with(lease_name, |h| h.drop_lease());
-    if was_held {
-        fleet_core::log_event!(controller.log, Event::LeaseReleased, "duty" => lease_name);
+    fn may_acquire(&self, name: &str) -> bool {
+        self.grantor.lock().is_free(name, &self.process.node.name, Instant::now())
     }
-    was_held
-}
 
-async fn try_acquire(controller: &Arc<Controller>, lease_name: &'static str, policy: LeasePolicy) {
-    let free = || {
-        controller.leases.grantor.lock().is_free(lease_name, &controller.node.name, Instant::now())
-    };
-    if !free() || !controller.acceptor.lock().votes() || controller.disk_broken() {
-        return;
+    async fn try_acquire(&self, name: &'static str, policy: LeasePolicy) {
+        let can_hold = self.consensus.votes() && !self.consensus.is_disk_broken();
+        if !self.may_acquire(name) || !can_hold {
+            return;
+        }
+        let spread = self.process.random_below(CANDIDATE_DELAY_SPREAD_MS);
+        tokio::time::sleep(Duration::from_millis(CANDIDATE_DELAY_MS + spread)).await;
+        if self.may_acquire(name) && !self.process.is_shutting_down() {
+            self.acquire(name, policy).await;
+        }
     }
-    // those that find it free at the same time don't all ask at once
-    tokio::time::sleep(Duration::from_millis(50 + controller.random_below(400))).await;
-    if !free() || *controller.shutting_down().borrow() {
-        return;
+
+    async fn acquire(&self, name: &'static str, policy: LeasePolicy) {
+        let requested_at = Instant::now();
+        if !self.broadcast(name, Message::Request, constants::PHASE_TIMEOUT).await {
+            return self.withdraw(name).await;
+        }
+        let granted_at = Instant::now();
+        let id = self.with_holder(name, |holder| holder.raise());
+        let raised = self.raise(name, id, false).await;
+        if raised.outcome() != Outcome::Done {
+            return self.withdraw(name).await;
+        }
+        let alone = raised.holder == self.process.node.name;
+        self.with_holder(name, |holder| {
+            holder.acquired(requested_at, granted_at, raised.number, alone, policy);
+        });
+        fleet_core::log_event!(self.process.log, Event::LeaseAcquired,
+            "duty" => name, "fence" => raised.number);
     }
-    acquire(controller, lease_name, policy).await;
-}
 
-async fn acquire(controller: &Arc<Controller>, lease_name: &'static str, policy: LeasePolicy) {
-    let requested_at = Instant::now();
-    if !request_grants(controller, lease_name, false, constants::PHASE_TIMEOUT).await {
-        withdraw(controller, lease_name).await;
-        return;
+    async fn renew(&self, name: &'static str, requested_at: Instant, policy: LeasePolicy) {
+        let timeout = constants::LEASE_RENEWAL_TIMEOUT;
+        if !self.consensus.is_disk_broken() && self.broadcast(name, Message::Request, timeout).await
+        {
+            self.with_holder(name, |holder| holder.renewed(requested_at, Instant::now(), policy));
+        }
     }
-    let granted = Instant::now();
-    let id = controller.leases.with(lease_name, |h| h.raise());
-    let c = raise(controller, lease_name, id, false).await;
-    if c.outcome() != Outcome::Done {
-        withdraw(controller, lease_name).await;
-        return;
+
+    /// Puts on record that this node acts from now on; without that nobody lets its lease pass. A raise that is
+    /// not the newest any more can't be recorded: the lease is requested anew.
+    async fn record(&self, name: &'static str, id: RaiseId) {
+        match self.raise(name, id, true).await.outcome() {
+            Outcome::Done => self.with_holder(name, |holder| holder.recorded(id)),
+            Outcome::Stale => {
+                self.stop_acting(name);
+            }
+            Outcome::Unknown | Outcome::Unproven | Outcome::Invalid => {}
+        }
+    }
+
+    async fn raise(&self, name: &str, id: RaiseId, acts: bool) -> ChangeResponse {
+        let holder = self.process.node.name.clone();
+        let raise = RaiseFencingToken { lease_name: name.to_owned(), holder, id, acts };
+        forward::submit(&self.consensus, ChangeKind::Raise(raise)).await
     }
-    let alone = c.holder == controller.node.name;
-    controller
-        .leases
-        .with(lease_name, |h| h.acquired(requested_at, granted, c.number, alone, policy));
-    fleet_core::log_event!(controller.log, Event::LeaseAcquired, "duty" => lease_name, "fence" => c.number);
-}
 
-/// Puts on record that this node acts from now on; without that nobody lets its lease pass. A raise that
-/// is not the newest any more can't be recorded: the lease is asked for anew.
-async fn record(controller: &Arc<Controller>, lease_name: &'static str, id: RaiseId) {
-    match raise(controller, lease_name, id, true).await.outcome() {
-        Outcome::Done => controller.leases.with(lease_name, |h| h.recorded(id)),
-        Outcome::Stale => {
-            stop_acting(controller, lease_name);
+    /// Does what is due for a lease; returns how long nothing is due afterwards.
+    async fn step(&self, name: &'static str) -> Duration {
+        let policy = self.policy(name);
+        let now = Instant::now();
+        let interval = constants::LEASE_CHECK_INTERVAL;
+        match self.with_holder(name, |holder| holder.step(now, policy)) {
+            Step::Acquire => self.try_acquire(name, policy).await,
+            Step::Renew => {
+                self.renew(name, now, policy).await;
+                return constants::LEASE_RENEWAL_INTERVAL;
+            }
+            Step::Record(id) => self.record(name, id).await,
+            Step::Expired => {
+                self.stop_acting(name);
+            }
+            Step::Idle(Some(until)) => return interval.min(until.saturating_duration_since(now)),
+            Step::Idle(None) => {}
         }
-        Outcome::Unknown | Outcome::Unproven | Outcome::Invalid => {}
+        interval
     }
 }
 
-async fn raise(
-    controller: &Arc<Controller>,
-    lease_name: &str,
-    id: RaiseId,
-    acts: bool,
-) -> ChangeResponse {
-    let raise = RaiseFencingToken {
-        lease_name: lease_name.to_owned(),
-        holder: controller.node.name.clone(),
-        id,
-        acts,
-    };
-    forward::submit(controller, ChangeKind::Raise(raise)).await
+/// Acquires a lease whenever it is free, and renews it. A task of its own that waits for nothing but the answers
+/// of voters, so that no work done under the lease is in the way of its renewal.
+pub async fn run_lease_holder(leases: Arc<LeaseManager>, name: &'static str) {
+    let mut interval = constants::LEASE_CHECK_INTERVAL;
+    while !leases.process.is_shutting_down() {
+        tokio::time::sleep(interval).await;
+        interval = leases.step(name).await;
+    }
 }
--- a/crates/control-plane/src/leases/mod.rs
+++ b/crates/control-plane/src/leases/mod.rs
@@ -1,44 +1,74 @@
-//! Duties of one node at a time: a lease of a majority, a fence that rises on disk.
+//! Leases: the right to do something that one node does at a time, with a fencing token.
+//!
+//! A lease is granted by a majority of the voters, from memory; the fencing token is a key of the control state
+//! (`duty/NAME`) and rises on a majority of disks with each new holder. The holder counts the lease from before it
+//! asked and leaves a margin unused; a voter counts it from when it granted, and after a restart grants no lease
+//! whose holder commands engines for a whole lease. So two holders never act at the same time, and an engine can
+//! refuse what a former holder has sent late.
+//!
+//! [`lease`] is that as pure state, [`LeaseManager`] owns it, [`lease_holder`] drives it. What runs under a lease
+//! stands apart: [`crate::rollout`] and [`crate::index_owner`].
 
 pub mod lease;
 mod lease_holder;
 
-pub use lease_holder::{grant, release_all, run_lease_holder};
+pub use lease_holder::run_lease_holder;
 
+use crate::consensus::Consensus;
+use crate::process::Process;
 use fleet_core::constants;
-use lease::{FencedLease, Grantor, LeaseHolder, LeasePolicy};
+use fleet_core::wire::{LeaseRequest, LeaseResponse};
+use hashbrown::HashMap;
+use lease::{FencedLease, Grantor, LeaseHolder, LeasePolicy, RunningGrant};
+use parking_lot::Mutex;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Brings engines to named weights; the only duty that gives orders to engines.
+/// Updates engines to target weights; the only lease whose holder commands engines. The name is stored and sent.
 pub const ROLLOUT_LEASE: &str = "roll-out";
-/// Keeps the ring of invalidations and what engines are believed to hold.
+/// Owns the ring of invalidations and the index of cached prefixes. The name is stored and sent.
 pub const INDEX_OWNER_LEASE: &str = "index-keeper";
 
-/// All that a controller knows of duties: what it granted, what it holds, and the state of each.
-pub struct Leases {
-    grantor: parking_lot::Mutex<Grantor>,
-    holders: parking_lot::Mutex<hashbrown::HashMap<&'static str, LeaseHolder>>,
+/// The leases that this node granted, and those that it holds. Its locks are leaves.
+pub struct LeaseManager {
+    process: Arc<Process>,
+    consensus: Arc<Consensus>,
+    grantor: Mutex<Grantor>,
+    holders: Mutex<HashMap<&'static str, LeaseHolder>>,
+    /// Number of the next message to voters.
     messages: AtomicU64,
-    /// the index-keeper's state, where this node is it
-    pub index_owner: parking_lot::Mutex<Option<Arc<crate::index_owner::IndexOwner>>>,
-    /// the roll-out's state, kept also between two leases
-    pub plan: parking_lot::Mutex<crate::rollout::plan::Plan>,
 }
 
-impl Leases {
-    /// Of a node that starts; its former incarnation may have granted what has not ended for so long.
-    pub fn new(closed: Option<Duration>, incarnation: u64) -> Self {
-        let holders = [ROLLOUT_LEASE, INDEX_OWNER_LEASE]
-            .map(|lease_name| (lease_name, LeaseHolder::new(incarnation)));
-        Leases {
-            grantor: parking_lot::Mutex::new(Grantor::new(closed.map(|c| Instant::now() + c))),
-            holders: parking_lot::Mutex::new(holders.into_iter().collect()),
+impl LeaseManager {
+    /// Of a node that starts. Its former incarnation may have granted what ends only after `closed_for`; none at
+    /// the first start of all.
+    pub fn new(
+        process: Arc<Process>,
+        consensus: Arc<Consensus>,
+        closed_for: Option<Duration>,
+    ) -> LeaseManager {
+        let incarnation = process.node.incarnation;
+        let holder = |name| (name, LeaseHolder::new(incarnation));
+        let closed_until = closed_for.map(|duration| Instant::now() + duration);
+        LeaseManager {
+            process,
+            consensus,
+            grantor: Mutex::new(Grantor::new(closed_until)),
+            holders: Mutex::new([ROLLOUT_LEASE, INDEX_OWNER_LEASE].map(holder).into()),
             messages: AtomicU64::new(1),
-            index_owner: parking_lot::Mutex::default(),
-            plan: parking_lot::Mutex::default(),
+        }
+    }
+
+    /// Answers a node that requests a lease or releases it. Only a voter grants, and only where it and the
+    /// requester know the same membership: a majority of an older one doesn't exclude a majority of this one.
+    pub fn grant(&self, request: &LeaseRequest) -> LeaseResponse {
+        let policy = self.policy(&request.lease_name);
+        let may_grant =
+            self.consensus.with_acceptor(|acceptor| acceptor.may_grant(request.membership));
+        LeaseResponse {
+            ok: may_grant && self.grantor.lock().answer(request, Instant::now(), policy),
         }
     }
 
@@ -47,34 +77,35 @@
         self.grantor.lock().close_until(Instant::now() + lease);
     }
 
-    /// The right to act for a duty now.
-    pub fn fenced_lease(&self, lease_name: &str) -> Option<FencedLease> {
-        self.holders.lock().get(lease_name).and_then(|h| h.fenced_lease(Instant::now()))
+    /// The right to act under a lease, if this node holds it now.
+    pub fn fenced_lease(&self, name: &str) -> Option<FencedLease> {
+        self.holders.lock().get(name).and_then(|holder| holder.fenced_lease(Instant::now()))
     }
 
-    /// The fence to act under now.
-    pub fn fencing_token(&self, lease_name: &str) -> Option<u64> {
-        self.fenced_lease(lease_name).map(|m| m.fencing_token)
+    /// The fencing token to act under, if this node holds the lease now.
+    pub fn fencing_token(&self, name: &str) -> Option<u64> {
+        self.fenced_lease(name).map(|lease| lease.fencing_token)
     }
 
-    /// Which node this member granted a duty to, and until when, if that lease runs.
-    pub fn granted(&self, lease_name: &str, now: Instant) -> Option<(String, Instant)> {
-        let grantor = self.grantor.lock();
-        grantor.granted(lease_name, now).map(|(node, until)| (node.to_owned(), until))
+    /// Whom this voter granted a lease to, if that grant still runs.
+    pub fn granted(&self, name: &str, now: Instant) -> Option<RunningGrant> {
+        self.grantor.lock().granted(name, now)
     }
 
-    fn with<T>(&self, lease_name: &'static str, f: impl FnOnce(&mut LeaseHolder) -> T) -> T {
-        f(self.holders.lock().entry(lease_name).or_insert_with(|| LeaseHolder::new(0)))
+    /// How a lease is granted: as the platform bounds commands to engines, or short where there are none.
+    fn policy(&self, name: &str) -> LeasePolicy {
+        let bound = self.process.settings().bounds.lease;
+        let commands_engines = name == ROLLOUT_LEASE;
+        let lease =
+            if commands_engines { bound } else { bound.min(constants::INDEX_LEASE_DURATION) };
+        LeasePolicy { lease, commands_engines }
+    }
+
+    fn with_holder<T>(&self, name: &'static str, f: impl FnOnce(&mut LeaseHolder) -> T) -> T {
+        f(self.holders.lock().entry(name).or_insert_with(|| LeaseHolder::new(0)))
     }
 
     fn next_message(&self) -> u64 {
         self.messages.fetch_add(1, Ordering::Relaxed)
     }
 }
-
-/// How a duty is leased: as the platform bounds orders, or short where none are given.
-fn policy(bound: Duration, lease_name: &str) -> LeasePolicy {
-    let commands_engines = lease_name == ROLLOUT_LEASE;
-    let lease = if commands_engines { bound } else { bound.min(constants::INDEX_LEASE_DURATION) };
-    LeasePolicy { lease, commands_engines }
-}
--- a/crates/control-plane/src/membership/failure_domains.rs
+++ b/crates/control-plane/src/membership/failure_domains.rs
@@ -1,10 +1,29 @@
 //! How members are spread over zones and regions: as many of these as may be lost together should
 //! leave a quorum.
 
-use super::replacement::Tolerance;
 use fleet_core::wire::Member;
 use std::collections::BTreeMap;
 
+/// What may be lost together with every rule kept.
+#[derive(Debug, Clone, Default)]
+pub struct Tolerance {
+    /// Counted machines.
+    pub machines: usize,
+    /// Whole zones.
+    pub zones: usize,
+    /// Whole regions.
+    pub regions: usize,
+    /// Each zone with its region.
+    pub regions_of_zones: Vec<(String, String)>,
+}
+
+impl Tolerance {
+    /// Members of a whole membership: a majority outlives the losses that are to be borne.
+    pub fn target_size(&self) -> usize {
+        2 * self.machines.max(self.zones).max(self.regions).max(1) + 1
+    }
+}
+
 /// What is wrong with where members are; less is better, in the order of the fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Exposure {
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -1,163 +1,88 @@
-//! The other controllers: links, joining, exchange of a lost member; and the peer_service that answers.
+//! Who the controllers are: joining, replacement of lost members, recovery of lost disks, and the links.
+//!
+//! The membership is a key of the control state, so a change of it is a change like any other, decided by the
+//! voters of the membership before it. One member changes at a time, and a quorum of the next membership always
+//! votes already: a newcomer has to read the state first.
+//!
+//! | file | what it is | pure |
+//! |---|---|---|
+//! | [`replacement`], [`failure_domains`] | which membership follows | yes |
+//! | [`candidates`] | controllers that ask to be members | yes |
+//! | [`reconfiguration`] | joins, and proposes the next membership | |
+//! | [`recovery`] | reads the state back after a disk loss or a join | |
+//! | [`state_transfer`] | the other side of that: values in chunks | |
+//! | [`peer_links`], [`routers`] | links to controllers and from routers | |
+//! | [`peer_service`] | answers what comes over links | |
+//! | [`register_reads`], [`load_reports`] | reads of a key by other processes; loads of engines | |
 
 mod candidates;
 mod failure_domains;
 pub mod load_reports;
+pub mod peer_links;
 mod peer_service;
-pub mod quorum_contact;
 mod reconfiguration;
 mod recovery;
 mod register_reads;
 mod replacement;
-pub mod state_transfer;
+pub mod routers;
+mod state_transfer;
 
-pub use peer_service::PeerService;
+pub use peer_service::{PeerService, PeerServiceParts};
 pub use reconfiguration::{initial_membership, run_join, run_replacement};
 
-use fleet_core::link::Link;
-use std::collections::{BTreeMap, BTreeSet};
-use std::net::Ipv4Addr;
+use crate::consensus::Consensus;
+use crate::leases::LeaseManager;
+use crate::process::Process;
+use candidates::Candidates;
+use fleet_core::wire::{JoinRequest, Register, ValueChunk, ValueChunkRequest};
+use parking_lot::Mutex;
+use peer_links::PeerLinks;
+use state_transfer::StateTransfers;
+use std::net::IpAddr;
 use std::sync::Arc;
-use std::sync::atomic::Ordering;
+use tokio::time::Instant;
 
-/// When a router was last heard.
-pub struct RouterStatus {
-    /// the process that was heard
-    pub incarnation: u64,
-    /// when
-    pub last_heartbeat: tokio::time::Instant,
+/// This node's part in keeping the membership. Its locks are leaves.
+pub struct MembershipManager {
+    process: Arc<Process>,
+    consensus: Arc<Consensus>,
+    links: Arc<PeerLinks>,
+    /// A member that gets its vote back grants no leases for a while.
+    leases: Arc<LeaseManager>,
+    candidates: Mutex<Candidates>,
+    /// Values that other members read back from here.
+    state_transfers: StateTransfers,
 }
 
-/// Who else there is. Tables whose order can change what is sent are ordered.
-#[derive(Default)]
-pub struct Peers {
-    links: parking_lot::Mutex<BTreeMap<Ipv4Addr, Arc<Link>>>,
-    /// no link comes up any more
-    unlinked: std::sync::atomic::AtomicBool,
-    zones: parking_lot::Mutex<BTreeMap<Ipv4Addr, String>>,
-    /// controllers that opened links to here: all that an empty disk may have, where the seeds have gone
-    callers: parking_lot::Mutex<BTreeSet<Ipv4Addr>>,
-    incarnations: parking_lot::Mutex<hashbrown::HashMap<String, Incarnations>>,
-    candidates: parking_lot::Mutex<candidates::Candidates>,
-    /// loads of engines, as routers and controllers tell them
-    pub load_reports: load_reports::LoadReports,
-    /// values that other members read back from here
-    pub state_transfers: state_transfer::StateTransfers,
-    /// routers that are linked, by incarnation
-    pub router_links: parking_lot::Mutex<BTreeMap<u64, fleet_core::link::Peer>>,
-    /// routers that were heard lately, by name
-    pub routers: parking_lot::Mutex<BTreeMap<String, RouterStatus>>,
-}
-
-/// Incarnations of one address; those before an empty disk are dead, with all they had on the way.
-#[derive(Default)]
-struct Incarnations {
-    seen: hashbrown::HashSet<u64>,
-    retired: hashbrown::HashSet<u64>,
-}
-
-impl Peers {
-    /// Keeps one link to each member and, without a vote, to the seeds and to the controllers that call.
-    pub fn relink(&self, controller: &crate::Controller) {
-        let p = controller.settings();
-        let mut want = BTreeSet::<Ipv4Addr>::new();
-        want.extend(
-            controller.acceptor.lock().membership().members.iter().filter_map(|m| m.addr()),
-        );
-        if !controller.acceptor.lock().votes() {
-            want.extend(p.seeds.iter().filter_map(|a| match a.ip() {
-                std::net::IpAddr::V4(ip) => Some(ip),
-                std::net::IpAddr::V6(_) => None,
-            }));
-            want.extend(self.callers.lock().iter().copied());
-        } else {
-            self.callers.lock().clear();
-        }
-        want.remove(&controller.node.ip);
-        let mut links = self.links.lock();
-        if self.unlinked.load(Ordering::Relaxed) {
-            return;
+impl MembershipManager {
+    /// Nobody has asked for anything as yet.
+    pub fn new(
+        process: Arc<Process>,
+        consensus: Arc<Consensus>,
+        links: Arc<PeerLinks>,
+        leases: Arc<LeaseManager>,
+    ) -> MembershipManager {
+        MembershipManager {
+            process,
+            consensus,
+            links,
+            leases,
+            candidates: Mutex::default(),
+            state_transfers: StateTransfers::default(),
         }
-        links.retain(|ip, _| want.contains(ip));
-        for ip in want {
-            let keep = || {
-                Link::keep_over(
-                    controller.transport.clone(),
-                    &controller.node,
-                    p.peer_addr(ip.into()),
-                    None,
-                )
-            };
-            links.entry(ip).or_insert_with(keep);
-        }
-    }
-
-    /// Drops all links for good.
-    pub fn unlink(&self) {
-        let mut links = self.links.lock();
-        self.unlinked.store(true, Ordering::Relaxed);
-        links.clear();
-    }
-
-    /// All links, by address.
-    pub fn links(&self) -> Vec<(Ipv4Addr, Arc<Link>)> {
-        self.links.lock().iter().map(|(ip, l)| (*ip, l.clone())).collect()
     }
 
-    /// The link to an address.
-    fn link(&self, ip: Ipv4Addr) -> Option<Arc<Link>> {
-        self.links.lock().get(&ip).cloned()
-    }
-
-    /// The zone that a process at this address told.
-    pub(crate) fn zone_of(&self, ip: Ipv4Addr) -> Option<String> {
-        self.zones.lock().get(&ip).cloned()
-    }
-
-    /// A router of the same machine has an incarnation of its own, which no disk ends.
-    pub fn register(&self, handshake: &fleet_core::wire::Handshake) {
-        let ip: Option<Ipv4Addr> = handshake.ip.parse().ok();
-        if handshake.role == fleet_core::node::Role::Controller as u32 {
-            self.callers.lock().extend(ip);
-            self.incarnations
-                .lock()
-                .entry_ref(handshake.ip.as_str())
-                .or_default()
-                .seen
-                .insert(handshake.incarnation);
-        }
-        if let Some(ip) = ip {
-            self.zones.lock().insert(ip, handshake.zone.clone());
+    /// A controller asks to be a member; one that only observes is not remembered.
+    pub fn on_join_request(&self, request: JoinRequest) {
+        if request.member.ip.parse::<IpAddr>().is_ok() && !request.observes {
+            self.candidates.lock().record(request, Instant::now());
         }
     }
 
-    /// An incarnation that came back with an empty disk ends all earlier ones of its address.
-    pub fn retire_incarnations(&self, ip: &str, but: u64) {
-        let mut l = self.incarnations.lock();
-        let l = l.entry_ref(ip).or_default();
-        let retired: Vec<u64> = l.seen.iter().copied().filter(|x| *x != but).collect();
-        l.retired.extend(retired);
-    }
-
-    /// Whether a process was ended by a later one of its address that came with an empty disk.
-    pub fn is_retired(&self, handshake: &fleet_core::wire::Handshake) -> bool {
-        self.incarnations
-            .lock()
-            .get(&handshake.ip)
-            .is_some_and(|l| l.retired.contains(&handshake.incarnation))
-    }
-}
-
-impl crate::Controller {
-    /// Links to these members but the own one.
-    pub fn links_to(&self, members: &[fleet_core::wire::Member]) -> Vec<(u64, Arc<Link>)> {
-        let links = self.peers.links.lock();
-        members
-            .iter()
-            .filter_map(|m| {
-                let ip = m.addr()?;
-                Some((u64::from(u32::from(ip)), links.get(&ip)?.clone()))
-            })
-            .collect()
+    /// Part of an accepted value, for the member at `peer` that reads its state back.
+    pub fn value_chunk(&self, peer: &str, request: &ValueChunkRequest) -> ValueChunk {
+        let current: Option<Register> =
+            self.consensus.with_acceptor(|acceptor| acceptor.register(&request.key).cloned());
+        self.state_transfers.chunk(peer, request, current.as_ref())
     }
 }
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -1,15 +1,15 @@
 //! Joining the controllers, and moving their membership: one at a time, by the membership's own key.
 
+use super::MembershipManager;
+use super::failure_domains::Tolerance;
 use super::recovery;
-use super::replacement::{self, Candidate, MemberStatus, Situation, Tolerance};
-use crate::Controller;
+use super::replacement::{self, Candidate, MemberStatus, Situation};
 use crate::consensus::{key_owner, state_machine};
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{BallotReport, Body, JoinRequest, Member, Membership, ReadBallots};
 use prost::Message;
 use std::collections::BTreeMap;
-use std::net::IpAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -26,60 +26,60 @@
     Membership { epoch: 1, members }
 }
 
-fn own(controller: &Controller) -> Member {
+fn own(manager: &MembershipManager) -> Member {
     Member {
-        name: controller.node.name.clone(),
-        ip: controller.node.ip.to_string(),
-        zone: controller.node.zone.clone(),
-        control: controller.settings().control.map(|a| a.to_string()).unwrap_or_default(),
+        name: manager.process.node.name.clone(),
+        ip: manager.process.node.ip.to_string(),
+        zone: manager.process.node.zone.clone(),
+        control: manager.process.settings().control.map(|a| a.to_string()).unwrap_or_default(),
         joined_epoch: 0,
     }
 }
 
-/// Until it votes, a controller asks to join, or reads all from the others if its disk is empty.
-pub async fn run_join(controller: Arc<Controller>) {
+/// Until it votes, a manager asks to join, or reads all from the others if its disk is empty.
+pub async fn run_join(manager: Arc<MembershipManager>) {
     let mut logged_epoch = u64::MAX;
     let mut catch_up = recovery::CatchUp::default();
     loop {
         let (votes, member, epoch) = {
-            let a = controller.acceptor.lock();
-            (a.votes(), a.is_member(), a.membership().epoch)
+            manager.consensus.with_acceptor(|acceptor| {
+                (acceptor.votes(), acceptor.is_member(), acceptor.membership().epoch)
+            })
         };
         if votes {
             tokio::time::sleep(constants::ANTI_ENTROPY_INTERVAL).await;
             continue;
         }
         if member {
-            recovery::recover(&controller, epoch, &mut catch_up).await;
+            recovery::recover(&manager, epoch, &mut catch_up).await;
         } else {
             if logged_epoch != epoch {
                 logged_epoch = epoch;
-                fleet_core::log_event!(controller.log, Event::Joining, "epoch" => epoch);
+                fleet_core::log_event!(manager.process.log, Event::Joining, "epoch" => epoch);
             }
-            request_membership(&controller).await;
+            request_membership(&manager).await;
         }
-        let known = controller.disk_absent() && epoch > 0;
+        let known = manager.consensus.is_disk_absent() && epoch > 0;
         tokio::time::sleep(if known {
             constants::OBSERVE_INTERVAL
         } else {
             constants::JOIN_INTERVAL
         })
         .await;
-        controller.peers.relink(&controller);
+        manager.consensus.relink();
     }
 }
 
 /// A machine whose disk takes no writes could not vote: it only learns the membership.
-async fn request_membership(controller: &Arc<Controller>) {
-    let observes = controller.disk_absent() || controller.disk_broken();
-    for (_, link) in controller.peers.links() {
-        let running_ms = controller.started.elapsed().as_millis() as u64;
-        let request =
-            Body::JoinRequest(JoinRequest { member: own(controller), observes, running_ms });
+async fn request_membership(manager: &Arc<MembershipManager>) {
+    let observes = manager.consensus.is_disk_absent() || manager.consensus.is_disk_broken();
+    for (_, link) in manager.links.all() {
+        let running_ms = manager.process.started.elapsed().as_millis() as u64;
+        let request = Body::JoinRequest(JoinRequest { member: own(manager), observes, running_ms });
         if let Ok(Body::JoinResponse(response)) = link.call(request, constants::PHASE_TIMEOUT).await
             && let Some(membership) = response.membership
         {
-            controller.adopt(&membership).await;
+            manager.consensus.adopt(&membership).await;
         }
     }
 }
@@ -113,67 +113,66 @@
 
 /// Moves the membership on when it should. Any member that votes may do it; ballots decide between
 /// several, and each waits longer the more voters of lower addresses there are.
-pub async fn run_replacement(controller: Arc<Controller>) {
+pub async fn run_replacement(manager: Arc<MembershipManager>) {
     let mut vote_monitor = VoteMonitor::default();
     let mut last_check = Instant::now();
     loop {
         tokio::time::sleep(constants::ANTI_ENTROPY_INTERVAL).await;
-        let membership = controller.acceptor.lock().membership().clone();
-        let candidates = controller.peers.candidates.lock().waiting(&membership, Instant::now());
-        if candidates.is_empty() || !controller.acceptor.lock().votes() {
+        let membership = manager.consensus.membership();
+        let candidates = manager.candidates.lock().waiting(&membership, Instant::now());
+        if candidates.is_empty() || !manager.consensus.votes() {
             vote_monitor = VoteMonitor::default();
             continue;
         }
-        let linked = linked(&controller, &membership);
-        let due = next_of(&controller, &membership, &candidates, &linked, &vote_monitor).is_some();
+        let linked = linked(&manager, &membership);
+        let due = next_of(&manager, &membership, &candidates, &linked, &vote_monitor).is_some();
         if !due && last_check.elapsed() < constants::VOTE_CHECK_INTERVAL {
             continue;
         }
         last_check = Instant::now();
-        let voters = voters(&controller, membership.epoch).await;
+        let voters = voters(&manager, membership.epoch).await;
         vote_monitor.record(&membership, &voters);
-        if next_of(&controller, &membership, &candidates, &voters, &vote_monitor).is_none() {
+        if next_of(&manager, &membership, &candidates, &voters, &vote_monitor).is_none() {
             continue;
         }
-        let rank = voters.iter().filter(|id| **id < controller.node.id()).count();
+        let rank = voters.iter().filter(|id| **id < manager.process.node.id()).count();
         tokio::time::sleep(constants::REPLACEMENT_RANK_DELAY * rank as u32).await;
-        if controller.acceptor.lock().membership().epoch != membership.epoch {
+        if manager.consensus.membership_epoch() != membership.epoch {
             continue;
         }
-        if let Some(next) = next_of(&controller, &membership, &candidates, &voters, &vote_monitor) {
-            propose(&controller, &membership, &next).await;
+        if let Some(next) = next_of(&manager, &membership, &candidates, &voters, &vote_monitor) {
+            propose(&manager, &membership, &next).await;
         }
     }
 }
 
 /// Members that were heard of lately, which most likely vote.
-fn linked(controller: &Controller, membership: &Membership) -> Vec<u64> {
-    let unreachable_for =
-        |ip| controller.peers.link(ip).and_then(|link| link.time_since_received());
+fn linked(manager: &MembershipManager, membership: &Membership) -> Vec<u64> {
+    let unreachable_for = |ip| manager.links.get(ip).and_then(|link| link.time_since_received());
     let recent =
         |ip| unreachable_for(ip).is_some_and(|ago| ago < constants::MEMBER_TIMEOUT_SAME_ZONE);
     let addresses = membership.members.iter().filter_map(Member::addr);
-    let was_reachable = addresses.filter(|ip| *ip == controller.node.ip || recent(*ip));
+    let was_reachable = addresses.filter(|ip| *ip == manager.process.node.ip || recent(*ip));
     was_reachable.map(|ip| u64::from(u32::from(ip))).collect()
 }
 
 /// Members that vote now under this membership, this one too.
-async fn voters(controller: &Arc<Controller>, membership: u64) -> Vec<u64> {
+async fn voters(manager: &Arc<MembershipManager>, membership: u64) -> Vec<u64> {
     let request = Body::ReadBallots(ReadBallots { membership, values: false });
-    let answers = recovery::query_all(controller, request).await;
+    let answers = recovery::query_all(manager, request).await;
     let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
     let others = answers.iter().filter(|(_, p)| p.votes && in_force(p)).map(|(id, _)| *id);
-    others.chain(controller.acceptor.lock().votes().then(|| controller.node.id())).collect()
+    others.chain(manager.consensus.votes().then(|| manager.process.node.id())).collect()
 }
 
 fn next_of(
-    controller: &Controller,
+    manager: &MembershipManager,
     membership: &Membership,
     candidates: &[Candidate],
     voters: &[u64],
     vote_monitor: &VoteMonitor,
 ) -> Option<Membership> {
-    let settings = controller.settings();
+    let settings = manager.process.settings();
     let tolerance = Tolerance {
         machines: settings.losses,
         zones: settings.lost_zones,
@@ -183,7 +182,7 @@
     let members: Vec<MemberStatus> = membership
         .members
         .iter()
-        .map(|member| status(controller, member, voters, vote_monitor))
+        .map(|member| status(manager, member, voters, vote_monitor))
         .collect();
     let successor_wait = replacement::successor_wait(settings.bounds.catch_up);
     let situation = Situation {
@@ -197,25 +196,25 @@
 }
 
 fn status(
-    controller: &Controller,
+    manager: &MembershipManager,
     member: &Member,
     voters: &[u64],
     vote_monitor: &VoteMonitor,
 ) -> MemberStatus {
     let mut member = member.clone();
-    let own = member_id(&member) == Some(controller.node.id());
+    let own = member_id(&member) == Some(manager.process.node.id());
     if own {
-        member.zone.clone_from(&controller.node.zone);
-    } else if let Some(zone) = member.addr().and_then(|ip| controller.peers.zone_of(ip)) {
+        member.zone.clone_from(&manager.process.node.zone);
+    } else if let Some(zone) = member.addr().and_then(|ip| manager.links.zone_of(ip)) {
         member.zone = zone;
     }
-    let link = member.addr().and_then(|ip| controller.peers.link(ip));
+    let link = member.addr().and_then(|ip| manager.links.get(ip));
     let unreachable_for = link.and_then(|link| link.time_since_received());
     MemberStatus {
         unreachable_for: if own {
             Duration::ZERO
         } else {
-            unreachable_for.unwrap_or_else(|| controller.started.elapsed())
+            unreachable_for.unwrap_or_else(|| manager.process.started.elapsed())
         },
         was_reachable: own || unreachable_for.is_some(),
         votes: member_id(&member).is_some_and(|id| voters.contains(&id)),
@@ -224,7 +223,7 @@
     }
 }
 
-async fn propose(controller: &Arc<Controller>, membership: &Membership, next: &Membership) {
+async fn propose(manager: &Arc<MembershipManager>, membership: &Membership, next: &Membership) {
     let bytes: bytes::Bytes = next.encode_to_vec().into();
     let decide = |now: &[u8]| match Membership::decode(now) {
         Ok(known) if known.epoch > membership.epoch => {
@@ -232,13 +231,7 @@
         }
         _ => state_machine::Decision::Write(bytes.clone(), state_machine::unknown()),
     };
-    let proposed = key_owner::propose_and_commit(controller, state_machine::MEMBERSHIP, decide);
+    let proposed =
+        key_owner::propose_and_commit(&manager.consensus, state_machine::MEMBERSHIP, decide);
     let _ = tokio::time::timeout(constants::CHANGE_TIMEOUT * 2, proposed).await;
 }
-
-/// A controller that waits to be taken in.
-pub fn on_join_request(controller: &Controller, request: JoinRequest) {
-    if request.member.ip.parse::<IpAddr>().is_ok() && !request.observes {
-        controller.peers.candidates.lock().record(request, Instant::now());
-    }
-}
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -5,7 +5,7 @@
 //! ballots; what has changed since is read again. What was read stays when a holder or the
 //! membership changes midway, so only progress counts and not the whole time.
 
-use crate::Controller;
+use super::MembershipManager;
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::log::Event;
@@ -140,44 +140,44 @@
 
 /// Learns the latest recovery epoch of a majority and reads the values, takes a majority to a later
 /// epoch with its ballots, and reads what is new; the member votes then, if the membership has not moved meanwhile.
-pub async fn recover(controller: &Arc<Controller>, membership: u64, catch_up: &mut CatchUp) {
+pub async fn recover(manager: &Arc<MembershipManager>, membership: u64, catch_up: &mut CatchUp) {
     let before =
-        query_all(controller, Body::ReadBallots(ReadBallots { membership, values: false })).await;
+        query_all(manager, Body::ReadBallots(ReadBallots { membership, values: false })).await;
     let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
-    let quorum = controller.acceptor.lock().membership().members.len() / 2 + 1;
+    let quorum = manager.consensus.membership().members.len() / 2 + 1;
     let mut voters = before.clone();
     voters.retain(|(_, p)| p.votes && in_force(p));
-    if voters.len() < quorum || !fetch_all(controller, &voters, catch_up).await {
+    if voters.len() < quorum || !fetch_all(manager, &voters, catch_up).await {
         return;
     }
     let recovery_epoch = before.iter().map(|(_, p)| p.recovery_epoch).max().unwrap_or(0) + 1;
     let request = Body::RecoverRequest(RecoverRequest {
         membership,
-        incarnation: controller.node.incarnation,
+        incarnation: manager.process.node.incarnation,
         recovery_epoch,
     });
-    let mut answers = query_all(controller, request).await;
+    let mut answers = query_all(manager, request).await;
     answers.retain(|(_, p)| p.votes && in_force(p) && p.recovery_epoch >= recovery_epoch);
-    if answers.len() < quorum || !fetch_all(controller, &answers, catch_up).await {
+    if answers.len() < quorum || !fetch_all(manager, &answers, catch_up).await {
         return;
     }
     let mut answers: Vec<BallotReport> = answers.into_iter().map(|(_, p)| p).collect();
     catch_up.fill(&mut answers);
-    controller.leases.close_for(controller.settings().bounds.lease);
-    if controller.persist(|a| a.recover(recovery_epoch, &answers)).await {
-        fleet_core::log_event!(controller.log, Event::Voting, "recovery_epoch" => recovery_epoch);
-        controller.peers.relink(controller);
+    manager.leases.close_for(manager.process.settings().bounds.lease);
+    if manager.consensus.persist(|a| a.recover(recovery_epoch, &answers)).await {
+        fleet_core::log_event!(manager.process.log, Event::Voting, "recovery_epoch" => recovery_epoch);
+        manager.consensus.relink();
     }
 }
 
 /// Each value from one of its holders; others than the first take turns.
 async fn fetch_all(
-    controller: &Arc<Controller>,
+    manager: &Arc<MembershipManager>,
     answers: &[(u64, BallotReport)],
     catch_up: &mut CatchUp,
 ) -> bool {
-    let members = controller.acceptor.lock().membership().members.clone();
-    let links = controller.links_to(&members);
+    let members = manager.consensus.membership().members;
+    let links = manager.links.to(&members);
     for (offset, (key, (ballot, mut ids))) in latest_ballots(answers).into_iter().enumerate() {
         let first = offset % ids.len();
         ids.rotate_left(first);
@@ -191,9 +191,12 @@
 }
 
 /// Asks all other members at once; a later membership among the answers is taken up.
-pub async fn query_all(controller: &Arc<Controller>, request: Body) -> Vec<(u64, BallotReport)> {
-    let members = controller.acceptor.lock().membership().members.clone();
-    let calls = controller.links_to(&members).into_iter().map(|(id, link)| {
+pub async fn query_all(
+    manager: &Arc<MembershipManager>,
+    request: Body,
+) -> Vec<(u64, BallotReport)> {
+    let members = manager.consensus.membership().members;
+    let calls = manager.links.to(&members).into_iter().map(|(id, link)| {
         let request = request.clone();
         async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
     });
@@ -201,7 +204,7 @@
     for (id, answer) in futures_util::future::join_all(calls).await {
         let Ok(Body::BallotReport(report)) = answer else { continue };
         if let Some(membership) = &report.membership {
-            controller.adopt(membership).await;
+            manager.consensus.adopt(membership).await;
         }
         out.push((id, report));
     }
--- a/crates/control-plane/src/membership/replacement.rs
+++ b/crates/control-plane/src/membership/replacement.rs
@@ -1,30 +1,10 @@
 //! Which membership follows: one member at a time is taken in, exchanged, or moved to another zone.
 
-use super::failure_domains::{exposure, neighbours};
+use super::failure_domains::{Tolerance, exposure, neighbours};
 use fleet_core::constants;
 use fleet_core::wire::{Member, Membership};
 use std::time::Duration;
 
-/// What may be lost together with every rule kept.
-#[derive(Debug, Clone, Default)]
-pub struct Tolerance {
-    /// Counted machines.
-    pub machines: usize,
-    /// Whole zones.
-    pub zones: usize,
-    /// Whole regions.
-    pub regions: usize,
-    /// Each zone with its region.
-    pub regions_of_zones: Vec<(String, String)>,
-}
-
-impl Tolerance {
-    /// Members of a whole membership: a majority outlives the losses that are to be borne.
-    pub fn target_size(&self) -> usize {
-        2 * self.machines.max(self.zones).max(self.regions).max(1) + 1
-    }
-}
-
 /// A member as the one sees it that may propose the next membership.
 #[derive(Debug, Clone)]
 pub struct MemberStatus {
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -1,6 +1,6 @@
 //! The roll-out: brings the engines of a model to its target weights, a few at a time.
 //!
-//! The target is a key of the control state (`weights/MODEL`). The controller that holds
+//! The target is a key of the control state (`weights/MODEL`). The rollout that holds
 //! [`ROLLOUT_LEASE`] orders engines to load it; each order bears the lease's fencing token, so that an engine
 //! refuses one of a former holder. [`plan`] decides which engine is next, [`order`] carries one order out,
 //! [`status`] shows both to the operator.
@@ -15,27 +15,74 @@
 pub mod plan;
 pub mod status;
 
-use crate::Controller;
-use crate::cluster_state::StateChange;
-use crate::engines::{client::EngineClient, registry};
-use crate::leases::ROLLOUT_LEASE;
+use crate::cluster_state::{ClusterStateStore, StateChange};
+use crate::engines::client::EngineClient;
+use crate::engines::registry::EngineRegistry;
+use crate::leases::{LeaseManager, ROLLOUT_LEASE};
+use crate::membership::load_reports::LoadReports;
+use crate::process::Process;
 use fleet_core::constants;
 use fleet_core::fleet;
 use fleet_core::load::{self, ByEngine};
 use fleet_core::log::Event;
+use fleet_core::transport::Transport;
 use fleet_core::wire::{Engine, EngineState};
 use order::OrderError;
+use parking_lot::Mutex;
 use plan::{Action, OutdatedEngine, Plan};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// This controller's part in roll-outs. Lock order: the plan, then the cluster state.
+pub struct Rollout {
+    process: Arc<Process>,
+    leases: Arc<LeaseManager>,
+    registry: Arc<EngineRegistry>,
+    cluster_state: Arc<ClusterStateStore>,
+    load_reports: Arc<LoadReports>,
+    transport: Arc<dyn Transport>,
+    /// Kept also while another controller holds the lease.
+    plan: Mutex<Plan>,
+}
+
+/// What a roll-out is built with.
+pub struct RolloutParts {
+    /// The process that it runs in.
+    pub process: Arc<Process>,
+    /// The lease that it runs under.
+    pub leases: Arc<LeaseManager>,
+    /// Where marks of engines are replicated.
+    pub registry: Arc<EngineRegistry>,
+    /// The engines and the target weights.
+    pub cluster_state: Arc<ClusterStateStore>,
+    /// The loads that decide which engine is next.
+    pub load_reports: Arc<LoadReports>,
+    /// How engines are reached.
+    pub transport: Arc<dyn Transport>,
+}
+
+impl Rollout {
+    /// Nothing is planned as yet.
+    pub fn new(parts: RolloutParts) -> Rollout {
+        Rollout {
+            process: parts.process,
+            leases: parts.leases,
+            registry: parts.registry,
+            cluster_state: parts.cluster_state,
+            load_reports: parts.load_reports,
+            transport: parts.transport,
+            plan: Mutex::default(),
+        }
+    }
+}
+
 /// The weights that the engines of one model are to have.
 #[derive(Clone)]
 struct Target {
     model: String,
     version: u64,
-    /// When this controller learned of it; none if that was before its start.
+    /// When this rollout learned of it; none if that was before its start.
     since: Option<Instant>,
 }
 
@@ -46,15 +93,15 @@
     }
 
     /// Time until routers stop sending requests to older weights, less a margin.
-    fn remaining(&self, controller: &Controller, now: Instant) -> Duration {
+    fn remaining(&self, rollout: &Rollout, now: Instant) -> Duration {
         let margin = constants::VERSION_MARGIN + constants::ROLLOUT_MARGIN;
-        let bound = controller.settings().bounds.version.saturating_sub(margin);
+        let bound = rollout.process.settings().bounds.version.saturating_sub(margin);
         self.since.map_or(bound, |since| bound.saturating_sub(now.duration_since(since)))
     }
 }
 
-fn targets(controller: &Controller) -> Vec<Target> {
-    controller.read_state(|state| {
+fn targets(rollout: &Rollout) -> Vec<Target> {
+    rollout.cluster_state.read(|state| {
         let target = |(model, (version, since)): (&String, &(u64, Option<Instant>))| Target {
             model: model.clone(),
             version: *version,
@@ -65,75 +112,75 @@
 }
 
 /// Updates engines while this node holds the lease; waits for a change while all are up to date.
-pub async fn run_rollout(controller: Arc<Controller>) {
-    let mut changes = controller.subscribe();
+pub async fn run_rollout(rollout: Arc<Rollout>) {
+    let mut changes = rollout.cluster_state.subscribe();
     loop {
         changes.borrow_and_update();
-        if !has_outdated_engines(&controller) {
-            controller.leases.plan.lock().reset();
+        if !has_outdated_engines(&rollout) {
+            rollout.plan.lock().reset();
             if changes.changed().await.is_err() {
                 return;
             }
             continue;
         }
-        if controller.leases.fencing_token(ROLLOUT_LEASE).is_some() {
-            begin_due_actions(&controller);
+        if rollout.leases.fencing_token(ROLLOUT_LEASE).is_some() {
+            begin_due_actions(&rollout);
         }
         tokio::time::sleep(constants::ROLLOUT_INTERVAL).await;
     }
 }
 
-fn has_outdated_engines(controller: &Controller) -> bool {
-    let targets = targets(controller);
+fn has_outdated_engines(rollout: &Rollout) -> bool {
+    let targets = targets(rollout);
     let is_outdated = |engine: &Engine| {
         engine.state() != EngineState::Deregistered
             && targets.iter().any(|target| target.is_ahead_of(engine))
     };
-    controller.read_state(|state| state.engines.values().any(is_outdated))
+    rollout.cluster_state.read(|state| state.engines.values().any(is_outdated))
 }
 
 /// Begins what the plan says for each model. The tasks end by themselves: each step of theirs has a time-out,
 /// and an order is given only while the lease is held.
-fn begin_due_actions(controller: &Arc<Controller>) {
+fn begin_due_actions(rollout: &Arc<Rollout>) {
     let due: Vec<(Target, Action)> = {
-        let mut plan = controller.leases.plan.lock();
-        let loads = controller.peers.load_reports.total();
-        let targets = targets(controller).into_iter();
-        targets.flat_map(|target| due_actions(controller, &mut plan, &loads, target)).collect()
+        let mut plan = rollout.plan.lock();
+        let loads = rollout.load_reports.total();
+        let targets = targets(rollout).into_iter();
+        targets.flat_map(|target| due_actions(rollout, &mut plan, &loads, target)).collect()
     };
     for (target, action) in due {
-        tokio::spawn(carry_out(controller.clone(), target, action));
+        tokio::spawn(carry_out(rollout.clone(), target, action));
     }
 }
 
 fn due_actions(
-    controller: &Controller,
+    rollout: &Rollout,
     plan: &mut Plan,
     loads: &ByEngine,
     target: Target,
 ) -> Vec<(Target, Action)> {
     let now = Instant::now();
-    let engines = serving_engines(controller, &target.model);
-    let outdated = outdated_engines(controller, plan, loads, &target, &engines);
-    let remaining = target.remaining(controller, now);
+    let engines = serving_engines(rollout, &target.model);
+    let outdated = outdated_engines(rollout, plan, loads, &target, &engines);
+    let remaining = target.remaining(rollout, now);
     let actions = plan.next(now, engines.len(), &outdated, remaining);
     actions.into_iter().map(|action| (target.clone(), action)).collect()
 }
 
 /// Engines of a model that are ready, and heard of.
-fn serving_engines(controller: &Controller, model: &str) -> Vec<Engine> {
+fn serving_engines(rollout: &Rollout, model: &str) -> Vec<Engine> {
     let serves = |engine: &&Engine| {
         engine.state() == EngineState::Ready
             && !engine.heartbeat_missed
             && fleet::version_of(engine, model).is_some()
     };
-    controller.read_state(|state| state.engines.values().filter(serves).cloned().collect())
+    rollout.cluster_state.read(|state| state.engines.values().filter(serves).cloned().collect())
 }
 
 /// Those of the engines that lack the target weights, with their loads. The plan takes over the ones whose
 /// streams a former holder of the lease has drained.
 fn outdated_engines(
-    controller: &Controller,
+    rollout: &Rollout,
     plan: &mut Plan,
     loads: &ByEngine,
     target: &Target,
@@ -149,7 +196,7 @@
         outdated.push(OutdatedEngine {
             id: engine.id.clone(),
             zone: engine.zone.clone(),
-            interactive_share: controller.peers.load_reports.interactive_share(key),
+            interactive_share: rollout.load_reports.interactive_share(key),
             interactive_runs: load.interactive,
             runs: load.runs,
         });
@@ -157,12 +204,12 @@
     outdated
 }
 
-async fn carry_out(controller: Arc<Controller>, target: Target, action: Action) {
+async fn carry_out(rollout: Arc<Rollout>, target: Target, action: Action) {
     match action {
-        Action::DrainStreams(id) => mark(&controller, &id, set_draining).await,
+        Action::DrainStreams(id) => mark(&rollout, &id, set_draining).await,
         Action::Update(id) => {
-            let updated = update(&controller, &id, &target).await;
-            let mut plan = controller.leases.plan.lock();
+            let updated = update(&rollout, &id, &target).await;
+            let mut plan = rollout.plan.lock();
             match updated {
                 Ok(load) => plan.ended(&id, Instant::now(), Some(load)),
                 Err(error) => plan.failed(&id, Instant::now(), &error.to_string()),
@@ -186,22 +233,18 @@
 
 /// Updates one engine: routers are told, the order is given, its end is waited for and routers are told
 /// that too. Returns how long the engine took to load the weights.
-async fn update(
-    controller: &Arc<Controller>,
-    id: &str,
-    target: &Target,
-) -> Result<Duration, OrderError> {
-    let engine = controller.read_state(|state| state.engines.get(id).cloned());
+async fn update(rollout: &Arc<Rollout>, id: &str, target: &Target) -> Result<Duration, OrderError> {
+    let engine = rollout.registry.get(id);
     let engine = &engine.ok_or(OrderError::Unknown)?;
     let address = engine.address.parse().map_err(|_| OrderError::Unknown)?;
-    let transport = controller.transport.clone();
-    let mut client = EngineClient::over(transport, controller.node.ip, address);
-    mark(controller, &engine.id, set_updating).await;
+    let transport = rollout.transport.clone();
+    let mut client = EngineClient::over(transport, rollout.process.node.ip, address);
+    mark(rollout, &engine.id, set_updating).await;
     tokio::time::sleep(constants::ROLLOUT_NOTICE).await;
     let (model, version) = (target.model.as_str(), target.version);
-    let updated = order::order(controller, &mut client, engine, model, version).await;
-    log_update(controller, engine, target, &updated);
-    mark(controller, &engine.id, |engine| {
+    let updated = order::order(rollout, &mut client, engine, model, version).await;
+    log_update(rollout, engine, target, &updated);
+    mark(rollout, &engine.id, |engine| {
         clear_marks(engine);
         if updated.is_ok() {
             fleet::raise(engine, model, version);
@@ -212,28 +255,28 @@
 }
 
 fn log_update(
-    controller: &Controller,
+    rollout: &Rollout,
     engine: &Engine,
     target: &Target,
     updated: &Result<Duration, OrderError>,
 ) {
     match updated {
         Ok(load) => {
-            fleet_core::log_event!(controller.log, Event::WeightUpdateCompleted,
+            fleet_core::log_event!(rollout.process.log, Event::WeightUpdateCompleted,
                 "ms" => load.as_millis() as u64, "id" => &engine.id, "version" => target.version);
         }
         Err(error) => {
-            fleet_core::log_event!(controller.log, Event::WeightUpdateFailed,
+            fleet_core::log_event!(rollout.process.log, Event::WeightUpdateFailed,
                 "id" => &engine.id, "why" => error.to_string());
         }
     }
 }
 
 /// Changes what is known of an engine, here and at a majority of the controllers.
-async fn mark(controller: &Arc<Controller>, id: &str, change: impl FnOnce(&mut Engine)) {
-    let engine = controller.read_state(|state| state.engines.get(id).cloned());
+async fn mark(rollout: &Arc<Rollout>, id: &str, change: impl FnOnce(&mut Engine)) {
+    let engine = rollout.registry.get(id);
     let Some(mut engine) = engine else { return };
     change(&mut engine);
-    controller.append(StateChange::Engine(engine.clone()));
-    registry::replicate_now(controller, engine).await;
+    rollout.cluster_state.append(StateChange::Engine(engine.clone()));
+    rollout.registry.replicate_now(engine).await;
 }
--- a/crates/control-plane/src/rollout/order.rs
+++ b/crates/control-plane/src/rollout/order.rs
@@ -1,6 +1,6 @@
 //! One order to one engine, and what its reports say of it.
 
-use crate::Controller;
+use super::Rollout;
 use crate::engines::client::{Answer, CallError, EngineClient};
 use crate::leases::ROLLOUT_LEASE;
 use crate::leases::lease::FencedLease;
@@ -123,7 +123,7 @@
 
 /// Orders, and waits until the engine shows the weights.
 pub async fn order(
-    controller: &Arc<Controller>,
+    rollout: &Arc<Rollout>,
     client: &mut EngineClient,
     e: &Engine,
     model: &str,
@@ -132,7 +132,7 @@
     let until = Instant::now() + constants::ORDER_TIMEOUT;
     let mut progress = Progress::new(model, version);
     while Instant::now() < until {
-        if !controller.read_state(|n| is_at_its_address(e, n.engines.values())) {
+        if !rollout.cluster_state.read(|n| is_at_its_address(e, n.engines.values())) {
             return Err(OrderError::Unknown);
         }
         if let Some(r) = report(client, e).await? {
@@ -140,9 +140,9 @@
                 Next::Done(took) => return Ok(took),
                 Next::Wait => {}
                 Next::Order(expected) => {
-                    match send_order(controller, client, &progress, e, expected).await? {
+                    match send_order(rollout, client, &progress, e, expected).await? {
                         OrderOutcome::Accepted => {
-                            fleet_core::log_event!(controller.log, Event::WeightUpdateOrdered, "id" => &e.id, "version" => version);
+                            fleet_core::log_event!(rollout.process.log, Event::WeightUpdateOrdered, "id" => &e.id, "version" => version);
                             progress.ordered(r.active, Instant::now());
                         }
                         OrderOutcome::AlreadyApplied => return Ok(Duration::ZERO),
@@ -165,7 +165,7 @@
 }
 
 async fn send_order(
-    controller: &Arc<Controller>,
+    rollout: &Arc<Rollout>,
     client: &mut EngineClient,
     p: &Progress<'_>,
     e: &Engine,
@@ -174,19 +174,18 @@
     if client.open().await.is_err() {
         return Ok(OrderOutcome::Unclear);
     }
-    let fenced_lease =
-        controller.leases.fenced_lease(ROLLOUT_LEASE).ok_or(OrderError::LeaseLost)?;
+    let fenced_lease = rollout.leases.fenced_lease(ROLLOUT_LEASE).ok_or(OrderError::LeaseLost)?;
     let Some(limit) = order_timeout(fenced_lease, Instant::now()) else {
         return Ok(OrderOutcome::Unclear);
     };
     let body = serde_json::json!({
         "operation": "revision", "model": p.model, "revision": p.version, "method": "defer",
-        "holder": controller.node.name, "fence": fenced_lease.fencing_token, "expected": expected,
+        "holder": rollout.process.node.name, "fence": fenced_lease.fencing_token, "expected": expected,
     });
     let target = [("X-Target-Instance", e.id.as_str())];
     let body = body.to_string().into_bytes();
     let sent = client.send(http::Method::POST, "/anisedyke/order", &target, body, limit);
-    let mut shutting_down = controller.shutting_down();
+    let mut shutting_down = rollout.process.shutdown_signal();
     let answer = tokio::select! {
         answer = sent => answer,
         _ = shutting_down.wait_for(|l| *l) => return Err(OrderError::LeaseLost),
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -1,9 +1,10 @@
-//! The roll-out as this controller sees it; made only when asked for, and changes nothing.
+//! The roll-out as this rollout sees it; made only when asked for, and changes nothing.
 
 #![expect(missing_docs, reason = "older than the lint; mended when the file is next changed")]
 
+use super::Rollout;
 use super::plan::{Plan, Step};
-use crate::Controller;
+use crate::leases::ROLLOUT_LEASE;
 use fleet_core::constants;
 use fleet_core::wire::{Engine, EngineState};
 use std::time::Duration;
@@ -75,12 +76,12 @@
     })
 }
 
-pub fn view(controller: &Controller) -> serde_json::Value {
+pub fn view(rollout: &Rollout) -> serde_json::Value {
     let now = Instant::now();
-    let bound = controller.settings().bounds.version;
-    let plan = controller.leases.plan.lock();
-    let is_held = controller.leases.fencing_token(super::ROLLOUT_LEASE).is_some();
-    let models = controller.read_state(|n| {
+    let bound = rollout.process.settings().bounds.version;
+    let plan = rollout.plan.lock();
+    let is_held = rollout.leases.fencing_token(ROLLOUT_LEASE).is_some();
+    let models = rollout.cluster_state.read(|n| {
         let mut all: Vec<_> = n.weights.iter().collect();
         all.sort_by_key(|(m, _)| m.as_str());
         let one = |(model, (target, at)): &(&String, &(u64, Option<Instant>))| {
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -1,19 +1,31 @@
 //! A controller's life: what it is started with, its tasks, and how it ends.
 
+use crate::cluster_state::{ClusterStateStore, StateChange};
+use crate::config_distribution::{ConfigBodies, ConfigDistribution};
+use crate::consensus::{Consensus, ConsensusParts, anti_entropy, quorum_contact, resignation};
+use crate::engines::registry::{self, EngineRegistry};
+use crate::index_owner::{self, IndexOwnership, IndexOwnershipParts};
+use crate::leases::{INDEX_OWNER_LEASE, LeaseManager, ROLLOUT_LEASE, run_lease_holder};
+use crate::membership::load_reports::{self, LoadReports};
+use crate::membership::peer_links::PeerLinks;
+use crate::membership::routers::Routers;
+use crate::membership::{self, MembershipManager, PeerService, PeerServiceParts};
+use crate::process::Process;
+use crate::rollout::{self, Rollout, RolloutParts};
+use crate::service::membership::ViewSources;
 use crate::storage::RecordQueue;
 use crate::storage::format::State;
+use crate::storage::monitor::MonitoredDisk;
 use crate::storage::writer::{Disk, Files};
-use crate::{
-    Controller, ControllerError, api, cluster_state, consensus, engines, index_owner, leases,
-    membership, rollout,
-};
+use crate::{ControllerError, api};
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::node::{Node, Role};
 use fleet_core::settings::Settings;
 use fleet_core::transport::{Listener, Tcp, Transport};
 use std::sync::Arc;
-use std::sync::atomic::AtomicU64;
+use std::time::Duration;
+use tokio::task::JoinSet;
 
 /// All that a controller gets from outside: the programs give TCP, files and a seed like no
 /// other, a simulation gives its own.
@@ -59,114 +71,257 @@
     Ok((Disk::start(files, log.clone()), state, first))
 }
 
-/// A controller and its tasks. They end when it is dropped.
-pub struct RunningController {
-    /// the controller itself, for the functions of `service` and for looking into it
-    pub controller: Arc<Controller>,
-    tasks: tokio::task::JoinSet<()>,
+/// The areas of one controller, wired. Each is built with those before it that it needs.
+pub struct Controller {
+    process: Arc<Process>,
+    links: Arc<PeerLinks>,
+    routers: Arc<Routers>,
+    cluster_state: Arc<ClusterStateStore>,
+    consensus: Arc<Consensus>,
+    distribution: Arc<ConfigDistribution>,
+    leases: Arc<LeaseManager>,
+    membership: Arc<MembershipManager>,
+    registry: Arc<EngineRegistry>,
+    load_reports: Arc<LoadReports>,
+    rollout: Arc<Rollout>,
+    index: Arc<IndexOwnership>,
+    view_sources: ViewSources,
+}
+
+/// What all other areas are built on.
+struct Foundation {
+    process: Arc<Process>,
+    transport: Arc<dyn Transport>,
+    links: Arc<PeerLinks>,
+    cluster_state: Arc<ClusterStateStore>,
+    config_bodies: Arc<ConfigBodies>,
+    consensus: Arc<Consensus>,
+    /// How long a former incarnation may have granted a lease for; none at the first start of all.
+    closed_for: Option<Duration>,
+}
+
+impl Foundation {
+    fn new(settings: Settings, log: slog::Logger, environment: Environment) -> Foundation {
+        let Environment { transport, disk, state, first_start, seed } = environment;
+        let node = Node::seeded(&settings, Role::Controller, seed);
+        let closed_for = (!first_start).then_some(settings.bounds.lease);
+        let process = Arc::new(Process::new(node, settings, log.clone()));
+        let links = Arc::new(PeerLinks::new(process.clone(), transport.clone()));
+        let cluster_state = Arc::new(ClusterStateStore::new());
+        let config_bodies = Arc::new(ConfigBodies::default());
+        let consensus = Arc::new(Consensus::new(ConsensusParts {
+            process: process.clone(),
+            links: links.clone(),
+            cluster_state: cluster_state.clone(),
+            config_observer: config_bodies.clone(),
+            disk: MonitoredDisk::new(disk, log),
+            state,
+        }));
+        Foundation {
+            process,
+            transport,
+            links,
+            cluster_state,
+            config_bodies,
+            consensus,
+            closed_for,
+        }
+    }
 }
 
 impl Controller {
-    fn new(settings: Settings, log: slog::Logger, environment: Environment) -> Arc<Controller> {
-        let node = Node::seeded(&settings, Role::Controller, environment.seed);
-        let rng_state = node.incarnation;
-        let closed = (!environment.first_start).then_some(settings.bounds.lease);
-        let cluster_state =
-            fleet_core::journal::ChangeLog::new(cluster_state::ClusterState::default(), 512);
-        let acceptor = consensus::acceptor::Acceptor::new(node.ip, environment.state);
+    fn wire(base: Foundation) -> Arc<Controller> {
+        let process = || base.process.clone();
+        let consensus = || base.consensus.clone();
+        let cluster_state = || base.cluster_state.clone();
+        let routers = Arc::new(Routers::default());
+        let leases = Arc::new(LeaseManager::new(process(), consensus(), base.closed_for));
+        let membership =
+            MembershipManager::new(process(), consensus(), base.links.clone(), leases.clone());
+        let registry = Arc::new(EngineRegistry::new(
+            process(),
+            consensus(),
+            base.links.clone(),
+            cluster_state(),
+        ));
+        let load_reports = Arc::new(LoadReports::new(consensus(), routers.clone()));
+        let rollout = Rollout::new(RolloutParts {
+            process: process(),
+            leases: leases.clone(),
+            registry: registry.clone(),
+            cluster_state: cluster_state(),
+            load_reports: load_reports.clone(),
+            transport: base.transport.clone(),
+        });
+        let index = IndexOwnership::new(IndexOwnershipParts {
+            process: process(),
+            leases: leases.clone(),
+            consensus: consensus(),
+            cluster_state: cluster_state(),
+            config_bodies: base.config_bodies.clone(),
+            routers: routers.clone(),
+            transport: base.transport.clone(),
+        });
+        let view_sources = ViewSources {
+            consensus: consensus(),
+            links: base.links.clone(),
+            leases: leases.clone(),
+        };
         Arc::new(Controller {
-            engines: engines::registry::Registry::default(),
-            peers: membership::Peers::default(),
-            leases: leases::Leases::new(closed, node.incarnation),
-            contact: parking_lot::Mutex::default(),
-            config_distribution: crate::config_distribution::ConfigDistribution::default(),
-            started: tokio::time::Instant::now(),
-            rng_state: AtomicU64::new(rng_state),
-            latest_change: tokio::sync::watch::channel(0).0,
-            shutting_down: tokio::sync::watch::channel(false).0,
-            cluster_state: parking_lot::Mutex::new(cluster_state),
-            learned: parking_lot::Mutex::default(),
-            key_owners: consensus::key_owner::KeyOwners::default(),
-            acceptor: parking_lot::Mutex::new(acceptor),
-            settings: parking_lot::RwLock::new(Arc::new(settings)),
-            disk: crate::storage::monitor::MonitoredDisk::new(environment.disk, log.clone()),
-            transport: environment.transport,
-            node,
-            log,
+            distribution: Arc::new(ConfigDistribution::new(consensus(), base.config_bodies)),
+            process: base.process,
+            links: base.links,
+            routers,
+            cluster_state: base.cluster_state,
+            consensus: base.consensus,
+            leases,
+            membership: Arc::new(membership),
+            registry,
+            load_reports,
+            rollout: Arc::new(rollout),
+            index: Arc::new(index),
+            view_sources,
         })
     }
 
     /// Starts all of a controller but its HTTP server.
+    ///
+    /// # Errors
+    /// [`ControllerError::Listen`] where the port for peers can't be listened at.
     pub async fn start(
         settings: Settings,
         log: slog::Logger,
         environment: Environment,
     ) -> Result<RunningController, ControllerError> {
-        let peer_at = settings.peer_addr(settings.ip.into());
+        let address = settings.peer_addr(settings.ip.into());
         let listener = environment
             .transport
-            .listen(peer_at)
-            .map_err(|e| ControllerError::Listen(peer_at, e.kind()))?;
+            .listen(address)
+            .map_err(|error| ControllerError::Listen(address, error.kind()))?;
         let first_start = environment.first_start;
-        let controller = Controller::new(settings, log, environment);
+        let controller = Controller::wire(Foundation::new(settings, log, environment));
         controller.load_membership(first_start).await;
         let tasks = controller.spawn_tasks(listener);
-        fleet_core::log_event!(controller.log, Event::Started, "incarnation" => controller.node.incarnation);
+        let process = &controller.process;
+        let incarnation = process.node.incarnation;
+        fleet_core::log_event!(process.log, Event::Started, "incarnation" => incarnation);
         Ok(RunningController { controller, tasks })
     }
 
-    /// The membership on the disk comes into force; the first start of all founds it.
+    /// Puts the membership that is on the disk in force; the first start of all founds it.
     async fn load_membership(&self, first_start: bool) {
         if first_start {
-            let initial_membership = membership::initial_membership(&self.settings());
-            self.persist(|a| a.bootstrap(&initial_membership)).await;
+            let initial = membership::initial_membership(&self.process.settings());
+            self.consensus.persist(|acceptor| acceptor.bootstrap(&initial)).await;
         }
-        let membership = self.acceptor.lock().membership().clone();
+        let membership = self.consensus.membership();
         if membership.epoch > 0 {
-            self.append(cluster_state::StateChange::Membership(membership));
+            self.cluster_state.append(StateChange::Membership(membership));
         }
-        self.peers.relink(self);
+        self.consensus.relink();
     }
 
-    fn spawn_tasks(self: &Arc<Self>, listener: Box<dyn Listener>) -> tokio::task::JoinSet<()> {
-        let mut tasks = tokio::task::JoinSet::new();
-        let peer_service = Arc::new(membership::PeerService(self.clone()));
+    fn spawn_tasks(&self, listener: Box<dyn Listener>) -> JoinSet<()> {
+        let mut tasks = JoinSet::new();
+        let peer_service = Arc::new(PeerService::new(self.peer_service_parts()));
         tasks.spawn(fleet_core::link::serve_peers(listener, peer_service));
-        tasks.spawn(membership::run_join(self.clone()));
-        tasks.spawn(membership::run_replacement(self.clone()));
-        tasks.spawn(consensus::anti_entropy::run_anti_entropy(self.clone()));
-        tasks.spawn(membership::quorum_contact::run_contact_check(self.clone()));
-        tasks.spawn(membership::load_reports::run_load_sharing(self.clone()));
-        tasks.spawn(engines::registry::run_heartbeat_sharing(self.clone()));
-        tasks.spawn(engines::registry::run_failure_detection(self.clone()));
-        tasks.spawn(leases::run_lease_holder(self.clone(), leases::ROLLOUT_LEASE));
-        tasks.spawn(leases::run_lease_holder(self.clone(), leases::INDEX_OWNER_LEASE));
-        tasks.spawn(rollout::run_rollout(self.clone()));
-        tasks.spawn(index_owner::run_index_owner(self.clone()));
+        tasks.spawn(membership::run_join(self.membership.clone()));
+        tasks.spawn(membership::run_replacement(self.membership.clone()));
+        tasks.spawn(anti_entropy::run_anti_entropy(self.consensus.clone()));
+        tasks.spawn(quorum_contact::run_contact_check(self.consensus.clone()));
+        tasks.spawn(load_reports::run_load_sharing(self.load_reports.clone()));
+        tasks.spawn(registry::run_heartbeat_sharing(self.registry.clone()));
+        tasks.spawn(registry::run_failure_detection(self.registry.clone()));
+        tasks.spawn(run_lease_holder(self.leases.clone(), ROLLOUT_LEASE));
+        tasks.spawn(run_lease_holder(self.leases.clone(), INDEX_OWNER_LEASE));
+        tasks.spawn(rollout::run_rollout(self.rollout.clone()));
+        tasks.spawn(index_owner::run_index_owner(self.index.clone()));
         tasks
     }
 
-    /// Takes settings that were read again.
+    fn peer_service_parts(&self) -> PeerServiceParts {
+        PeerServiceParts {
+            process: self.process.clone(),
+            links: self.links.clone(),
+            routers: self.routers.clone(),
+            consensus: self.consensus.clone(),
+            membership: self.membership.clone(),
+            leases: self.leases.clone(),
+            registry: self.registry.clone(),
+            cluster_state: self.cluster_state.clone(),
+            distribution: self.distribution.clone(),
+            load_reports: self.load_reports.clone(),
+            index: self.index.clone(),
+        }
+    }
+
+    /// Puts settings that were read again in force.
     fn reconfigure(&self, settings: Settings) {
-        *self.settings.write() = Arc::new(settings);
-        self.peers.relink(self);
+        self.process.reconfigure(settings);
+        self.consensus.relink();
+    }
+
+    /// Who this controller is.
+    pub fn node(&self) -> &Node {
+        &self.process.node
+    }
+
+    /// Its part in the agreement.
+    pub fn consensus(&self) -> &Arc<Consensus> {
+        &self.consensus
+    }
+
+    /// The engines that it knows.
+    pub fn registry(&self) -> &Arc<EngineRegistry> {
+        &self.registry
+    }
+
+    /// What it knows of the cluster.
+    pub fn cluster_state(&self) -> &ClusterStateStore {
+        &self.cluster_state
+    }
+
+    /// The leases that it granted and holds.
+    pub fn leases(&self) -> &LeaseManager {
+        &self.leases
+    }
+
+    /// Its part in roll-outs.
+    pub fn rollout(&self) -> &Rollout {
+        &self.rollout
+    }
+
+    /// What an operator's view of the control plane is made of.
+    pub fn view_sources(&self) -> &ViewSources {
+        &self.view_sources
     }
 }
 
+/// A controller and its tasks, which are aborted when this is dropped.
+pub struct RunningController {
+    controller: Arc<Controller>,
+    tasks: JoinSet<()>,
+}
+
 impl RunningController {
-    /// Ends in good order, as a program does when it is told to stop: gives its duties and keys back,
-    /// and tells the others what they may not know of the engines.
+    /// The controller itself, for the functions of [`crate::service`].
+    pub fn controller(&self) -> &Arc<Controller> {
+        &self.controller
+    }
+
+    /// Ends in good order, as a program does when it is told to stop: releases its leases and keys, and sends the
+    /// others what they may not know of the engines.
     pub async fn leave(&self) {
-        fleet_core::log_event!(self.controller.log, Event::Stopping);
-        self.controller.shutting_down.send_replace(true);
-        let share_engines = engines::registry::share_all(&self.controller);
-        let release_keys = consensus::resignation::release_keys(&self.controller);
-        tokio::join!(leases::release_all(&self.controller), release_keys, share_engines);
+        let controller = &self.controller;
+        fleet_core::log_event!(controller.process.log, Event::Stopping);
+        controller.process.begin_shutdown();
+        let share_engines = controller.registry.share_all();
+        let release_keys = resignation::release_keys(&controller.consensus);
+        tokio::join!(controller.leases.release_all(), release_keys, share_engines);
     }
 
-    /// Ends at once, as in a crash: its tasks stop where they are, its connections close. Steps
-    /// that it had already handed on (records, answers being made) end where transport and disk
-    /// take no more of them.
+    /// Ends at once, as in a crash: its tasks stop where they are, its connections close. Steps that it had
+    /// already handed on (records, answers being made) end where transport and disk take no more of them.
     pub fn abort(self) {
         drop(self);
     }
@@ -175,7 +330,7 @@
 impl Drop for RunningController {
     fn drop(&mut self) {
         self.tasks.abort_all();
-        self.controller.peers.unlink();
+        self.controller.links.close();
     }
 }
 
@@ -186,12 +341,12 @@
     stop: tokio::sync::watch::Receiver<bool>,
     reread: tokio::sync::mpsc::Receiver<Settings>,
 ) -> Result<(), ControllerError> {
-    let control = settings.control.ok_or(ControllerError::ParamMissing("bindAddrs.control"))?;
+    let control = settings.control.ok_or(ControllerError::SettingMissing("bindAddrs.control"))?;
     let environment = Environment::of_program(&settings, &log)?;
     let running = Controller::start(settings, log, environment).await?;
-    let server =
-        api::serve(&running.controller, control).map_err(|e| ControllerError::Control(e.kind()))?;
-    until_stopped(&running.controller, stop, reread).await;
+    let server = api::serve(running.controller(), control)
+        .map_err(|e| ControllerError::Control(e.kind()))?;
+    until_stopped(running.controller(), stop, reread).await;
     running.leave().await;
     let _ = tokio::time::timeout(constants::PHASE_TIMEOUT, server.close()).await;
     running.abort();
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -1,7 +1,7 @@
 //! The operator's configurations: replaced on a base, and read as a majority has it.
 
-use super::{Rejection, contact};
-use crate::Controller;
+use super::{Rejection, require_contact};
+use crate::consensus::Consensus;
 use crate::consensus::{forward, state_machine};
 use bytes::Bytes;
 use fleet_core::configuration::Configuration;
@@ -30,20 +30,20 @@
 
 /// Puts a configuration in force in place of the one that it builds on.
 pub async fn replace(
-    controller: &Arc<Controller>,
+    consensus: &Arc<Consensus>,
     base_header: Option<&str>,
     body: Bytes,
 ) -> Result<Replaced, Rejection> {
-    contact(controller)?;
+    require_contact(consensus)?;
     let base = base_of(base_header)?;
-    let configuration = Configuration::read(&body).map_err(|error| refused(controller, &error))?;
+    let configuration = Configuration::read(&body).map_err(|error| refused(consensus, &error))?;
     let packed = fleet_core::packing::pack(&body);
     let change = ReplaceConfig { base, version: configuration.revision, packed };
-    let changed = forward::submit(controller, ChangeKind::Replace(change.clone())).await;
+    let changed = forward::submit(consensus, ChangeKind::Replace(change.clone())).await;
     match changed.outcome() {
         Outcome::Done => Ok(Replaced { version: change.version }),
         Outcome::Stale => Err(stale(&changed)),
-        Outcome::Invalid => Err(refused(controller, &state_machine::error_of(&change, &changed))),
+        Outcome::Invalid => Err(refused(consensus, &state_machine::error_of(&change, &changed))),
         Outcome::Unproven => Err(unproven(&changed)),
         Outcome::Unknown => {
             Err(Rejection::unavailable("unknown", "no majority in time: it may yet be in force"))
@@ -68,19 +68,19 @@
     Rejection::unavailable("unknown", &message)
 }
 
-fn refused(controller: &Controller, error: &fleet_core::configuration::ConfigError) -> Rejection {
-    fleet_core::log_event!(controller.log, Event::ConfigRejected, "why" => error.to_string());
+fn refused(consensus: &Consensus, error: &fleet_core::configuration::ConfigError) -> Rejection {
+    fleet_core::log_event!(consensus.process().log, Event::ConfigRejected, "why" => error.to_string());
     Rejection::bad_request(error.code(), error)
 }
 
 /// The configuration in force, confirmed by a majority after the call came.
-pub async fn fetch(controller: &Arc<Controller>) -> Result<Bytes, Rejection> {
-    contact(controller)?;
+pub async fn fetch(consensus: &Arc<Consensus>) -> Result<Bytes, Rejection> {
+    require_contact(consensus)?;
     let read =
-        tokio::time::timeout(constants::CHANGE_TIMEOUT, controller.read(state_machine::CONFIG))
+        tokio::time::timeout(constants::CHANGE_TIMEOUT, consensus.read(state_machine::CONFIG))
             .await;
-    let register = read.ok().flatten();
-    let value = register.and_then(|(_, value)| ConfigValue::decode(value).ok());
+    let chosen = read.ok().flatten();
+    let value = chosen.and_then(|chosen| ConfigValue::decode(chosen.value).ok());
     let body = value.filter(|value| value.version > 0).and_then(|value| value.body().ok());
     body.ok_or_else(|| {
         Rejection::unavailable("unknown", "no configuration confirmed by a majority")
--- a/crates/control-plane/src/service/instances.rs
+++ b/crates/control-plane/src/service/instances.rs
@@ -1,8 +1,7 @@
 //! Engines tell that they live, and that they leave.
 
-use super::{Rejection, contact};
-use crate::Controller;
-use crate::engines::registry;
+use super::{Rejection, require_contact};
+use crate::engines::registry::{EngineRegistry, HeartbeatSource};
 use bytes::Bytes;
 use fleet_core::wire::{Engine, EngineState, Weights};
 use std::sync::Arc;
@@ -70,7 +69,7 @@
 
 /// Takes a heartbeat; that of a draining engine is acknowledged when a majority has it.
 pub async fn heartbeat(
-    controller: &Arc<Controller>,
+    registry: &Arc<EngineRegistry>,
     id: String,
     body: Bytes,
 ) -> Result<(), Rejection> {
@@ -80,18 +79,18 @@
     }
     let draining = heartbeat.state == State::Draining;
     // also out of contact: routers that reach only this node need to hear of it
-    registry::record_heartbeat(controller, heartbeat.into_engine(id.clone()), true);
-    contact(controller)?;
+    registry.record_heartbeat(heartbeat.into_engine(id.clone()), HeartbeatSource::Engine);
+    require_contact(registry.consensus())?;
     if draining {
-        replicated(controller, &id).await?;
+        replicated(registry, &id).await?;
     }
     Ok(())
 }
 
 /// Acknowledged only when a majority of the controllers has it.
-async fn replicated(controller: &Arc<Controller>, id: &str) -> Result<(), Rejection> {
-    let Some(engine) = controller.read_state(|n| n.engines.get(id).cloned()) else { return Ok(()) };
-    if registry::replicate_now(controller, engine).await {
+async fn replicated(registry: &Arc<EngineRegistry>, id: &str) -> Result<(), Rejection> {
+    let Some(engine) = registry.get(id) else { return Ok(()) };
+    if registry.replicate_now(engine).await {
         return Ok(());
     }
     Err(Rejection::unavailable("no_majority", "not told to a majority"))
@@ -99,7 +98,7 @@
 
 /// Takes an engine's farewell, acknowledged when a majority has it.
 pub async fn deregister(
-    controller: &Arc<Controller>,
+    registry: &Arc<EngineRegistry>,
     id: String,
     body: Bytes,
 ) -> Result<(), Rejection> {
@@ -108,12 +107,12 @@
     } else {
         serde_json::from_slice(&body).map_err(malformed)?
     };
-    let current = controller.read_state(|n| n.engines.get(&id).cloned());
+    let current = registry.get(&id);
     let call = current.as_ref().map_or(0, |e| e.call);
     let mut engine = current.unwrap_or_else(|| Engine { id: id.clone(), ..Default::default() });
     engine.call = call.max(deregister_body.call_seq.unwrap_or(call + 1));
     engine.set_state(EngineState::Deregistered);
-    registry::record_heartbeat(controller, engine, true);
-    contact(controller)?;
-    replicated(controller, &id).await
+    registry.record_heartbeat(engine, HeartbeatSource::Engine);
+    require_contact(registry.consensus())?;
+    replicated(registry, &id).await
 }
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -5,9 +5,9 @@
 
 pub use view::{BallotView, DiskState, GrantView, KeyView, Lag, LeaseView, MembersView, VoterView};
 
-use crate::Controller;
-use crate::consensus::state_machine;
-use crate::leases;
+use crate::consensus::{Consensus, state_machine};
+use crate::leases::{self, LeaseManager};
+use crate::membership::peer_links::PeerLinks;
 use fleet_core::constants;
 use fleet_core::wire::{Ballot, BallotReport, Body, LeaseValue, Member, Membership, ReadBallots};
 use prost::Message;
@@ -16,45 +16,56 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// What a view is made of.
+pub struct ViewSources {
+    /// This node's vote, and its contact with the others.
+    pub consensus: Arc<Consensus>,
+    /// The zones that the other controllers have told.
+    pub links: Arc<PeerLinks>,
+    /// The leases that it granted and holds.
+    pub leases: Arc<LeaseManager>,
+}
+
 /// The control plane as this controller sees it, in contact or not.
-pub async fn view(controller: &Arc<Controller>) -> MembersView {
-    let (membership, votes, recovery_epoch) = {
-        let acceptor = controller.acceptor.lock();
+pub async fn view(sources: &ViewSources) -> MembersView {
+    let consensus = &sources.consensus;
+    let (membership, votes, recovery_epoch) = consensus.with_acceptor(|acceptor| {
         (acceptor.membership().clone(), acceptor.votes(), acceptor.recovery_epoch())
-    };
-    let answers = query_voters(controller, &membership).await;
+    });
+    let answers = query_voters(consensus, &membership).await;
     let highest = highest_accepted(&answers, state_machine::CONFIG);
-    let voter = |member: &Member| voter_view(controller, member, &answers, highest);
+    let voter = |member: &Member| voter_view(sources, member, &answers, highest);
+    let process = consensus.process();
     MembersView {
-        name: controller.node.name.clone(),
-        ip: controller.node.ip.to_string(),
-        in_contact: controller.in_contact(),
+        name: process.node.name.clone(),
+        ip: process.node.ip.to_string(),
+        in_contact: consensus.in_contact(),
         votes,
-        shutting_down: *controller.shutting_down().borrow(),
-        disk: disk_state(controller),
+        shutting_down: process.is_shutting_down(),
+        disk: disk_state(consensus),
         membership_epoch: membership.epoch,
         recovery_epoch,
-        tolerated_losses: controller.settings().losses,
+        tolerated_losses: process.settings().losses,
         config: BallotView::of(highest),
         voters: membership.members.iter().map(voter).collect(),
         keys: key_views(&answers),
-        leases: lease_views(controller),
+        leases: lease_views(sources),
     }
 }
 
-fn disk_state(controller: &Controller) -> DiskState {
-    if controller.disk_absent() {
+fn disk_state(consensus: &Consensus) -> DiskState {
+    if consensus.is_disk_absent() {
         return DiskState::Absent;
     }
-    if controller.disk_broken() { DiskState::Refused } else { DiskState::Works }
+    if consensus.is_disk_broken() { DiskState::Refused } else { DiskState::Works }
 }
 
 /// What each voter answers, this one too; one that says nothing in time is left out.
 async fn query_voters(
-    controller: &Arc<Controller>,
+    consensus: &Consensus,
     membership: &Membership,
 ) -> BTreeMap<u64, BallotReport> {
-    let calls = controller.links_to(&membership.members).into_iter().map(|(id, link)| async move {
+    let calls = consensus.links_to(&membership.members).into_iter().map(|(id, link)| async move {
         let request =
             Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
         match link.call(request, constants::PHASE_TIMEOUT).await {
@@ -62,13 +73,15 @@
             _ => None,
         }
     });
-    let own =
-        tokio::time::timeout(constants::PHASE_TIMEOUT, controller.vote(|a| a.read_ballots(false)));
+    let own = tokio::time::timeout(
+        constants::PHASE_TIMEOUT,
+        consensus.vote(|acceptor| acceptor.read_ballots(false)),
+    );
     let (others, own) = tokio::join!(futures_util::future::join_all(calls), own);
     let mut answers: BTreeMap<u64, BallotReport> = others.into_iter().flatten().collect();
-    let is_member = controller.acceptor.lock().is_member();
+    let is_member = consensus.with_acceptor(|acceptor| acceptor.is_member());
     if is_member && let Ok(Some(report)) = own {
-        answers.insert(controller.node.id(), report);
+        answers.insert(consensus.process().node.id(), report);
     }
     answers
 }
@@ -85,14 +98,15 @@
 }
 
 fn voter_view(
-    controller: &Controller,
+    sources: &ViewSources,
     member: &Member,
     answers: &BTreeMap<u64, BallotReport>,
     highest: Ballot,
 ) -> VoterView {
+    let node = &sources.consensus.process().node;
     let id = member.addr().map(|ip| u64::from(u32::from(ip)));
-    let reported_zone = member.addr().and_then(|ip| controller.peers.zone_of(ip));
-    let own_zone = (id == Some(controller.node.id())).then(|| controller.node.zone.clone());
+    let reported_zone = member.addr().and_then(|ip| sources.links.zone_of(ip));
+    let own_zone = (id == Some(node.id())).then(|| node.zone.clone());
     let view = VoterView {
         ip: member.ip.clone(),
         zone: own_zone.or(reported_zone).unwrap_or_else(|| member.zone.clone()),
@@ -101,7 +115,7 @@
         ..Default::default()
     };
     let Some(report) = id.and_then(|id| answers.get(&id)) else {
-        let age = id.and_then(|id| controller.last_answer_age(id));
+        let age = id.and_then(|id| sources.consensus.last_answer_age(id));
         return VoterView { last_answer_ms: age.map(as_millis), ..view };
     };
     let accepted_ballot = accepted(report, state_machine::CONFIG);
@@ -132,23 +146,25 @@
     owned.collect()
 }
 
-fn lease_views(controller: &Arc<Controller>) -> Vec<LeaseView> {
+fn lease_views(sources: &ViewSources) -> Vec<LeaseView> {
     let all = [leases::INDEX_OWNER_LEASE, leases::ROLLOUT_LEASE];
-    all.into_iter().filter_map(|lease_name| lease_view(controller, lease_name)).collect()
+    all.into_iter().filter_map(|lease_name| lease_view(sources, lease_name)).collect()
 }
 
-fn lease_view(controller: &Arc<Controller>, lease_name: &str) -> Option<LeaseView> {
-    let value = controller.newest_value(&state_machine::lease_key(lease_name))?;
-    let value = LeaseValue::decode(value).ok()?;
+fn lease_view(sources: &ViewSources, lease_name: &str) -> Option<LeaseView> {
+    let register = sources.consensus.newest_register(&state_machine::lease_key(lease_name))?;
+    let value = LeaseValue::decode(register.value).ok()?;
     let now = Instant::now();
-    let granted = controller.leases.granted(lease_name, now);
+    let granted = sources.leases.granted(lease_name, now);
     Some(LeaseView {
         name: lease_name.to_owned(),
         holder: value.holder,
         fencing_token: value.fencing_token,
-        acts: controller.leases.fencing_token(lease_name).is_some(),
-        granted: granted
-            .map(|(node, until)| GrantView { node, remaining_ms: as_millis(until - now) }),
+        acts: sources.leases.fencing_token(lease_name).is_some(),
+        granted: granted.map(|grant| GrantView {
+            node: grant.node,
+            remaining_ms: as_millis(grant.until - now),
+        }),
     })
 }
 
--- a/crates/control-plane/src/service/mod.rs
+++ b/crates/control-plane/src/service/mod.rs
@@ -6,12 +6,12 @@
 pub mod membership;
 pub mod weights;
 
-use crate::Controller;
+use crate::consensus::Consensus;
 
 /// Out of contact with a majority of the voters nothing is acknowledged, refused or handed out: the caller
 /// goes on to another node at once.
-pub fn contact(controller: &Controller) -> Result<(), Rejection> {
-    if controller.in_contact() {
+pub fn require_contact(consensus: &Consensus) -> Result<(), Rejection> {
+    if consensus.in_contact() {
         return Ok(());
     }
     Err(Rejection::unavailable("no_contact", "out of contact with a majority of the controllers"))
--- a/crates/control-plane/src/service/weights.rs
+++ b/crates/control-plane/src/service/weights.rs
@@ -1,7 +1,7 @@
 //! New weights are named.
 
-use super::{Rejection, contact};
-use crate::Controller;
+use super::{Rejection, require_contact};
+use crate::consensus::Consensus;
 use crate::consensus::forward;
 use bytes::Bytes;
 use fleet_core::wire::{ChangeKind, Outcome, SetTargetVersion};
@@ -14,12 +14,12 @@
 }
 
 /// Names the version that a model's engines shall have.
-pub async fn put(controller: &Arc<Controller>, body: Bytes) -> Result<(), Rejection> {
-    contact(controller)?;
+pub async fn put(consensus: &Arc<Consensus>, body: Bytes) -> Result<(), Rejection> {
+    require_contact(consensus)?;
     let put: Put = serde_json::from_slice(&body)
         .map_err(|error| Rejection::bad_request("malformed", error))?;
     let change = ChangeKind::Name(SetTargetVersion { model: put.model, version: put.revision });
-    match forward::submit(controller, change).await.outcome() {
+    match forward::submit(consensus, change).await.outcome() {
         Outcome::Done => Ok(()),
         _ => Err(Rejection::unavailable("unknown", "no majority in time: it may yet be named")),
     }
--- a/crates/control-plane/tests/cluster.rs
+++ b/crates/control-plane/tests/cluster.rs
@@ -16,8 +16,10 @@
 mod second_loss;
 
 use bytes::Bytes;
+use control_plane::Controller;
 use control_plane::service::{configuration, instances};
 use harness::Cluster;
+use std::sync::Arc;
 
 /// Enough for tables of them to have more than one order.
 const ENGINES: usize = 9;
@@ -36,9 +38,9 @@
 
 async fn replace(cluster: &Cluster, node: usize, base: u64, version: u64) {
     let base = base.to_string();
-    let call = |controller| {
+    let call = |controller: Arc<Controller>| {
         let base = base.clone();
-        async move { configuration::replace(&controller, Some(&base), sheet(version)).await }
+        async move { configuration::replace(controller.consensus(), Some(&base), sheet(version)).await }
     };
     assert_eq!(cluster.retry_until_ok(node, call).await.version, version);
 }
@@ -46,7 +48,9 @@
 /// One read of each node, as soon as it answers, gives this version.
 async fn read_everywhere(cluster: &Cluster, nodes: &[usize], version: u64) {
     for node in nodes {
-        let call = |controller| async move { configuration::fetch(&controller).await };
+        let call = |controller: Arc<Controller>| async move {
+            configuration::fetch(controller.consensus()).await
+        };
         assert_eq!(cluster.retry_until_ok(*node, call).await, sheet(version), "n{node}");
     }
 }
@@ -57,8 +61,11 @@
         let heartbeat = serde_json::json!({"service": "s", "address": format!("10.0.1.{engine}:80"),
             "state": "ready", "callSeq": 1});
         let controller = cluster.controller(node);
-        let answer =
-            instances::heartbeat(controller, format!("e{engine}"), heartbeat.to_string().into());
+        let answer = instances::heartbeat(
+            controller.registry(),
+            format!("e{engine}"),
+            heartbeat.to_string().into(),
+        );
         answer.await.unwrap();
     }
 }
@@ -76,7 +83,7 @@
     read_everywhere(&cluster, &all, 8).await;
     cluster.wait_until_settled().await;
     let cluster_state = |node: &usize| {
-        cluster.controller(*node).read_state(|cluster_state| cluster_state.engines.len())
+        cluster.controller(*node).cluster_state().read(|cluster_state| cluster_state.engines.len())
     };
     assert!(all.iter().all(|node| cluster_state(node) == ENGINES));
     cluster.trace.lines()
@@ -96,8 +103,8 @@
     cluster.crash(2);
     cluster.crash(3);
     let alone = cluster.controller(1);
-    let read = configuration::fetch(alone).await.unwrap_err();
-    let changed = configuration::replace(alone, Some("7"), sheet(8)).await.unwrap_err();
+    let read = configuration::fetch(alone.consensus()).await.unwrap_err();
+    let changed = configuration::replace(alone.consensus(), Some("7"), sheet(8)).await.unwrap_err();
     assert_eq!((read.status.as_u16(), changed.status.as_u16()), (503, 503));
 }
 
@@ -128,7 +135,7 @@
     cluster.wait_until_settled().await;
     cluster.wait_until_settled().await;
     assert_eq!(cluster.members(2), [1, 2, 3, 4, 6]);
-    assert!(cluster.controller(6).acceptor.lock().votes());
+    assert!(cluster.controller(6).consensus().votes());
     cluster.crash(4);
     replace(&cluster, 6, 7, 8).await;
     read_everywhere(&cluster, &[2, 3, 6], 8).await;
@@ -142,8 +149,9 @@
     cluster.wait_until_settled().await;
     heartbeats(&cluster, 1).await;
     cluster.stop(1).await;
-    let cluster_state =
-        |node| cluster.controller(node).read_state(|cluster_state| cluster_state.engines.len());
+    let cluster_state = |node| {
+        cluster.controller(node).cluster_state().read(|cluster_state| cluster_state.engines.len())
+    };
     assert_eq!((cluster_state(2), cluster_state(3)), (ENGINES, ENGINES));
 }
 
@@ -157,7 +165,8 @@
     assert!(
         cluster
             .controller(3)
-            .read_state(|cluster_state| cluster_state.engines.values().all(|e| e.heartbeat_missed))
+            .cluster_state()
+            .read(|cluster_state| cluster_state.engines.values().all(|e| e.heartbeat_missed))
     );
     cluster.crash(1);
     cluster.start(1).await;
@@ -166,7 +175,7 @@
     let ready = |cluster_state: &control_plane::cluster_state::ClusterState| {
         cluster_state.engines.values().any(|e| !e.heartbeat_missed)
     };
-    assert!(!cluster.controller(1).read_state(ready));
+    assert!(!cluster.controller(1).cluster_state().read(ready));
 }
 
 /// A former member comes back with the disk it had, while others have its place.
@@ -182,7 +191,7 @@
     cluster.start(1).await;
     cluster.wait_until_settled().await;
     assert_eq!(cluster.members(1), [2, 3, 4]);
-    assert!(!cluster.controller(1).acceptor.lock().votes());
+    assert!(!cluster.controller(1).consensus().votes());
     cluster.crash(2);
     cluster.wait_until_settled().await;
     assert_eq!(cluster.members(3), [1, 3, 4]);
@@ -214,16 +223,18 @@
     let mut large: serde_json::Value = serde_json::from_slice(&sheet(7)).unwrap();
     large["routes"][0]["pathPrefix"] = format!("/{}", "x".repeat(3_000_000)).into();
     let large = Bytes::from(large.to_string());
-    let put = |controller| {
+    let put = |controller: Arc<Controller>| {
         let large = large.clone();
-        async move { configuration::replace(&controller, Some("0"), large).await }
+        async move { configuration::replace(controller.consensus(), Some("0"), large).await }
     };
     assert_eq!(cluster.retry_until_ok(1, put).await.version, 7);
     cluster.crash(3);
     cluster.start_empty(3).await;
     cluster.wait_until_settled().await;
     cluster.crash(1);
-    let call = |controller| async move { configuration::fetch(&controller).await };
+    let call = |controller: Arc<Controller>| async move {
+        configuration::fetch(controller.consensus()).await
+    };
     assert!(
         cluster.retry_until_ok(3, call).await == large,
         "read by the one that lost its disk and one other"
--- a/crates/control-plane/tests/cluster/hung_disk.rs
+++ b/crates/control-plane/tests/cluster/hung_disk.rs
@@ -17,7 +17,8 @@
     let base = base.to_string();
     let begun = Instant::now();
     let answer =
-        configuration::replace(cluster.controller(node), Some(&base), sheet(version)).await;
+        configuration::replace(cluster.controller(node).consensus(), Some(&base), sheet(version))
+            .await;
     let took = begun.elapsed();
     assert_eq!(answer.map(|taken| taken.version).ok(), Some(version), "n{node} after {took:?}");
     assert!(took < ANSWERED, "n{node} answered after {took:?}");
@@ -86,7 +87,7 @@
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
     let request = PreVoteRequest { key: state_machine::CONFIG.into(), membership: 1 };
-    let willing = || key_owner::pre_vote(cluster.controller(2), &request).ok;
+    let willing = || key_owner::pre_vote(cluster.controller(2).consensus(), &request).ok;
     assert!(willing());
     cluster.hang_disk(2, true);
     cluster.wait_until_settled().await;
--- a/crates/control-plane/tests/cluster/leases.rs
+++ b/crates/control-plane/tests/cluster/leases.rs
@@ -14,7 +14,7 @@
 /// Who may give orders now, and under which fence.
 fn holder(cluster: &Cluster, nodes: &[usize]) -> Option<(usize, u64)> {
     let fencing_token =
-        |node: &usize| cluster.controller(*node).leases.fencing_token(ROLLOUT_LEASE);
+        |node: &usize| cluster.controller(*node).leases().fencing_token(ROLLOUT_LEASE);
     let mut all = nodes.iter().filter_map(|node| Some((*node, fencing_token(node)?)));
     let one = all.next();
     assert_eq!(all.next(), None, "beside {one:?}");
@@ -80,7 +80,7 @@
     let (second, higher) = next_holder(&cluster, &others(3, first)).await;
     assert!(higher > fencing_token && second != first);
     assert!(stopped_at.elapsed() >= LEASE, "after {:?}", stopped_at.elapsed());
-    assert_eq!(cluster.controller(first).leases.fencing_token(ROLLOUT_LEASE), None);
+    assert_eq!(cluster.controller(first).leases().fencing_token(ROLLOUT_LEASE), None);
 }
 
 #[tokio::test(start_paused = true)]
@@ -106,15 +106,16 @@
     let heartbeat = r#"{"service":"s","address":"10.0.1.99:80","state":"ready","callSeq":1}"#;
     let alone = cluster.controller(1);
     let asked = Instant::now();
-    let answer = instances::heartbeat(alone, "late".into(), heartbeat.into()).await.unwrap_err();
-    let read = configuration::fetch(alone).await.unwrap_err();
+    let answer =
+        instances::heartbeat(alone.registry(), "late".into(), heartbeat.into()).await.unwrap_err();
+    let read = configuration::fetch(alone.consensus()).await.unwrap_err();
     assert_eq!((answer.code, read.code), ("no_contact", "no_contact"));
     assert_eq!(asked.elapsed(), Duration::ZERO, "nobody was asked first");
     assert!(
-        alone.read_state(|cluster_state| cluster_state.engines.contains_key("late")),
+        alone.cluster_state().read(|cluster_state| cluster_state.engines.contains_key("late")),
         "heard all the same"
     );
     cluster.start(2).await;
-    cluster.retry_until_ok(1, |s| async move { configuration::fetch(&s).await }).await;
+    cluster.retry_until_ok(1, |s| async move { configuration::fetch(s.consensus()).await }).await;
     heartbeats(&cluster, 1).await;
 }
--- a/crates/control-plane/tests/cluster/membership_view.rs
+++ b/crates/control-plane/tests/cluster/membership_view.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 async fn observe(cluster: &Cluster, node: usize) -> MembersView {
-    view(cluster.controller(node)).await
+    view(cluster.controller(node).view_sources()).await
 }
 
 fn voter(view: &MembersView, node: usize) -> &VoterView {
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -51,7 +51,8 @@
     body: impl ToString,
 ) -> Result<u64, Rejection> {
     let body = body.to_string().into();
-    let replaced = configuration::replace(fleet.controller(at), Some(base), body).await?;
+    let replaced =
+        configuration::replace(fleet.controller(at).consensus(), Some(base), body).await?;
     Ok(replaced.version)
 }
 
@@ -145,7 +146,7 @@
             assert_eq!(got, (order.status, order.code), "{what}");
         }
     }
-    let body = configuration::fetch(fleet.controller(2)).await.unwrap_or_default();
+    let body = configuration::fetch(fleet.controller(2).consensus()).await.unwrap_or_default();
     assert_eq!(body, sheet(5, 10).to_string());
 }
 
@@ -256,7 +257,7 @@
     fleet.crash(3);
     assert_eq!(request_config(&link, &bytes::Bytes::new()).await, ConfigResponse::default());
     assert_eq!(
-        configuration::fetch(fleet.controller(1)).await.map_err(|r| r.status.as_u16()),
+        configuration::fetch(fleet.controller(1).consensus()).await.map_err(|r| r.status.as_u16()),
         Err(503)
     );
     for body in [sheet(6, 10), sheet(5, 10)] {
