--- a/crates/control-plane/tests/cluster/resignation.rs
+++ b/crates/control-plane/tests/cluster/resignation.rs
@@ -14,7 +14,8 @@
     let (version, begun) = (base + 1, Instant::now());
     let base = base.to_string();
     let answer =
-        configuration::replace(cluster.controller(node), Some(&base), sheet(version)).await;
+        configuration::replace(cluster.controller(node).consensus(), Some(&base), sheet(version))
+            .await;
     let took = begun.elapsed();
     assert_eq!(answer.map(|taken| taken.version).ok(), Some(version), "n{node} after {took:?}");
     assert!(took < SOON, "n{node} answered after {took:?}");
@@ -49,8 +50,9 @@
         let cluster = owned_by_first(52).await;
         cluster.leave(1).await;
         replaced_soon(&cluster, node, 8).await;
-        let owner = cluster.controller(2).acceptor.lock().owner("config");
-        let former_owner = cluster.controller(1).node.id();
+        let owner =
+            cluster.controller(2).consensus().with_acceptor(|acceptor| acceptor.owner("config"));
+        let former_owner = cluster.controller(1).node().id();
         assert!(owner.is_some_and(|id| id != former_owner), "{owner:?}");
     }
 }
@@ -63,7 +65,7 @@
             let cluster = owned_by_first(53).await;
             let controller = cluster.controller(node).clone();
             let order = tokio::spawn(async move {
-                configuration::replace(&controller, Some("8"), sheet(9)).await
+                configuration::replace(controller.consensus(), Some("8"), sheet(9)).await
             });
             tokio::time::sleep(Duration::from_millis(begun_before)).await;
             cluster.leave(1).await;
--- a/crates/control-plane/tests/harness/mod.rs
+++ b/crates/control-plane/tests/harness/mod.rs
@@ -204,13 +204,13 @@
 
     /// Nodes in the membership as this one knows it.
     pub fn members(&self, node: usize) -> Vec<usize> {
-        let acceptor = self.controller(node).acceptor.lock();
+        let membership = self.controller(node).consensus().membership();
         let last = |ip: &str| ip.rsplit('.').next().and_then(|n| n.parse().ok());
-        acceptor.membership().members.iter().filter_map(|m| last(&m.ip)).collect()
+        membership.members.iter().filter_map(|m| last(&m.ip)).collect()
     }
 
     pub fn controller(&self, node: usize) -> &Arc<Controller> {
-        &self.started[&node].running.controller
+        self.started[&node].running.controller()
     }
 
     /// A router's link to a node; what is pushed to it goes to `pushed`.
--- a/crates/control-plane/tests/peers.rs
+++ b/crates/control-plane/tests/peers.rs
@@ -1,16 +1,28 @@
 //! Whose messages still count after a disk was lost.
 
-use control_plane::membership::Peers;
-use fleet_core::node::Role;
+use control_plane::membership::peer_links::PeerLinks;
+use control_plane::process::Process;
+use fleet_core::node::{Node, Role};
+use fleet_core::settings::Settings;
+use fleet_core::transport::Tcp;
 use fleet_core::wire::Handshake;
+use std::sync::Arc;
 
 fn handshake(role: Role, incarnation: u64) -> Handshake {
     Handshake { ip: "10.0.0.7".into(), role: role as u32, incarnation, ..Default::default() }
 }
 
+fn links() -> PeerLinks {
+    let text = "nodeName=a\nip=10.0.0.1\nzone=z\nportRange=1,9\n";
+    let settings = Settings::parse(text).unwrap();
+    let node = Node::seeded(&settings, Role::Controller, 1);
+    let log = slog::Logger::root(slog::Discard, slog::o!());
+    PeerLinks::new(Arc::new(Process::new(node, settings, log)), Tcp::shared())
+}
+
 #[test]
 fn a_lost_disk_ends_former_incarnations_of_its_controller_and_not_the_router_beside_it() {
-    let m = Peers::default();
+    let m = links();
     let (old, new) = (handshake(Role::Controller, 1), handshake(Role::Controller, 2));
     let router = handshake(Role::Router, 3);
     for h in [&old, &new, &router] {
--- a/crates/fleet-core/src/journal.rs
+++ b/crates/fleet-core/src/change_log.rs
@@ -59,5 +59,5 @@
 }
 
 #[cfg(test)]
-#[path = "journal_tests.rs"]
+#[path = "change_log_tests.rs"]
 mod tests;
--- a/crates/fleet-core/src/lib.rs
+++ b/crates/fleet-core/src/lib.rs
@@ -1,18 +1,20 @@
 //! What the controller, the router and the tool share: settings, configuration, messages and the links that carry
 //! them, log events, constants. It depends on no other crate of the workspace.
 
+pub mod change_log;
 pub mod configuration;
 pub mod constants;
 pub mod delta;
 pub mod digest;
 pub mod fleet;
-pub mod journal;
+
 pub mod link;
 pub mod load;
 pub mod log;
 pub mod node;
 pub mod packing;
 pub mod program;
+pub mod random;
 pub mod settings;
 pub mod transport;
 pub mod wire;
--- a/crates/simulation/src/engine_workload.rs
+++ b/crates/simulation/src/engine_workload.rs
@@ -4,6 +4,7 @@
 use crate::history::{DrainObservation, Micros};
 use crate::world::World;
 use bytes::Bytes;
+use control_plane::Controller;
 use control_plane::service::instances;
 use fleet_core::wire::EngineState;
 use std::sync::Arc;
@@ -51,7 +52,9 @@
         let machines = self.world.machines();
         let machine = machines[self.rng.usize(0..machines.len())].clone();
         let (id, body) = (self.id.clone(), Bytes::from(body.to_string()));
-        let call = async move |controller| instances::heartbeat(&controller, id, body).await;
+        let call = async move |controller: Arc<Controller>| {
+            instances::heartbeat(controller.registry(), id, body).await
+        };
         let answer = self.world.ask(&machine, call).await;
         matches!(answer, Some(Ok(()))).then_some(machine.number)
     }
@@ -62,12 +65,12 @@
     let mut observation = Vec::new();
     for machine in world.machines() {
         let Some((_, controller)) = machine.controller() else { continue };
-        if !controller.acceptor.lock().is_member() {
+        if !controller.consensus().with_acceptor(|acceptor| acceptor.is_member()) {
             continue;
         }
-        let state = controller.read_state(|cluster_state| {
-            cluster_state.engines.get(&drained.engine).map(|e| e.state())
-        });
+        let state = controller
+            .cluster_state()
+            .read(|cluster_state| cluster_state.engines.get(&drained.engine).map(|e| e.state()));
         let ready = state == Some(EngineState::Ready);
         observation.push(DrainObservation {
             engine: drained.engine.clone(),
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -157,7 +157,7 @@
             ends.close_connections();
             return;
         }
-        let controller = running.controller.clone();
+        let controller = running.controller().clone();
         *self.process.lock() = Some(Process { start, controller, running: Some(running), ends });
     }
 
--- a/crates/simulation/src/operator_workload.rs
+++ b/crates/simulation/src/operator_workload.rs
@@ -7,6 +7,7 @@
 use crate::machine::Machine;
 use crate::world::World;
 use bytes::Bytes;
+use control_plane::Controller;
 use control_plane::service::{Rejection, configuration};
 use http::StatusCode;
 use std::sync::Arc;
@@ -126,8 +127,9 @@
 
     async fn exchange(&self, machine: &Arc<Machine>, order: &Order) -> Reply {
         let (base, body) = (order.base.to_string(), order.body.clone());
-        let call =
-            async move |controller| configuration::replace(&controller, Some(&base), body).await;
+        let call = async move |controller: Arc<Controller>| {
+            configuration::replace(controller.consensus(), Some(&base), body).await
+        };
         let answer = self.world.ask(machine, call).await;
         self.as_mutant(reply_of(answer))
     }
--- a/crates/simulation/src/read_workload.rs
+++ b/crates/simulation/src/read_workload.rs
@@ -58,14 +58,16 @@
         if is_stale {
             return current(&controller);
         }
-        control_plane::service::configuration::fetch(&controller).await.ok()
+        control_plane::service::configuration::fetch(controller.consensus()).await.ok()
     };
     world.ask(machine, call).await.flatten()
 }
 
 /// What a controller holds itself, whatever the others have.
 fn current(controller: &Controller) -> Option<Bytes> {
-    let register = controller.acceptor.lock().register(state_machine::CONFIG)?.clone();
+    let register = controller
+        .consensus()
+        .with_acceptor(|acceptor| acceptor.register(state_machine::CONFIG).cloned())?;
     let value = ConfigValue::decode(register.value).ok()?;
     if value.version == 0 {
         return None;
--- a/crates/simulation/src/sampler.rs
+++ b/crates/simulation/src/sampler.rs
@@ -22,7 +22,7 @@
     let mut now = Vec::new();
     for machine in world.machines() {
         let Some((start, controller)) = machine.controller() else { continue };
-        if let Some(fencing_token) = controller.leases.fencing_token(ROLLOUT_LEASE) {
+        if let Some(fencing_token) = controller.leases().fencing_token(ROLLOUT_LEASE) {
             now.push((machine.number, start, fencing_token));
         }
     }
@@ -44,7 +44,7 @@
 fn sample_memberships(world: &World, last: &mut BTreeMap<usize, u64>) {
     for machine in world.machines() {
         let Some((_, controller)) = machine.controller() else { continue };
-        let membership = controller.acceptor.lock().membership().clone();
+        let membership = controller.consensus().membership();
         if membership.epoch == 0
             || last.insert(machine.number, membership.epoch) == Some(membership.epoch)
         {
@@ -80,9 +80,9 @@
         let number = machine.map(|machine| machine.number);
         stand.push(CaughtUp {
             machine: number,
-            votes: controller.as_ref().is_some_and(|(_, c)| c.acceptor.lock().votes()),
+            votes: controller.as_ref().is_some_and(|(_, c)| c.consensus().votes()),
             version: controller
-                .map_or(0, |(_, c)| c.read_state(|k| k.config.map_or(0, |(v, _)| v))),
+                .map_or(0, |(_, c)| c.cluster_state().read(|k| k.config.map_or(0, |(v, _)| v))),
         });
     }
     stand
