--- a/crates/simulation/src/checker.rs
+++ b/crates/simulation/src/checker.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub enum Invariant {
     /// I1: what was committed is for ever.
-    CommitNotice,
+    Durability,
     /// I2: committed versions form one chain.
     Chain,
     /// I3: an answer is given only when it is certain.
@@ -33,7 +33,7 @@
     /// The short name that docs and reports use.
     pub fn code(self) -> &'static str {
         match self {
-            Invariant::CommitNotice => "I1",
+            Invariant::Durability => "I1",
             Invariant::Chain => "I2",
             Invariant::Answers => "I3",
             Invariant::Fresh => "I4",
@@ -184,7 +184,7 @@
                 before.version, before.base, after.version, after.base
             );
             let lost = before.was_superseded_by(after) || after.was_superseded_by(before);
-            found.add(if lost { Invariant::CommitNotice } else { Invariant::Chain }, why);
+            found.add(if lost { Invariant::Durability } else { Invariant::Chain }, why);
         }
     }
     for read in &changes.unsent {
@@ -263,12 +263,12 @@
         changes.all.values().filter(|c| c.first_acknowledged.is_some()).map(|c| c.version).max();
     let Some(newest) = acknowledged else { return };
     if history.finished && history.last_reads.is_empty() {
-        found.add(Invariant::CommitNotice, format!("nobody gives {newest:?}, or anything, back"));
+        found.add(Invariant::Durability, format!("nobody gives {newest:?}, or anything, back"));
     }
     for read in &history.last_reads {
         if read.version.number < newest.number {
             let why = format!("{newest:?} was acknowledged and is lost: {read:?}");
-            found.add(Invariant::CommitNotice, why);
+            found.add(Invariant::Durability, why);
         }
     }
 }
@@ -329,7 +329,7 @@
 fn check_drains(history: &History, found: &mut Findings) {
     for observation in history.drains.iter().filter(|observation| observation.ready) {
         found.add(
-            Invariant::CommitNotice,
+            Invariant::Durability,
             format!("a drain was acknowledged and is lost: {observation:?}"),
         );
     }
--- a/crates/simulation/src/checker_tests.rs
+++ b/crates/simulation/src/checker_tests.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_change_that_a_later_one_does_not_build_on_is_lost() {
-    assert_eq!(broken(&acknowledged(&[(0, 1), (1, 2), (1, 3)])), [Invariant::CommitNotice]);
+    assert_eq!(broken(&acknowledged(&[(0, 1), (1, 2), (1, 3)])), [Invariant::Durability]);
 }
 
 #[test]
@@ -134,14 +134,14 @@
 fn an_acknowledged_change_that_is_gone_at_the_end_is_lost() {
     let mut history = acknowledged(&[(0, 1), (1, 2)]);
     history.last_reads = vec![read(1, (900, 910))];
-    assert_eq!(broken(&history), [Invariant::CommitNotice]);
+    assert_eq!(broken(&history), [Invariant::Durability]);
 }
 
 #[test]
 fn an_acknowledged_change_that_nobody_gives_back_is_lost() {
     let mut history = acknowledged(&[(0, 1)]);
     history.finished = true;
-    assert_eq!(broken(&history), [Invariant::CommitNotice]);
+    assert_eq!(broken(&history), [Invariant::Durability]);
 }
 
 #[test]
@@ -201,7 +201,7 @@
         broken(&History { drains: vec![observation], ..History::default() })
     };
     assert_eq!(judged(false), []);
-    assert_eq!(judged(true), [Invariant::CommitNotice]);
+    assert_eq!(judged(true), [Invariant::Durability]);
 }
 
 #[test]
--- a/crates/simulation/src/injected_bug.rs
+++ b/crates/simulation/src/injected_bug.rs
@@ -52,7 +52,7 @@
     /// The invariant that this defect breaks.
     pub fn breaks(self) -> Invariant {
         match self {
-            InjectedBug::LyingDisk => Invariant::CommitNotice,
+            InjectedBug::LyingDisk => Invariant::Durability,
             InjectedBug::EarlyAcknowledgement => Invariant::Chain,
             InjectedBug::HastyRefusal => Invariant::Answers,
             InjectedBug::StaleRead => Invariant::Fresh,
