--- a/crates/fleet-core/src/constants/link.rs
+++ b/crates/fleet-core/src/constants/link.rs
@@ -26,3 +26,7 @@
 pub const SLOW_READER_BACKLOG: usize = 8;
 /// ms; pause before a slow reader's queue is looked at again.
 pub const SLOW_READER_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// bytes; most messages are small, and each connection has a buffer to read them from.
+pub const LINK_READ_BUFFER: usize = 4096;
+/// bytes; a larger buffer of written frames is given back once they have gone.
+pub const WRITE_BUFFER_RETAINED: usize = 256 << 10;
--- a/crates/fleet-core/src/link_backlog_tests.rs
+++ b/crates/fleet-core/src/link/backlog_tests.rs
@@ -1,7 +1,14 @@
 //! Tests of the bounds on what `link` keeps for a slow reader.
 
+use super::frame::{encode, read_frame};
+use super::peer::serve_peer;
 use super::*;
+use crate::constants;
+use crate::transport::ByteReader;
+use crate::wire::{Body, Frame};
 use crate::wire::{FleetUpdate, Handshake, LoadReport};
+use std::sync::Arc;
+use tokio::io::AsyncWriteExt;
 
 const FRAMES: usize = 100;
 
--- /dev/null
+++ b/crates/fleet-core/src/link/client.rs
@@ -0,0 +1,273 @@
+//! The side of a link that connects: it keeps one connection to an address up, and sends calls and messages over it.
+
+use super::LinkError;
+use super::frame::{self, NO_CALL, read_frame};
+use super::writer::Writer;
+use crate::constants;
+use crate::node::Node;
+use crate::transport::{BoxedStream, ByteReader, Tcp, Transport};
+use crate::wire::{Body, Frame, Handshake};
+use parking_lot::Mutex;
+use std::collections::BTreeMap;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Weak};
+use std::time::Duration;
+use tokio::io::BufReader;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+
+/// Calls without an answer yet, by number. An answer of a kind that this program does not know comes as none.
+///
+/// Ordered, so that a broken connection wakes its callers in the order of their calls.
+type PendingCalls = Arc<Mutex<BTreeMap<u64, oneshot::Sender<Option<Body>>>>>;
+
+/// The connection that stands.
+struct Connected {
+    frames: mpsc::Sender<Frame>,
+    pending: PendingCalls,
+}
+
+/// Our end of a link that is kept up to one address.
+///
+/// Dropping it closes the connection and ends its task.
+pub struct Link {
+    /// The address of the other side.
+    pub to: SocketAddr,
+    own: Ipv4Addr,
+    transport: Arc<dyn Transport>,
+    handshake: Handshake,
+    connected: Mutex<Option<Connected>>,
+    next_call: AtomicU64,
+    rejected: AtomicU64,
+    last_received: Mutex<Option<Instant>>,
+    is_up: watch::Sender<bool>,
+    task: Mutex<Option<AbortHandle>>,
+}
+
+/// How a node introduces itself on a new connection.
+fn handshake(node: &Node) -> Handshake {
+    Handshake {
+        name: node.name.clone(),
+        ip: node.ip.to_string(),
+        zone: node.zone.clone(),
+        role: node.role as u32,
+        incarnation: node.incarnation,
+    }
+}
+
+impl Drop for Link {
+    fn drop(&mut self) {
+        if let Some(task) = self.task.lock().take() {
+            task.abort();
+        }
+    }
+}
+
+impl Link {
+    /// Keeps a link over TCP up until dropped; what the other side pushes goes to `pushed`.
+    pub fn keep(node: &Node, to: SocketAddr, pushed: Option<mpsc::Sender<Body>>) -> Arc<Link> {
+        Self::keep_over(Tcp::shared(), node, to, pushed)
+    }
+
+    /// As [`Link::keep`], over any transport.
+    pub fn keep_over(
+        transport: Arc<dyn Transport>,
+        node: &Node,
+        to: SocketAddr,
+        pushed: Option<mpsc::Sender<Body>>,
+    ) -> Arc<Link> {
+        let link = Arc::new(Link {
+            to,
+            own: node.ip,
+            transport,
+            handshake: handshake(node),
+            connected: Mutex::new(None),
+            next_call: AtomicU64::new(NO_CALL + 1),
+            rejected: AtomicU64::new(0),
+            last_received: Mutex::new(None),
+            is_up: watch::channel(false).0,
+            task: Mutex::new(None),
+        });
+        let weak = Arc::downgrade(&link);
+        let task = tokio::spawn(Self::reconnect(weak, pushed));
+        *link.task.lock() = Some(task.abort_handle());
+        link
+    }
+
+    /// Connects, serves the connection until it breaks, and starts anew; ends with the link.
+    async fn reconnect(weak: Weak<Link>, pushed: Option<mpsc::Sender<Body>>) {
+        loop {
+            let Some(link) = weak.upgrade() else { return };
+            let (own, to, handshake) = (link.own, link.to, link.handshake.clone());
+            let transport = link.transport.clone();
+            drop(link);
+            if let Ok(stream) = transport.connect(own, to, constants::CONNECT_TIMEOUT).await {
+                Self::serve(&weak, stream, handshake, pushed.as_ref()).await;
+            }
+            tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
+        }
+    }
+
+    /// Carries one connection from the handshake to its end.
+    async fn serve(
+        weak: &Weak<Link>,
+        stream: BoxedStream,
+        handshake: Handshake,
+        pushed: Option<&mpsc::Sender<Body>>,
+    ) {
+        let (reader, writer) = stream.into_halves();
+        let (frames, outgoing) = mpsc::channel(constants::LINK_BACKLOG);
+        let pending = PendingCalls::default();
+        let writer = Writer::start(writer, outgoing);
+        let first = Frame { call: NO_CALL, answer: false, body: Some(Body::Handshake(handshake)) };
+        if frames.send(first).await.is_err() {
+            return;
+        }
+        {
+            let Some(link) = weak.upgrade() else { return };
+            *link.connected.lock() = Some(Connected { frames, pending: pending.clone() });
+            *link.last_received.lock() = Some(Instant::now());
+            link.is_up.send_replace(true);
+        }
+        Self::receive(weak, reader, &writer, &pending, pushed).await;
+        drop(writer);
+        if let Some(link) = weak.upgrade() {
+            *link.connected.lock() = None;
+            link.is_up.send_replace(false);
+        }
+        // No call can be added any more: those that wait learn that no answer will come.
+        pending.lock().clear();
+    }
+
+    /// Hands answers to their calls and pushed messages to `pushed`, until the connection ends.
+    async fn receive(
+        weak: &Weak<Link>,
+        reader: ByteReader,
+        writer: &Writer,
+        pending: &PendingCalls,
+        pushed: Option<&mpsc::Sender<Body>>,
+    ) {
+        let mut reader = frame::buffered(reader);
+        loop {
+            let received = next_frame(&mut reader, writer).await;
+            let Some(link) = weak.upgrade() else { return };
+            let frame = match received {
+                Ok(frame) => frame,
+                Err(error) => return link.count_rejected(&error),
+            };
+            *link.last_received.lock() = Some(Instant::now());
+            drop(link);
+            if frame.answer {
+                if let Some(caller) = pending.lock().remove(&frame.call) {
+                    // A caller that gave up meanwhile needs no answer.
+                    let _ = caller.send(frame.body);
+                }
+            } else if let (Some(pushed), Some(body)) = (pushed, frame.body)
+                && pushed.send(body).await.is_err()
+            {
+                return;
+            }
+        }
+    }
+
+    /// Whether the connection stands, as far as this side knows.
+    pub fn is_up(&self) -> bool {
+        *self.is_up.borrow()
+    }
+
+    /// Follows whether the connection stands.
+    pub fn watch(&self) -> watch::Receiver<bool> {
+        self.is_up.subscribe()
+    }
+
+    /// Time since the other side last sent anything; none before the first connection.
+    pub fn time_since_received(&self) -> Option<Duration> {
+        self.last_received.lock().map(|received| received.elapsed())
+    }
+
+    /// Frames and answers of the other side that could not be taken.
+    pub fn rejected(&self) -> u64 {
+        self.rejected.load(Ordering::Relaxed)
+    }
+
+    fn count_rejected(&self, error: &LinkError) {
+        self.rejected.fetch_add(u64::from(error.is_protocol_violation()), Ordering::Relaxed);
+    }
+
+    /// Sends a message that needs no answer; it is lost where the connection breaks.
+    ///
+    /// # Errors
+    ///
+    /// [`LinkError::TooLarge`], or [`LinkError::Down`] where there is no connection or its backlog is full; nothing was
+    /// sent then.
+    pub fn notify(&self, body: Body) -> Result<(), LinkError> {
+        let frame = frame::request(NO_CALL, body)?;
+        let connected = self.connected.lock();
+        let connected = connected.as_ref().ok_or(LinkError::Down)?;
+        connected.frames.try_send(frame).map_err(|_| LinkError::Down)
+    }
+
+    /// Sends a call and waits for its answer, not longer than the limit.
+    ///
+    /// # Errors
+    ///
+    /// [`LinkError::TooLarge`] where it was not sent. After [`LinkError::Down`], [`LinkError::Timeout`] and
+    /// [`LinkError::UnexpectedAnswer`] the other side may have carried it out.
+    ///
+    /// # Cancel safety
+    ///
+    /// A call that is dropped may have been sent; its answer goes to nobody.
+    pub async fn call(&self, body: Body, limit: Duration) -> Result<Body, LinkError> {
+        let fits = body.answer_test();
+        let number = self.next_call.fetch_add(1, Ordering::Relaxed);
+        let (answer, pending) = self.send_call(number, body)?;
+        match tokio::time::timeout(limit, answer).await {
+            Ok(Ok(answer)) => answer.filter(fits).ok_or_else(|| {
+                self.count_rejected(&LinkError::UnexpectedAnswer);
+                LinkError::UnexpectedAnswer
+            }),
+            Ok(Err(_)) => Err(LinkError::Down),
+            Err(_) => {
+                pending.lock().remove(&number);
+                Err(LinkError::Timeout)
+            }
+        }
+    }
+
+    /// Sends a call over the connection that stands; gives the receiver of its answer, and the calls it waits among.
+    fn send_call(
+        &self,
+        number: u64,
+        body: Body,
+    ) -> Result<(oneshot::Receiver<Option<Body>>, PendingCalls), LinkError> {
+        let frame = frame::request(number, body)?;
+        let (caller, answer) = oneshot::channel();
+        let connected = self.connected.lock();
+        let connected = connected.as_ref().ok_or(LinkError::Down)?;
+        connected.pending.lock().insert(number, caller);
+        if connected.frames.try_send(frame).is_err() {
+            connected.pending.lock().remove(&number);
+            return Err(LinkError::Down);
+        }
+        Ok((answer, connected.pending.clone()))
+    }
+}
+
+/// The next frame, or [`LinkError::Down`] once nothing can be written any more: a connection that only reads is lost.
+async fn next_frame(
+    reader: &mut BufReader<ByteReader>,
+    writer: &Writer,
+) -> Result<Frame, LinkError> {
+    let writer_failed = async {
+        while !writer.is_finished() {
+            tokio::time::sleep(constants::TCP_USER_TIMEOUT).await;
+        }
+    };
+    tokio::select! {
+        biased;
+        frame = read_frame(reader) => frame,
+        () = writer_failed => Err(LinkError::Down),
+    }
+}
--- a/crates/fleet-core/src/link_tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -1,11 +1,20 @@
 //! Tests of `link`, over streams in memory: an answer goes to its call or to none.
 
+use super::frame::encode;
+use super::peer::serve_peer;
 use super::*;
+use crate::constants;
 use crate::transport::{BoxFuture, TransportError};
+use crate::transport::{BoxedStream, Listener, Transport};
+use crate::wire::{Body, Frame};
 use crate::wire::{
     Empty, Handshake, LeaseResponse, RegisterRequest, RegisterResponse, RouterHeartbeat,
 };
-use tokio::io::DuplexStream;
+use prost::Message;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::sync::mpsc;
 
 /// Each connection of the link comes out at the other end.
@@ -188,14 +197,14 @@
     assert_eq!(waiting.await.unwrap(), Ok(fetched(true)));
 }
 
-/// What a host heard and what spoilt its connections.
+/// What a host received and what spoilt its connections.
 #[derive(Default)]
-struct Heard {
+struct Received {
     bodies: parking_lot::Mutex<Vec<Body>>,
     errors: parking_lot::Mutex<Vec<LinkError>>,
 }
 
-impl PeerHandler for Heard {
+impl PeerHandler for Received {
     fn connected(self: &Arc<Self>, _peer: &Peer) {}
     fn disconnected(self: &Arc<Self>, _peer: &Peer) {}
     async fn answer(self: &Arc<Self>, _peer: &Peer, body: Body) -> Option<Body> {
@@ -217,10 +226,10 @@
 }
 
 /// Plays bytes behind a proper introduction and gives what the host made of them.
-async fn play(bytes: &[u8]) -> Arc<Heard> {
-    let heard = Arc::new(Heard::default());
+async fn play(bytes: &[u8]) -> Arc<Received> {
+    let received = Arc::new(Received::default());
     let (near, mut far) = tokio::io::duplex(1 << 16);
-    let hosting = tokio::spawn(serve_peer(Box::new(near), heard.clone()));
+    let hosting = tokio::spawn(serve_peer(Box::new(near), received.clone()));
     far.write_all(&frame(0, false, Some(Body::Handshake(Handshake::default())))).await.unwrap();
     far.write_all(bytes).await.unwrap();
     far.shutdown().await.unwrap();
@@ -228,7 +237,7 @@
     for _ in 0..10 {
         tokio::task::yield_now().await;
     }
-    heard
+    received
 }
 
 #[tokio::test(start_paused = true)]
@@ -245,10 +254,10 @@
         ("oversized", oversized, 0, vec![LinkError::TooLarge(u32::MAX as usize)]),
     ];
     for (what, bytes, calls, errors) in table {
-        let heard = play(&[bytes, call.clone()].concat()).await;
+        let received = play(&[bytes, call.clone()].concat()).await;
         let goes_on = !matches!(what, "undecodable" | "oversized");
-        assert_eq!(heard.bodies.lock().len(), calls + usize::from(goes_on), "{what}");
-        assert_eq!(*heard.errors.lock(), errors, "{what}");
+        assert_eq!(received.bodies.lock().len(), calls + usize::from(goes_on), "{what}");
+        assert_eq!(*received.errors.lock(), errors, "{what}");
     }
     let truncated = play(&call[..call.len() - 1]).await;
     assert!(truncated.bodies.lock().is_empty());
@@ -257,10 +266,10 @@
 /// An answer that the caller would reject with the whole connection is not sent.
 #[tokio::test(start_paused = true)]
 async fn oversized_answers_are_not_sent() {
-    let heard =
+    let received =
         play(&frame(1, false, Some(Body::RegisterRequest(RegisterRequest::default())))).await;
-    assert_eq!(heard.bodies.lock().len(), 1);
-    assert!(matches!(heard.errors.lock()[..], [LinkError::TooLarge(_)]));
+    assert_eq!(received.bodies.lock().len(), 1);
+    assert!(matches!(received.errors.lock()[..], [LinkError::TooLarge(_)]));
 }
 
 proptest::proptest! {
@@ -272,8 +281,8 @@
             .start_paused(true)
             .build()
             .unwrap();
-        let heard = runtime.block_on(play(&bytes));
-        let heard = heard.bodies.lock();
-        proptest::prop_assert!(heard.len() * 4 <= bytes.len());
+        let received = runtime.block_on(play(&bytes));
+        let received = received.bodies.lock();
+        proptest::prop_assert!(received.len() * 4 <= bytes.len());
     }
 }
