--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -1,7 +1,6 @@
 //! Bringing a change to the owner of its key, wherever it comes in.
 
 use super::Consensus;
-use super::key_owner::propose_and_commit;
 use super::proposer::ProposalError;
 use super::state_machine;
 use fleet_core::constants;
@@ -69,7 +68,7 @@
             return forward_to_any(consensus, change, forwarded_to, hops).await;
         }
         let proposed =
-            propose_and_commit(consensus, &key, |now| state_machine::decide(change, now)).await;
+            consensus.propose_and_commit(&key, |now| state_machine::decide(change, now)).await;
         match proposed {
             Ok(changed) => return changed,
             Err(ProposalError::NoOwnVote) => {
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -11,7 +11,9 @@
 //! | [`election`] | when a key may be taken from its owner | yes |
 //! | [`state_machine`], [`config_history`] | what a value is and what a change makes of it | yes |
 //! | [`quorum_status`] | what the voters of a membership hold, from their answers | yes |
-//! | [`key_owner`] | drives a proposer for each owned key: elections, rounds, commits | |
+//! | [`key_owner`] | the keys that this node owns, and changes to them | |
+//! | [`campaign`] | taking a key from an owner that is silent | |
+//! | [`rounds`], [`voter_calls`] | carry out what a proposer asks for; calls to all voters at once | |
 //! | [`forward`] | brings a change to the owner of its key | |
 //! | [`reads`] | reads that a majority confirms | |
 //! | [`anti_entropy`] | learns what was chosen, also where notices were lost | |
@@ -23,6 +25,7 @@
 
 pub mod acceptor;
 pub mod anti_entropy;
+mod campaign;
 pub mod config_history;
 pub mod election;
 pub mod forward;
@@ -33,7 +36,9 @@
 pub mod reads;
 pub mod resignation;
 pub mod round;
+mod rounds;
 pub mod state_machine;
+mod voter_calls;
 
 use crate::cluster_state::{ClusterStateStore, StateChange};
 use crate::membership::peer_links::PeerLinks;
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -8,11 +8,10 @@
 use super::{ChosenValue, Consensus, forward};
 use fleet_core::constants;
 use fleet_core::wire::{
-    Ballot, BallotReport, Body, ChangeKind, Membership, Outcome, ReadBallots, RegisterRequest,
+    Ballot, BallotReport, Body, ChangeKind, Outcome, ReadBallots, RegisterRequest,
 };
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::mpsc;
 use tokio::time::Instant;
 
 impl Consensus {
@@ -24,41 +23,22 @@
         let membership = self.membership();
         let begun = Instant::now();
         let mut status = QuorumStatus::new(&membership);
-        let mut answers = self.send_to_voters(&membership);
+        let request = ReadBallots { membership: membership.epoch, values: false };
+        let body = Body::ReadBallots(request);
+        let timeout = constants::PHASE_TIMEOUT;
+        let mut answers = self.call_members(&membership.members, timeout, |_| body.clone());
         let own = self.vote(|acceptor| acceptor.read_ballots(false));
         if let Ok(Some(answer)) = tokio::time::timeout(constants::PHASE_TIMEOUT, own).await {
             self.count(&mut status, self.process.node.id(), &answer, begun);
         }
         while !is_enough(&status) {
             let Some((voter, answer)) = answers.recv().await else { break };
+            let Some(Body::BallotReport(answer)) = answer else { continue };
             self.count(&mut status, voter, &answer, begun);
         }
         status
     }
 
-    /// Sends the question to all other voters. A later membership in an answer is adopted. The tasks end with
-    /// the time-out of their calls.
-    fn send_to_voters(
-        self: &Arc<Self>,
-        membership: &Membership,
-    ) -> mpsc::Receiver<(u64, BallotReport)> {
-        let (answers, inbox) = mpsc::channel(membership.members.len().max(1));
-        for (voter, link) in self.links.to(&membership.members) {
-            let (answers, consensus) = (answers.clone(), self.clone());
-            let request =
-                Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
-            tokio::spawn(async move {
-                let answer = link.call(request, constants::PHASE_TIMEOUT).await;
-                let Ok(Body::BallotReport(answer)) = answer else { return };
-                if let Some(later) = &answer.membership {
-                    consensus.adopt(later).await;
-                }
-                let _ = answers.send((voter, answer)).await;
-            });
-        }
-        inbox
-    }
-
     fn count(&self, status: &mut QuorumStatus, voter: u64, answer: &BallotReport, begun: Instant) {
         if status.add(voter, answer) {
             self.contact.lock().answered(voter, begun);
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -88,7 +88,7 @@
             self.log_state(&merged);
             self.cluster_state.append(StateChange::Engine(merged));
         } else if is_newer {
-            // routers need not hear of a call number alone
+            // Routers need no update for a call number alone.
             self.cluster_state.amend(|state| {
                 state.engines.insert(merged.id.clone(), merged);
             });
@@ -116,27 +116,14 @@
     /// Sends an engine's state to the other voters at once; whether a majority has it now.
     pub async fn replicate_now(&self, engine: Engine) -> bool {
         self.outbox.lock().remove(&engine.id);
-        let members = self.consensus.membership().members;
-        let own_ip = self.process.node.ip;
-        let mut acknowledged =
-            usize::from(members.iter().any(|member| member.addr() == Some(own_ip)));
-        let quorum = members.len() / 2 + 1;
-        let (acknowledges, mut inbox) = tokio::sync::mpsc::channel(members.len().max(1));
-        for (_, link) in self.consensus.links_to(&members) {
-            let acknowledges = acknowledges.clone();
-            let heartbeats = EngineHeartbeats { engines: vec![engine.clone()], request_all: false };
-            // ends with the time-out of its call
-            tokio::spawn(async move {
-                if share(&link, heartbeats).await.is_some() {
-                    let _ = acknowledges.send(()).await;
-                }
-            });
-        }
-        drop(acknowledges);
-        while acknowledged < quorum && inbox.recv().await.is_some() {
-            acknowledged += 1;
-        }
-        acknowledged >= quorum
+        let membership = self.consensus.membership();
+        let own_ip = Some(self.process.node.ip);
+        let is_voter = membership.members.iter().any(|member| member.addr() == own_ip);
+        let body =
+            Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine], request_all: false });
+        let is_taken = |answer| matches!(answer, Body::EngineHeartbeats(_));
+        let timeout = constants::HEARTBEAT_SHARE_TIMEOUT;
+        self.consensus.majority_agrees(&membership, timeout, body, is_voter, is_taken).await
     }
 
     /// Before this controller ends: sends all that it knows to the others, since some of it may have been told to
--- a/crates/control-plane/src/leases/lease_holder.rs
+++ b/crates/control-plane/src/leases/lease_holder.rs
@@ -33,25 +33,11 @@
     /// Sends a message to all voters; true once a majority has agreed.
     async fn broadcast(&self, name: &str, message: Message, timeout: Duration) -> bool {
         let membership = self.consensus.membership();
-        let quorum = membership.members.len() / 2 + 1;
         let request = self.request(name, &message, membership.epoch);
-        let mut agreed = usize::from(self.grant(&request).ok);
-        let (agrees, mut inbox) = tokio::sync::mpsc::channel(membership.members.len().max(1));
-        for (_, link) in self.consensus.links_to(&membership.members) {
-            let (agrees, request) = (agrees.clone(), request.clone());
-            // ends with the time-out of its call
-            tokio::spawn(async move {
-                let answer = link.call(Body::LeaseRequest(request), timeout).await;
-                if let Ok(Body::LeaseResponse(LeaseResponse { ok: true })) = answer {
-                    let _ = agrees.send(()).await;
-                }
-            });
-        }
-        drop(agrees);
-        while agreed < quorum && inbox.recv().await.is_some() {
-            agreed += 1;
-        }
-        agreed >= quorum
+        let own_answer = self.grant(&request).ok;
+        let is_granted = |answer| matches!(answer, Body::LeaseResponse(LeaseResponse { ok: true }));
+        let body = Body::LeaseRequest(request);
+        self.consensus.majority_agrees(&membership, timeout, body, own_answer, is_granted).await
     }
 
     fn request(&self, name: &str, message: &Message, membership: u64) -> LeaseRequest {
--- a/crates/control-plane/src/membership/peer_service.rs
+++ b/crates/control-plane/src/membership/peer_service.rs
@@ -7,7 +7,7 @@
 use super::{MembershipManager, load_reports::LoadReports, peer_links::PeerLinks, register_reads};
 use crate::cluster_state::{ClusterStateStore, StateChange};
 use crate::config_distribution::ConfigDistribution;
-use crate::consensus::{Consensus, forward, key_owner, resignation};
+use crate::consensus::{Consensus, forward, resignation};
 use crate::engines::registry::{EngineRegistry, HeartbeatSource};
 use crate::index_owner::IndexOwnership;
 use crate::leases::LeaseManager;
@@ -85,7 +85,7 @@
             Body::Prepare(request) => self.prepare(&request).await,
             Body::Accept(request) => self.accept(&request).await,
             Body::PreVoteRequest(request) => {
-                Some(Body::PreVoteResponse(key_owner::pre_vote(&parts.consensus, &request)))
+                Some(Body::PreVoteResponse(parts.consensus.pre_vote(&request)))
             }
             Body::OwnerResigned(_) => self.owner_resigned(peer),
             Body::ReadBallots(request) => self.read_ballots(&request).await,
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -4,7 +4,7 @@
 use super::failure_domains::Tolerance;
 use super::recovery;
 use super::replacement::{self, Candidate, MemberStatus, Situation};
-use crate::consensus::{key_owner, state_machine};
+use crate::consensus::state_machine;
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{BallotReport, Body, JoinRequest, Member, Membership, ReadBallots};
@@ -231,7 +231,6 @@
         }
         _ => state_machine::Decision::Write(bytes.clone(), state_machine::unknown()),
     };
-    let proposed =
-        key_owner::propose_and_commit(&manager.consensus, state_machine::MEMBERSHIP, decide);
+    let proposed = manager.consensus.propose_and_commit(state_machine::MEMBERSHIP, decide);
     let _ = tokio::time::timeout(constants::CHANGE_TIMEOUT * 2, proposed).await;
 }
--- a/crates/control-plane/tests/cluster/hung_disk.rs
+++ b/crates/control-plane/tests/cluster/hung_disk.rs
@@ -2,7 +2,7 @@
 
 use super::leases::{LEASE, next_holder, others};
 use super::{Cluster, read_everywhere, replace, sheet};
-use control_plane::consensus::{key_owner, state_machine};
+use control_plane::consensus::state_machine;
 use control_plane::service::configuration;
 use fleet_core::wire::PreVoteRequest;
 use std::time::Duration;
@@ -87,7 +87,7 @@
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
     let request = PreVoteRequest { key: state_machine::CONFIG.into(), membership: 1 };
-    let willing = || key_owner::pre_vote(cluster.controller(2).consensus(), &request).ok;
+    let willing = || cluster.controller(2).consensus().pre_vote(&request).ok;
     assert!(willing());
     cluster.hang_disk(2, true);
     cluster.wait_until_settled().await;
