--- a/crates/control-plane/src/consensus/key_owner.rs
+++ b/crates/control-plane/src/consensus/key_owner.rs
@@ -1,4 +1,4 @@
-//! The keys that this node owns, and changes to them: as owner at once, else after a [`campaign`](super::campaign).
+//! The keys that this node owns, and changes to them: as owner at once, else after a `campaign`.
 
 use super::Consensus;
 use super::acceptor::Acceptor;
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -12,8 +12,8 @@
 //! | [`state_machine`], [`config_history`] | what a value is and what a change makes of it | yes |
 //! | [`quorum_status`] | what the voters of a membership hold, from their answers | yes |
 //! | [`key_owner`] | the keys that this node owns, and changes to them | |
-//! | [`campaign`] | taking a key from an owner that is silent | |
-//! | [`rounds`], [`voter_calls`] | carry out what a proposer asks for; calls to all voters at once | |
+//! | `campaign` | taking a key from an owner that is silent | |
+//! | `rounds`, `voter_calls` | carry out what a proposer asks for; calls to all voters at once | |
 //! | [`forward`] | brings a change to the owner of its key | |
 //! | [`reads`] | reads that a majority confirms | |
 //! | [`anti_entropy`] | learns what was chosen, also where notices were lost | |
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -4,7 +4,7 @@
 //! owns the key: every further value is one accept round under the same ballot, with a rising sequence
 //! number. The own acceptor is always asked first, so that a value is on the owner's disk before any other
 //! voter sees it (docs/control-safety.md says why that is needed). There is no I/O, clock or task in here;
-//! [`super::owner`] drives it in the program, the schedule tests and the exhaustive search drive it too.
+//! `super::rounds` drives it in the program, the schedule tests and the exhaustive search drive it too.
 
 use super::round::{Round, Verdict};
 use fleet_core::wire::{Accept, Ballot, Prepare, Vote};
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -2,9 +2,9 @@
 //! invalidations to all routers (docs/purge.md).
 //!
 //! One controller does this at a time, under [`INDEX_OWNER_LEASE`]. Each time the lease is acquired a new
-//! [`IndexOwner`] begins with a ring of its own and an empty index; readers of a former ring start again from a
-//! snapshot. One task follows each holder ([`follower`]); [`index`] is what they have learned, [`feed`] answers
-//! routers, [`throttle`] bounds the snapshots that are on their way.
+//! `IndexOwner` begins with a ring of its own and an empty index; readers of a former ring start again from a
+//! snapshot. One task follows each holder (`follower`); `index` is what they have learned, `feed` answers
+//! routers, `throttle` bounds the snapshots that are on their way.
 //!
 //! Order of locks: the index, then the throttle; the others are leaves.
 
--- a/crates/control-plane/src/leases/mod.rs
+++ b/crates/control-plane/src/leases/mod.rs
@@ -6,7 +6,7 @@
 //! whose holder commands engines for a whole lease. So two holders never act at the same time, and an engine can
 //! refuse what a former holder has sent late.
 //!
-//! [`lease`] is that as pure state, [`LeaseManager`] owns it, [`lease_holder`] drives it. What runs under a lease
+//! [`lease`] is that as pure state, [`LeaseManager`] owns it, `lease_holder` drives it. What runs under a lease
 //! stands apart: [`crate::rollout`] and [`crate::index_owner`].
 
 pub mod lease;
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -6,14 +6,14 @@
 //!
 //! | file | what it is | pure |
 //! |---|---|---|
-//! | [`replacement`], [`failure_domains`] | which membership follows | yes |
-//! | [`candidates`] | controllers that ask to be members | yes |
-//! | [`reconfiguration`] | joins, and proposes the next membership | |
-//! | [`recovery`] | reads the state back after a disk loss or a join | |
-//! | [`state_transfer`] | the other side of that: values in chunks | |
+//! | `replacement`, `failure_domains` | which membership follows | yes |
+//! | `candidates` | controllers that ask to be members | yes |
+//! | `reconfiguration` | joins, and proposes the next membership | |
+//! | `recovery` | reads the state back after a disk loss or a join | |
+//! | `state_transfer` | the other side of that: values in chunks | |
 //! | [`peer_links`], [`routers`] | links to controllers and from routers | |
-//! | [`peer_service`] | answers what comes over links | |
-//! | [`register_reads`], [`load_reports`] | reads of a key by other processes; loads of engines | |
+//! | `peer_service` | answers what comes over links | |
+//! | `register_reads`, `load_reports` | reads of a key by other processes; loads of engines | |
 
 mod candidates;
 mod failure_domains;
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The target is a key of the control state (`weights/MODEL`). The rollout that holds
 //! [`ROLLOUT_LEASE`] orders engines to load it; each order bears the lease's fencing token, so that an engine
-//! refuses one of a former holder. [`plan`] decides which engine is next, [`order`] carries one order out,
+//! refuses one of a former holder. [`plan`] decides which engine is next, `order` carries one order out,
 //! [`status`] shows both to the operator.
 //!
 //! Routers are told beforehand, with the engine's own state, that an engine is about to be updated: they send
