--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -1,34 +1,75 @@
 //! The fleet as this controller sees it; read-only, and made only when asked for.
 
-use super::{Context, json};
+use super::{Context, json_view};
+use crate::cluster_state::ClusterState;
 use fleet_core::wire::{Engine, EngineState};
-use http::StatusCode;
+use serde::Serialize;
 
-fn engine_json(e: &Engine) -> serde_json::Value {
-    let state = match e.state() {
-        EngineState::Ready => "ready",
-        EngineState::Draining => "draining",
-        EngineState::Deregistered => "gone",
-    };
-    let models: Vec<_> = e
-        .weights
-        .iter()
-        .map(|w| serde_json::json!({"name": w.model, "revision": w.version}))
-        .collect();
-    serde_json::json!({"id": e.id, "service": e.service, "address": e.address, "zone": e.zone,
-        "slots": e.slots, "standing": state, "silent": e.heartbeat_missed, "models": models})
+/// Fields of the views are in the order of their names, as they always were sent.
+#[derive(Serialize)]
+struct FleetView {
+    engines: Vec<EngineView>,
+    /// Version of the newest configuration that this controller knows to be chosen; 0 before the first.
+    revision: u64,
+    /// Routers that are linked to controllers.
+    routers: u64,
+}
+
+#[derive(Serialize)]
+struct EngineView {
+    address: String,
+    id: String,
+    models: Vec<ModelView>,
+    service: String,
+    /// Whether its heartbeats are missed.
+    silent: bool,
+    slots: u32,
+    standing: &'static str,
+    zone: String,
+}
+
+#[derive(Serialize)]
+struct ModelView {
+    name: String,
+    revision: u64,
+}
+
+impl FleetView {
+    fn of(state: &ClusterState) -> FleetView {
+        FleetView {
+            engines: state.engines.values().map(EngineView::of).collect(),
+            revision: state.config.map_or(0, |config| config.0),
+            routers: u64::from(state.routers),
+        }
+    }
+}
+
+impl EngineView {
+    fn of(engine: &Engine) -> EngineView {
+        let model = |weights: &fleet_core::wire::Weights| ModelView {
+            name: weights.model.clone(),
+            revision: weights.version,
+        };
+        EngineView {
+            address: engine.address.clone(),
+            id: engine.id.clone(),
+            models: engine.weights.iter().map(model).collect(),
+            service: engine.service.clone(),
+            silent: engine.heartbeat_missed,
+            slots: engine.slots,
+            standing: match engine.state() {
+                EngineState::Ready => "ready",
+                EngineState::Draining => "draining",
+                EngineState::Deregistered => "gone",
+            },
+            zone: engine.zone.clone(),
+        }
+    }
 }
 
 #[dropshot::endpoint { method = GET, path = "/anisedyke/Fleet.Look" }]
 pub async fn view(
     rq: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = rq.context().cluster_state().read(|n| {
-        serde_json::json!({
-            "revision": n.config.map_or(0, |c| c.0),
-            "routers": n.routers,
-            "engines": n.engines.values().map(engine_json).collect::<Vec<_>>(),
-        })
-    });
-    json(StatusCode::OK, body.to_string())
+    json_view(&rq.context().cluster_state().read(FleetView::of))
 }
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -46,6 +46,15 @@
         .map_err(|e| dropshot::HttpError::for_internal_error(e.to_string()))
 }
 
+/// An answer that shows how something stands.
+fn json_view(
+    view: &impl serde::Serialize,
+) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
+    let body = serde_json::to_string(view)
+        .map_err(|error| dropshot::HttpError::for_internal_error(error.to_string()))?;
+    json(http::StatusCode::OK, body)
+}
+
 /// The body, or 413 where it holds more than it may.
 pub async fn read_limited(
     body: dropshot::StreamingBody,
--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -42,7 +42,7 @@
 pub struct ClusterState {
     /// version and isolation generation of the configuration
     pub config: Option<(u64, u64)>,
-    /// by model, the version named and when this controller heard of it
+    /// by model, the version named and when this controller learned of it
     pub weights: std::collections::BTreeMap<String, (u64, Option<tokio::time::Instant>)>,
     /// the membership in force
     pub membership: Membership,
--- a/crates/control-plane/src/config_distribution/mod.rs
+++ b/crates/control-plane/src/config_distribution/mod.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The answer to a router that tells which body it has.
+    /// The answer to a router that says which body it has.
     pub fn respond(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigResponse {
         self.remember(value);
         let form =
--- a/crates/control-plane/src/consensus/campaign.rs
+++ b/crates/control-plane/src/consensus/campaign.rs
@@ -1,4 +1,4 @@
-//! Taking a key from an owner that is silent: a pre-vote, then a ballot above all that was seen.
+//! Taking a key from an owner that has timed out: a pre-vote, then a ballot above all that was seen.
 //!
 //! The pre-vote only keeps nodes from taking keys from owners at work; safety rests on ballots alone.
 
--- a/crates/control-plane/src/consensus/config_history.rs
+++ b/crates/control-plane/src/consensus/config_history.rs
@@ -1,4 +1,4 @@
-//! Which configurations were taken, in their order: what tells a change sent again from a new one.
+//! Which configurations were committed, in their order: tells a repeated change from a new one.
 
 use bytes::{Buf, BufMut};
 use fleet_core::constants;
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -16,7 +16,7 @@
     }
 }
 
-/// The node that owns a key, as far as this node has heard: it may be behind.
+/// The node that owns a key, as far as this node knows: it may be behind.
 fn believed_owner(consensus: &Consensus, key: &str) -> Option<u64> {
     let promised = consensus.acceptor.lock().promised(key);
     let learned = consensus.learned(key).map(|known| known.ballot).unwrap_or_default();
@@ -24,7 +24,7 @@
     (highest.node != 0 && !consensus.key_owners.has_resigned(key, highest)).then_some(highest.node)
 }
 
-/// Has a change decided by the owner of its key, which is elected anew if it is silent.
+/// Has a change decided by the owner of its key, which is elected anew if it has timed out.
 ///
 /// An outcome of `Unknown` says that the change may yet be chosen.
 pub async fn submit(consensus: &Arc<Consensus>, change: ChangeKind) -> ChangeResponse {
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -12,7 +12,7 @@
 //! | [`state_machine`], [`config_history`] | what a value is and what a change makes of it | yes |
 //! | [`quorum_status`] | what the voters of a membership hold, from their answers | yes |
 //! | [`key_owner`] | the keys that this node owns, and changes to them | |
-//! | `campaign` | taking a key from an owner that is silent | |
+//! | `campaign` | taking a key from an owner that has timed out | |
 //! | `rounds`, `voter_calls` | carry out what a proposer asks for; calls to all voters at once | |
 //! | [`forward`] | brings a change to the owner of its key | |
 //! | [`reads`] | reads that a majority confirms | |
@@ -56,7 +56,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Is told of each configuration that this node learns to be chosen.
+/// Is notified of each configuration that this node learns to be chosen.
 pub trait ConfigObserver: Send + Sync + 'static {
     /// A configuration was chosen; a later one may have been chosen since.
     fn config_committed(&self, value: &ConfigValue);
@@ -79,7 +79,7 @@
     pub links: Arc<PeerLinks>,
     /// Where this node keeps what it learns.
     pub cluster_state: Arc<ClusterStateStore>,
-    /// Who is told of chosen configurations.
+    /// Who is notified of chosen configurations.
     pub config_observer: Arc<dyn ConfigObserver>,
     /// Where votes are kept.
     pub disk: MonitoredDisk,
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -138,7 +138,7 @@
         matches!(self.phase, Phase::Owning)
     }
 
-    /// Latest recovery epoch among the voters heard in this round.
+    /// Latest recovery epoch among the voters that answered in this round.
     pub fn latest_recovery_epoch(&self) -> u64 {
         match &self.phase {
             Phase::Preparing(r) | Phase::Accepting(r) => r.recovery_epoch(),
--- a/crates/control-plane/src/consensus/quorum_contact.rs
+++ b/crates/control-plane/src/consensus/quorum_contact.rs
@@ -58,7 +58,7 @@
         contact.until(&voters, self.contact_span())
     }
 
-    /// Whether this node may acknowledge, refuse or hand out anything: it heard a majority of the voters in
+    /// Whether this node may acknowledge, reject or return anything: it had answers of a majority of the voters in
     /// force a short time ago. Without it, callers have to go on to another node.
     pub fn in_contact(&self) -> bool {
         self.contact_until().is_some_and(|t| Instant::now() < t)
--- a/crates/control-plane/src/consensus/resignation.rs
+++ b/crates/control-plane/src/consensus/resignation.rs
@@ -1,5 +1,5 @@
-//! Giving keys back: a consensus that is told to stop decides nothing more, and voters elect another
-//! owner at once instead of waiting until this one has been silent for long enough.
+//! Resignation: a node that is stopped decides nothing more, and voters elect another
+//! owner at once instead of waiting for the election time-out.
 
 use super::Consensus;
 use fleet_core::constants;
@@ -26,13 +26,13 @@
     }
 }
 
-/// Ends what is under way as an owner, and tells the other voters that the keys are free.
+/// Ends what is under way as an owner, and notifies the other voters that the keys are free.
 pub async fn release_keys(consensus: &Arc<Consensus>) {
     consensus.key_owners.release_keys().await;
     record_resignation(consensus, consensus.process.node.ip);
     let members = consensus.acceptor.lock().membership().members.clone();
     let calls = consensus.links_to(&members).into_iter().map(|(_, link)| async move {
-        // one that can't be told waits until this owner has been silent
+        // one that can't be reached waits for the election time-out
         let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
     });
     futures_util::future::join_all(calls).await;
--- a/crates/control-plane/src/consensus/rounds.rs
+++ b/crates/control-plane/src/consensus/rounds.rs
@@ -94,7 +94,7 @@
         self.call_members(&members, timeout, |voter| request_body(proposer.request_for(voter)))
     }
 
-    /// A vote told of a later recovery epoch: this node votes in no earlier one from now on.
+    /// A vote bore a later recovery epoch: this node votes in no earlier one from now on.
     async fn follow_recovery_epoch(&self, latest: u64) {
         if latest > self.with_acceptor(|acceptor| acceptor.recovery_epoch()) {
             self.persist(|acceptor| acceptor.advance(latest)).await;
--- a/crates/control-plane/src/consensus/state_machine.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -26,7 +26,7 @@
     key.strip_prefix("weights/")
 }
 
-/// The key that holds a duty's fencing token.
+/// The key that holds a lease's fencing token.
 pub fn lease_key(lease_name: &str) -> String {
     format!("duty/{lease_name}")
 }
@@ -76,7 +76,7 @@
     }
 }
 
-/// A new fence for a new raise, the same one for the same raise. The answer names the node that may have
+/// A new fencing token for a new raise, the same one for the same raise. The answer names the node that may have
 /// acted last, which is not who raised last: a raise alone gives nobody the right to act.
 fn raise(r: &RaiseFencingToken, now: &[u8]) -> Decision {
     let now = LeaseValue::decode(now).unwrap_or_default();
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -23,11 +23,11 @@
 pub enum HeartbeatSource {
     /// The engine itself: the other controllers have to hear of it.
     Engine,
-    /// Another controller, which tells the others itself.
+    /// Another controller, which notifies the others itself.
     Controller,
 }
 
-/// When engines were heard from, and what the other controllers have yet to hear. The engines themselves are part
+/// When engines sent their last heartbeat, and what the other controllers have yet to be sent. The engines themselves are part
 /// of the cluster state. Its locks are leaves.
 pub struct EngineRegistry {
     process: Arc<Process>,
@@ -40,7 +40,7 @@
 }
 
 impl EngineRegistry {
-    /// A registry that has heard of no engine.
+    /// A registry without an engine.
     pub fn new(
         process: Arc<Process>,
         consensus: Arc<Consensus>,
@@ -105,7 +105,7 @@
     }
 
     /// What another controller is sent when a link comes up. An engine whose heartbeats are missed here may have
-    /// told others of its end: only its own next heartbeat proves that it is still ready.
+    /// announced its end to others: only its own next heartbeat proves that it is still ready.
     pub fn engines_to_share(&self) -> Vec<Engine> {
         let is_shareable =
             |engine: &&Engine| !engine.heartbeat_missed || engine.state() != EngineState::Ready;
@@ -126,7 +126,7 @@
         self.consensus.majority_agrees(&membership, timeout, body, is_voter, is_taken).await
     }
 
-    /// Before this controller ends: sends all that it knows to the others, since some of it may have been told to
+    /// Before this controller ends: sends all that it knows to the others, since some of it may have been sent to
     /// it and one other only. Returns once they have it or the time for it is over.
     pub async fn share_all(&self) {
         let heartbeats = EngineHeartbeats { engines: self.engines_to_share(), request_all: false };
--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -1,4 +1,4 @@
-//! Follows what one engine or store tells of its parts.
+//! Follows the events of one engine or store about its parts.
 
 use super::IndexOwner;
 use super::index::Events;
@@ -20,7 +20,7 @@
     pub engine: bool,
 }
 
-/// Engines to follow, by id. Where two are heard of at one address, one of them is gone and not yet known
+/// Engines to follow, by id. Where two are known at one address, one of them is gone and not yet known
 /// to be: neither is followed, since an answer doesn't tell whose it is.
 pub fn engines<'a>(engines: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, Source> {
     let mut by_address: BTreeMap<&str, Option<&Engine>> = BTreeMap::new();
@@ -42,7 +42,7 @@
 #[derive(Debug, PartialEq, Eq)]
 struct PositionUpdate {
     at: Position,
-    /// all that was told of the holder is void
+    /// all that is known of the holder is void
     void: bool,
     /// its events can be taken in
     accept: bool,
--- a/crates/control-plane/src/index_owner/index.rs
+++ b/crates/control-plane/src/index_owner/index.rs
@@ -1,4 +1,4 @@
-//! What the index-keeper believes holders to keep.
+//! What the index owner believes holders to cache.
 
 use fleet_core::constants;
 use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry};
@@ -26,7 +26,7 @@
     pub events: Vec<(u64, String, String, String, u64, String)>,
 }
 
-/// holder, then salt, then parts with the tokens kept: what the keeper believes of the parts that
+/// holder, then salt, then parts with the tokens kept: what the index owner believes of the parts that
 /// requests share. Parts of single requests wait apart, bounded, until a router names them.
 #[derive(Default)]
 pub struct Index {
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -49,7 +49,7 @@
     pub leases: Arc<LeaseManager>,
     /// Where the configuration is learned, which names the stores.
     pub consensus: Arc<Consensus>,
-    /// The engines, and what routers are told of the ring.
+    /// The engines, and what routers are sent of the ring.
     pub cluster_state: Arc<ClusterStateStore>,
     /// Which stores a configuration names.
     pub config_bodies: Arc<ConfigBodies>,
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How a duty is leased.
+/// How a lease is granted.
 #[derive(Debug, Clone, Copy)]
 pub struct LeasePolicy {
     /// length of the lease
@@ -31,7 +31,7 @@
 struct Grant {
     node: String,
     incarnation: u64,
-    /// of the newest message that was heard
+    /// of the newest message that came
     number: u64,
     until: Instant,
 }
@@ -45,7 +45,7 @@
     pub until: Instant,
 }
 
-/// What a member granted. After a restart, and after it became a voter, it grants no duty that gives
+/// What a member granted. After a restart, and after it became a voter, it grants no lease that gives
 /// orders for a whole lease: it may have granted one that it no longer knows, or its predecessor may.
 #[derive(Default)]
 pub struct Grantor {
@@ -102,7 +102,7 @@
     }
 }
 
-/// A lease that this node holds, and the fence that it raised under it.
+/// A lease that this node holds, and the fencing token that it raised under it.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
     until: Instant,
@@ -114,7 +114,7 @@
     acts: bool,
 }
 
-/// What is to be done for a duty now.
+/// What is to be done for a lease now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// ask for a lease, if it looks free
@@ -129,7 +129,7 @@
     Idle(Option<Instant>),
 }
 
-/// One duty, as a node holds it or doesn't.
+/// One lease, as a node holds it or doesn't.
 #[derive(Debug)]
 pub struct LeaseHolder {
     incarnation: u64,
@@ -164,7 +164,7 @@
     }
 
     /// A majority granted what was asked for at `requested_at`, all of it by `granted`, and the raise gave this
-    /// fence; `alone`: nobody but this node can have acted within a lease.
+    /// fencing token; `alone`: nobody but this node can have acted within a lease.
     pub fn acquired(
         &mut self,
         requested_at: Instant,
@@ -207,7 +207,7 @@
         self.lease.take().is_some()
     }
 
-    /// The fence to act under and until when, if the lease surely stands and a former holder's has
+    /// The fencing token to act under and until when, if the lease surely stands and a former holder's has
     /// surely ended.
     pub fn fenced_lease(&self, now: Instant) -> Option<FencedLease> {
         let h = self
@@ -220,7 +220,7 @@
 /// The right to act, until its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FencedLease {
-    /// to be told with each order
+    /// to be sent with each order
     pub fencing_token: u64,
     /// nothing may reach an engine from here on
     pub until: Instant,
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -20,7 +20,7 @@
     links: Mutex<BTreeMap<Ipv4Addr, Arc<Link>>>,
     /// No link comes up any more.
     closed: AtomicBool,
-    /// The zone that each address has told.
+    /// The zone in the handshake of each address.
     zones: Mutex<BTreeMap<Ipv4Addr, String>>,
     /// Controllers that opened links to this node: all that one with an empty disk may have, where the seeds of
     /// its settings no longer exist.
@@ -109,7 +109,7 @@
         members.iter().filter_map(link).collect()
     }
 
-    /// The zone that a process at this address has told.
+    /// The zone in the handshake of a process at this address.
     pub fn zone_of(&self, ip: Ipv4Addr) -> Option<String> {
         self.zones.lock().get(&ip).cloned()
     }
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// Members that were heard of lately, which most likely vote.
+/// Members that sent something lately, which most likely vote.
 fn linked(manager: &MembershipManager, membership: &Membership) -> Vec<u64> {
     let unreachable_for = |ip| manager.links.get(ip).and_then(|link| link.time_since_received());
     let recent =
--- a/crates/control-plane/src/membership/replacement.rs
+++ b/crates/control-plane/src/membership/replacement.rs
@@ -8,11 +8,11 @@
 /// A member as the one sees it that may propose the next membership.
 #[derive(Debug, Clone)]
 pub struct MemberStatus {
-    /// Who it is, with the zone that it told.
+    /// Who it is, with its zone.
     pub member: Member,
     /// How long its link has brought nothing.
     pub unreachable_for: Duration,
-    /// Whether its link has ever brought anything: only then is it known when it fell silent.
+    /// Whether its link has ever brought anything: only then is it known since when it is unreachable.
     pub was_reachable: bool,
     /// Whether it votes now.
     pub votes: bool,
@@ -30,8 +30,8 @@
 }
 
 impl Candidate {
-    /// A process that started after the member fell silent is most likely its successor. One that ran
-    /// before has stood by, and tells nothing about whether the member comes back.
+    /// A process that started after the member became unreachable is most likely its successor. One that ran
+    /// before has stood by, and doesn't show whether the member comes back.
     fn succeeds(&self, lost: &MemberStatus) -> bool {
         lost.was_reachable && self.running < lost.unreachable_for
     }
@@ -79,7 +79,7 @@
         self.members.iter().filter(|status| status.votes).filter(stays).count() >= quorum(next)
     }
 
-    /// Members with the zones that they told, as they would be.
+    /// The members as they would be, with their zones.
     fn located(&self, next: &Membership) -> Vec<Member> {
         let reported = |m: &Member| self.members.iter().find(|status| status.member.ip == m.ip);
         let member =
--- a/crates/control-plane/src/membership/routers.rs
+++ b/crates/control-plane/src/membership/routers.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use tokio::time::Instant;
 
-/// Linked routers, and when each was last heard from. Both locks are leaves.
+/// Linked routers, and when each last sent a heartbeat. Both locks are leaves.
 #[derive(Default)]
 pub struct Routers {
     /// By incarnation.
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -56,12 +56,12 @@
         self.random.below(bound)
     }
 
-    /// Whether the process was told to end.
+    /// Whether the process was asked to end.
     pub fn is_shutting_down(&self) -> bool {
         *self.shutting_down.borrow()
     }
 
-    /// Turns true when the process is told to end.
+    /// Turns true when the process is asked to end.
     pub fn shutdown_signal(&self) -> watch::Receiver<bool> {
         self.shutting_down.subscribe()
     }
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -5,7 +5,7 @@
 //! refuses one of a former holder. [`plan`] decides which engine is next, `order` carries one order out,
 //! [`status`] shows both to the operator.
 //!
-//! Routers are told beforehand, with the engine's own state, that an engine is about to be updated: they send
+//! Routers are notified beforehand, with the engine's own state, that an engine is about to be updated: they send
 //! it no more long streams first, and then nothing at all. These two marks are counters that only rise
 //! ([`Engine::drain_seq`], [`Engine::update_seq`]) and are odd while they are set, so that late messages
 //! change nothing.
@@ -167,7 +167,7 @@
     actions.into_iter().map(|action| (target.clone(), action)).collect()
 }
 
-/// Engines of a model that are ready, and heard of.
+/// Engines of a model that are ready, and send heartbeats.
 fn serving_engines(rollout: &Rollout, model: &str) -> Vec<Engine> {
     let serves = |engine: &&Engine| {
         engine.state() == EngineState::Ready
@@ -231,7 +231,7 @@
     engine.drain_seq += engine.drain_seq % 2;
 }
 
-/// Updates one engine: routers are told, the order is given, its end is waited for and routers are told
+/// Updates one engine: routers are notified, the order is given, its end is waited for and routers are notified
 /// that too. Returns how long the engine took to load the weights.
 async fn update(rollout: &Arc<Rollout>, id: &str, target: &Target) -> Result<Duration, OrderError> {
     let engine = rollout.registry.get(id);
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -1,44 +1,86 @@
-//! The roll-out as this rollout sees it; made only when asked for, and changes nothing.
-
-#![expect(missing_docs, reason = "older than the lint; mended when the file is next changed")]
+//! How the roll-out stands, as this node sees it. The view is made when it is asked for, and changes nothing.
 
 use super::Rollout;
 use super::plan::{Plan, Step};
+use crate::cluster_state::ClusterState;
 use crate::leases::ROLLOUT_LEASE;
 use fleet_core::constants;
+use fleet_core::fleet::{is_draining_streams, is_updating, version_of};
 use fleet_core::wire::{Engine, EngineState};
+use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use tokio::time::Instant;
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
+/// The roll-outs of all models. Fields of the views are in the order of their names, as they always were sent.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+pub struct RolloutView {
+    /// Whether this node holds the lease and carries the roll-out out.
+    pub holds: bool,
+    /// One for each model with target weights, by name.
+    pub models: Vec<ModelView>,
+    /// Engines that may be updated at once.
+    pub width: usize,
+}
+
+/// The roll-out of one model's weights.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+#[serde(rename_all = "camelCase")]
+pub struct ModelView {
+    /// ms since this node learned of the target.
+    pub age_ms: u64,
+    /// Ready engines that serve the model, by id.
+    pub engines: Vec<EngineView>,
+    /// ms until every request is to be answered with the target weights.
+    pub left_ms: u64,
+    /// Name of the model.
+    pub model: String,
+    /// Target version of its weights.
+    pub revision: u64,
+}
+
+/// One engine on its way to the target weights.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+pub struct EngineView {
+    /// Instance id.
+    pub id: String,
+    /// Version of the weights that it serves.
+    pub revision: Option<u64>,
+    /// How far it has come.
+    pub state: State,
+    /// Why it is no further, where something is wrong with it.
+    pub stuck: Option<String>,
+    /// The zone it is in.
+    pub zone: String,
+}
+
+/// How far an engine has come.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// at the named weights
+    /// Serves with the target weights.
     Ready,
-    /// at older weights, and serving
+    /// Serves with older weights.
     Waiting,
-    /// gets no more long streams
+    /// Gets no more long streams.
     #[serde(rename = "fading")]
     DrainingStreams,
-    /// gets nothing until it shows the named weights
+    /// Gets no requests until it shows the target weights.
     #[serde(rename = "turning")]
     Updating,
-    /// tells nothing
+    /// Sends no heartbeats.
     #[serde(rename = "silent")]
     HeartbeatMissed,
 }
 
-pub fn state_of(e: &Engine, model: &str, target: u64) -> State {
-    if e.heartbeat_missed {
-        return State::HeartbeatMissed;
-    }
-    if fleet_core::fleet::version_of(e, model).is_some_and(|v| v >= target) {
-        return State::Ready;
-    }
-    if fleet_core::fleet::is_updating(e, model, Some(target)) {
-        return State::Updating;
-    }
-    if fleet_core::fleet::is_draining_streams(e, model, Some(target)) {
+/// How far an engine has come towards the target version of a model.
+pub fn state_of(engine: &Engine, model: &str, target: u64) -> State {
+    if engine.heartbeat_missed {
+        State::HeartbeatMissed
+    } else if version_of(engine, model).is_some_and(|version| version >= target) {
+        State::Ready
+    } else if is_updating(engine, model, Some(target)) {
+        State::Updating
+    } else if is_draining_streams(engine, model, Some(target)) {
         State::DrainingStreams
     } else {
         State::Waiting
@@ -50,57 +92,62 @@
     match (state, step) {
         (State::Ready, _) => None,
         (State::HeartbeatMissed, _) => Some("sends no heartbeats".to_owned()),
-        (_, Some((Step::Updating(since), now)))
-            if now.duration_since(since) > constants::UPDATE_SLOW =>
-        {
-            Some(format!("turns since {} ms", now.duration_since(since).as_millis()))
+        (_, Some((Step::Updating(since), now))) => {
+            let age = now.duration_since(since);
+            (age > constants::UPDATE_SLOW).then(|| format!("turns since {} ms", age.as_millis()))
         }
-        (_, Some((Step::Updating(_), _))) => None,
-        _ => error.map(|p| format!("last turn failed: {p}")),
+        _ => error.map(|error| format!("last turn failed: {error}")),
     }
 }
 
-fn engine_json(
-    e: &Engine,
-    model: &str,
-    target: u64,
-    plan: &Plan,
-    now: Instant,
-) -> serde_json::Value {
-    let state = state_of(e, model, target);
-    let step = plan.step(&e.id).map(|step| (step, now));
-    serde_json::json!({
-        "id": e.id, "zone": e.zone, "state": state,
-        "revision": fleet_core::fleet::version_of(e, model),
-        "stuck": stuck(state, step, plan.error(&e.id)),
-    })
-}
-
-pub fn view(rollout: &Rollout) -> serde_json::Value {
+/// How the roll-outs stand now.
+pub fn view(rollout: &Rollout) -> RolloutView {
     let now = Instant::now();
     let bound = rollout.process.settings().bounds.version;
     let plan = rollout.plan.lock();
-    let is_held = rollout.leases.fencing_token(ROLLOUT_LEASE).is_some();
-    let models = rollout.cluster_state.read(|n| {
-        let mut all: Vec<_> = n.weights.iter().collect();
-        all.sort_by_key(|(m, _)| m.as_str());
-        let one = |(model, (target, at)): &(&String, &(u64, Option<Instant>))| {
-            let mut engines: Vec<&Engine> = n
-                .engines
-                .values()
-                .filter(|e| e.state() == EngineState::Ready)
-                .filter(|e| fleet_core::fleet::version_of(e, model).is_some())
-                .collect();
-            engines.sort_by(|a, b| a.id.cmp(&b.id));
-            let age = at.map_or(Duration::ZERO, |t| now.duration_since(t));
-            let engines_json: Vec<_> =
-                engines.iter().map(|e| engine_json(e, model, *target, &plan, now)).collect();
-            serde_json::json!({
-                "model": model, "revision": target, "ageMs": age.as_millis() as u64,
-                "leftMs": bound.saturating_sub(age).as_millis() as u64, "engines": engines_json,
-            })
+    let models = rollout.cluster_state.read(|state| {
+        let mut targets: Vec<_> = state.weights.iter().collect();
+        targets.sort_by_key(|(model, _)| model.as_str());
+        let view = |(model, (target, learned_at)): (&String, &(u64, Option<Instant>))| {
+            let age = learned_at.map_or(Duration::ZERO, |at| now.duration_since(at));
+            ModelView {
+                age_ms: age.as_millis() as u64,
+                engines: engine_views(state, &plan, model, *target, now),
+                left_ms: bound.saturating_sub(age).as_millis() as u64,
+                model: model.clone(),
+                revision: *target,
+            }
         };
-        all.iter().map(one).collect::<Vec<_>>()
+        targets.into_iter().map(view).collect()
     });
-    serde_json::json!({"holds": is_held, "width": plan.concurrency(), "models": models})
+    let holds = rollout.leases.fencing_token(ROLLOUT_LEASE).is_some();
+    RolloutView { holds, models, width: plan.concurrency() }
+}
+
+fn engine_views(
+    state: &ClusterState,
+    plan: &Plan,
+    model: &str,
+    target: u64,
+    now: Instant,
+) -> Vec<EngineView> {
+    let serves = |engine: &&Engine| {
+        engine.state() == EngineState::Ready && version_of(engine, model).is_some()
+    };
+    let mut engines: Vec<&Engine> = state.engines.values().filter(serves).collect();
+    engines.sort_by(|a, b| a.id.cmp(&b.id));
+    let view = |engine: &Engine| engine_view(engine, plan, model, target, now);
+    engines.into_iter().map(view).collect()
+}
+
+fn engine_view(engine: &Engine, plan: &Plan, model: &str, target: u64, now: Instant) -> EngineView {
+    let state = state_of(engine, model, target);
+    let step = plan.step(&engine.id).map(|step| (step, now));
+    EngineView {
+        id: engine.id.clone(),
+        revision: version_of(engine, model),
+        state,
+        stuck: stuck(state, step, plan.error(&engine.id)),
+        zone: engine.zone.clone(),
+    }
 }
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -309,7 +309,7 @@
         &self.controller
     }
 
-    /// Ends in good order, as a program does when it is told to stop: releases its leases and keys, and sends the
+    /// Ends in good order, as a program does on SIGTERM: releases its leases and keys, and sends the
     /// others what they may not know of the engines.
     pub async fn leave(&self) {
         let controller = &self.controller;
@@ -334,7 +334,7 @@
     }
 }
 
-/// Runs a controller until it is told to stop.
+/// Runs a controller until it is stopped.
 pub async fn run(
     settings: Settings,
     log: slog::Logger,
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -20,7 +20,7 @@
 pub struct ViewSources {
     /// This node's vote, and its contact with the others.
     pub consensus: Arc<Consensus>,
-    /// The zones that the other controllers have told.
+    /// The zones of the other controllers.
     pub links: Arc<PeerLinks>,
     /// The leases that it granted and holds.
     pub leases: Arc<LeaseManager>,
--- a/crates/control-plane/src/service/membership/view.rs
+++ b/crates/control-plane/src/service/membership/view.rs
@@ -8,15 +8,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MembersView {
-    /// Name of the controller that tells this.
+    /// Name of the controller that answers.
     pub name: String,
     /// Its address.
     pub ip: String,
-    /// Whether it heard a majority of the voters a short time ago; without that it answers no other call.
+    /// Whether a majority of the voters answered it a short time ago; without that it answers no other call.
     pub in_contact: bool,
     /// Whether it has a vote.
     pub votes: bool,
-    /// Whether it was told to stop.
+    /// Whether it is shutting down.
     #[serde(rename = "leaving")]
     pub shutting_down: bool,
     /// How its disk stands.
@@ -72,7 +72,7 @@
 pub struct VoterView {
     /// Its address.
     pub ip: String,
-    /// Its zone; empty if it has told none.
+    /// Its zone; empty if it is not known.
     pub zone: String,
     /// Where it takes calls.
     pub control: String,
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -1,4 +1,12 @@
-//! Two slots written in turn, a short log between; synced on a thread of its own.
+//! Where a voter keeps its registers: two slots written in turn and a short log between, synced on a thread of its own.
+//!
+//! | file | what it is |
+//! |---|---|
+//! | [`format`] | bytes of slots and log records, and how a torn one is known |
+//! | [`files`] | which of them hold the state, and when a slot is written |
+//! | [`backend`] | the folder's files, as a trait that tests replace by a simulated disk |
+//! | [`writer`] | the thread that writes and syncs |
+//! | [`monitor`] | knows when a record waits for too long |
 //!
 //! The controller knows the disk as a [`RecordQueue`] only, so that tests and simulations put a
 //! disk of their own behind it.
@@ -11,18 +19,23 @@
 
 use fleet_core::transport::BoxFuture;
 
-#[expect(missing_docs, reason = "older than the lint; mended when the file is next changed")]
+/// Why a record is not on the disk.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum DiskError {
     /// {what}: {kind}
-    Io { what: &'static str, kind: std::io::ErrorKind },
+    Io {
+        /// The step that failed.
+        what: &'static str,
+        /// As the operating system has it.
+        kind: std::io::ErrorKind,
+    },
     /// the thread of the disk has ended
     Ended,
     /// this machine has no disk
     Absent,
 }
 
-#[expect(missing_docs, reason = "older than the lint; mended when the file is next changed")]
+/// Names the step at which the operating system reported an error.
 pub fn io_error(what: &'static str) -> impl Fn(std::io::Error) -> DiskError {
     move |e| DiskError::Io { what, kind: e.kind() }
 }
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -158,7 +158,7 @@
     Ok((current, routing_table))
 }
 
-/// Fetches whenever a controller told of a version above the one in force.
+/// Fetches whenever a controller announced a version above the one in force.
 pub async fn run_config_fetch(router: Arc<Router>) {
     let mut announced = router.fleet_view.announced_config();
     let mut fetcher = Fetcher::default();
--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -49,7 +49,7 @@
 /// What a roll was made from: it is out of date once one of them has risen.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Key {
-    /// news of engines
+    /// updates of engines
     state: u64,
     /// moves of the index
     moves: u64,
@@ -58,14 +58,14 @@
 /// The engines of one service, one row each.
 pub struct EndpointSet {
     key: Key,
-    /// All engines that are not gone.
+    /// All engines that are not deregistered.
     pub endpoints: Vec<Endpoint>,
     /// cell and holder's number, to the row
     numbers: Vec<[u16; 256]>,
 }
 
 impl EndpointSet {
-    /// Rows for these engines; `state` tells how new they are.
+    /// Endpoints of these engines; `state` counts the updates that they include.
     pub fn new(
         engines: Vec<(Arc<EngineHandle>, Engine)>,
         zone: &str,
@@ -124,7 +124,7 @@
     applied: f64,
 }
 
-/// The rolls in use; a count that rises with all news of engines tells when one is out of date.
+/// The sets in use; a count that rises with each update of engines shows when one is out of date.
 #[derive(Default)]
 pub struct Endpoints {
     state: AtomicU64,
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -68,7 +68,7 @@
     pending: AtomicBool,
     inbox: parking_lot::Mutex<Vec<ViewUpdate>>,
     found: parking_lot::Mutex<Vec<CachedParts>>,
-    /// own findings, newest last, for a keeper that starts from nothing
+    /// own findings, newest last, for an index owner that starts from nothing
     again: parking_lot::Mutex<std::collections::VecDeque<CachedParts>>,
 }
 
@@ -102,7 +102,7 @@
         &self.index
     }
 
-    /// An own send has left this prompt at a holder; its shared parts are told if they are news.
+    /// An own send has left this prompt at a holder; its shared parts are reported if they are new.
     pub fn sent(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
         let index = self.current_index();
         let position = index.admit(holder);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Keeps a finding to be told, unless too many wait already.
+    /// Queues a finding to be reported, unless too many wait already.
     fn remember(&self, holder: &str, salt: &str, new_parts: &[(u64, u64)]) {
         let mut found = self.found.lock();
         if found.len() >= constants::PENDING_FINDINGS_CAPACITY {
@@ -157,7 +157,7 @@
     }
 }
 
-/// Tells the index-keeper what own sends have left behind.
+/// Reports to the index owner what own sends have left behind.
 pub async fn run_findings_reporter(router: Arc<Router>) {
     loop {
         tokio::time::sleep(constants::FINDINGS_REPORT_INTERVAL).await;
@@ -200,7 +200,7 @@
         RingPosition { fencing_token, incarnation, cursor, found }
     }
 
-    /// The index-keeper's fencing token.
+    /// The index owner's fencing token.
     pub fn fencing_token(&self) -> u64 {
         self.fencing_token
     }
@@ -216,8 +216,8 @@
     }
 }
 
-/// What an answer of the keeper does to the reader: its next place, and what to apply. None if the
-/// answer cannot be used: it is of an older keeper, of another ring without a reset, or without a head.
+/// What an answer of the index owner does to the reader: its next place, and what to apply. None if the
+/// answer cannot be used: it is of an older index owner, of another ring without a reset, or without a head.
 pub fn step(
     position: RingPosition,
     answer: RingResponse,
@@ -242,7 +242,7 @@
     Some((next, has_changes.then_some(ViewUpdate { reset, snapshot, entries })))
 }
 
-/// Fetches behind the head whenever it has moved or the keeper has nudged.
+/// Fetches behind the head whenever it has moved or the index owner has notified.
 pub async fn run_invalidation_reader(router: Arc<Router>) {
     let view = &router.fleet_view;
     let mut position = RingPosition::default();
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -28,7 +28,7 @@
     out
 }
 
-/// Keeps the links to the controllers, and tells each once a second that this router is alive.
+/// Keeps the links to the controllers, and sends each a heartbeat once a second.
 pub async fn run_link_maintenance(router: Arc<Router>) {
     loop {
         let addresses = addresses(&router);
--- a/crates/data-plane/src/fleet_view/load_reports.rs
+++ b/crates/data-plane/src/fleet_view/load_reports.rs
@@ -1,4 +1,4 @@
-//! What all routers have in flight at each engine: told to one controller, heard back as a sum.
+//! What all routers have in flight at each engine: reported to one controller, received back as a sum.
 
 use super::FleetView;
 use crate::Router;
@@ -30,7 +30,7 @@
         link(chosen(membership.members.iter(), zone, name, is_up)?)
     }
 
-    /// The sum over all routers; the own part is counted as it is now, not as it was told.
+    /// The sum over all routers; the own part is counted as it is now, not as it was reported.
     pub fn update_loads(&self, message: &LoadReport) {
         let all: ByEngine = load::unpack(message).collect();
         let now = Instant::now();
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::time::Instant;
 
-/// All engines that are known, by instance id; gone ones for a while.
+/// All engines that are known, by instance id; deregistered ones for a while.
 pub type EngineHandles = hashbrown::HashMap<String, Arc<EngineHandle>, ahash::RandomState>;
 
 /// Newest named weights of a model, and since when.
@@ -26,11 +26,11 @@
     pub since: Instant,
 }
 
-/// What this router was told of the fleet, and what it saw itself. Nothing in it goes back to an older
+/// What this router was sent of the fleet, and what it saw itself. Nothing in it goes back to an older
 /// state.
 pub struct FleetView {
     routing_table: parking_lot::RwLock<Option<Arc<routing_table::Table>>>,
-    /// The highest version of a configuration that a controller told of.
+    /// The highest version of a configuration that a controller announced.
     announced_config: tokio::sync::watch::Sender<u64>,
     /// All engines that are known.
     pub engines: parking_lot::RwLock<EngineHandles>,
@@ -153,13 +153,13 @@
         }
     }
 
-    /// The highest version of a configuration that a controller told of.
+    /// The highest version of a configuration that a controller announced.
     pub fn announced_config(&self) -> tokio::sync::watch::Receiver<u64> {
         self.announced_config.subscribe()
     }
 
     /// The links to controllers that are up, in the order of their addresses; those that were
-    /// heard lately, unless there is none.
+    /// that answered lately, unless there is none.
     pub fn links_up(&self) -> Vec<Arc<fleet_core::link::Link>> {
         let links = self.links.lock();
         let mut up: Vec<_> = links.iter().filter(|(_, link)| link.is_up()).collect();
--- a/crates/data-plane/src/fleet_view/routing_table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -5,7 +5,7 @@
 
 /// A tenant of the configuration.
 pub struct Tenant {
-    /// its name, as engines are told
+    /// its name, as engines see it
     pub name: String,
     /// rank of its requests, 0 is highest; goes before the route's
     pub priority: i64,
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// Runs a router until it is told to stop.
+/// Runs a router until it is stopped.
 pub async fn run(
     settings: fleet_core::settings::Settings,
     log: slog::Logger,
--- a/crates/data-plane/src/load_balancer/candidates.rs
+++ b/crates/data-plane/src/load_balancer/candidates.rs
@@ -25,11 +25,11 @@
 /// What speaks for an engine being alive; the later, the more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Liveness {
-    /// No controller hears it, and it has served nothing since a connection broke.
+    /// Its heartbeats are missed, and it has served nothing since a connection broke.
     Unlikely,
-    /// One of the two: a controller that is cut off hears no engine, and a connection may fail once.
+    /// One of the two: a controller that is cut off misses all heartbeats, and a connection may fail once.
     Doubtful,
-    /// It is heard, and nothing broke lately.
+    /// Its heartbeats come, and nothing broke lately.
     Awake,
 }
 
--- a/crates/data-plane/src/load_balancer/prefix_cache.rs
+++ b/crates/data-plane/src/load_balancer/prefix_cache.rs
@@ -7,7 +7,7 @@
 use prompt_index::{Chain, HolderBitmap};
 use smallvec::SmallVec;
 
-/// What the index tells of a prompt under one version of the weights.
+/// What the index knows of a prompt under one version of the weights.
 pub struct PrefixCache {
     /// the version
     pub version: u64,
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What an engine told of itself with an answer.
+/// What an engine reported of itself with a response.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportedLoad {
     /// requests that it runs
@@ -19,7 +19,7 @@
     pub waiting: u32,
     /// requests that it runs at once
     pub slots: u32,
-    /// when it told so
+    /// when it reported so
     pub at: Instant,
 }
 
@@ -49,17 +49,17 @@
     pub transfers: u32,
     /// own sends in flight that somebody waits for
     pub interactive: u32,
-    /// own load as it was told last
+    /// own load as it was reported last
     pub last_published: Load,
     /// load of all other routers
     pub others: Load,
-    /// when that was heard
+    /// when that was reported
     pub others_at: Option<Instant>,
     /// the one used last is the last
     idle: VecDeque<Idle>,
     /// shortest rest after which it dropped a connection, as long as it has not answered since
     suspected: Option<Duration>,
-    /// what the engine told last
+    /// what the engine reported last
     pub reported: Option<ReportedLoad>,
     /// left alone until then
     ejected_until: Option<Instant>,
@@ -115,7 +115,7 @@
 }
 
 impl EngineHandle {
-    /// An engine that was just heard of; none if its address is none.
+    /// An engine that is new; none if its address is none.
     pub fn new(e: &Engine) -> Option<EngineHandle> {
         Some(EngineHandle {
             id: e.id.clone(),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Marks of the roll-out count only so long: who set them may be gone.
+    /// States of the roll-out count only so long: who set them may have failed.
     pub fn has_rollout_mark(&self, now: Instant) -> bool {
         now.duration_since(*self.marked_at.lock()) < constants::ROLLOUT_STATE_TIMEOUT
     }
@@ -154,7 +154,7 @@
         self.state.read()
     }
 
-    /// Weights seen in an answer; true if they are news.
+    /// Weights seen in an answer; true if they are new.
     pub fn saw_weights(&self, model: &str, version: u64) -> bool {
         fleet_core::fleet::version_of(&self.state(), model).is_some_and(|s| s < version)
             && fleet_core::fleet::raise(&mut self.state.write(), model, version)
--- a/crates/data-plane/src/proxy/passive_health.rs
+++ b/crates/data-plane/src/proxy/passive_health.rs
@@ -1,4 +1,4 @@
-//! What an answer tells of the engine that gave it.
+//! What a response shows of the engine that gave it.
 
 use super::headers;
 use super::stage::ClientRequest;
--- a/crates/data-plane/src/proxy/response_check.rs
+++ b/crates/data-plane/src/proxy/response_check.rs
@@ -92,7 +92,7 @@
         || head.headers.contains_key(headers::NOT_EXECUTED)
 }
 
-/// An answer too many may come where the next one is due: the id tells. One that turns a request
+/// An answer too many may come where the next one is due: its id shows that. One that rejects a request
 /// away may lack the id, where nobody else's answer can be due.
 fn is_ours(head: &Parts, sent: &SentRequest, not_executed: bool) -> bool {
     match head.headers.get(headers::ATTEMPT_ID) {
--- a/crates/fleet-core/src/configuration.rs
+++ b/crates/fleet-core/src/configuration.rs
@@ -122,7 +122,7 @@
     /// Services with their weights; goes before `service`.
     #[serde(default)]
     pub split: Option<Vec<Share>>,
-    /// Engines that one request may be sent to; 1 if not told.
+    /// Engines that one request may be sent to; 1 if not given.
     #[serde(default = "one")]
     pub max_attempts: u32,
     /// Whether requests need no key.
@@ -159,7 +159,7 @@
     pub name: String,
 }
 
-/// What the operator says of the engines of a service. 0 where not told.
+/// What the operator says of the engines of a service. 0 where not given.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EngineFacts {
--- a/crates/fleet-core/src/constants/engines.rs
+++ b/crates/fleet-core/src/constants/engines.rs
@@ -6,11 +6,11 @@
 pub const HEARTBEAT_MAX_BYTES: usize = 4096;
 /// ms; routine heartbeats are shared with the other controllers this often.
 pub const HEARTBEAT_SHARE_INTERVAL: Duration = Duration::from_millis(300);
-/// ms; a drain is told to a majority within this, inside the second engines wait.
+/// ms; a drain is replicated to a majority within this, inside the second engines wait.
 pub const HEARTBEAT_SHARE_TIMEOUT: Duration = Duration::from_millis(700);
-/// heartbeats; an engine silent for so many is suspected.
+/// heartbeats; an engine that missed so many is suspected.
 pub const MISSED_HEARTBEATS: f64 = 3.5;
-/// s; a gone instance is remembered this long so that no late call brings it back.
+/// s; a deregistered instance is remembered this long so that no late call brings it back.
 pub const TOMBSTONE: Duration = Duration::from_secs(300);
 /// ms; an engine under order is asked for its report this often.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
--- a/crates/fleet-core/src/constants/invalidations.rs
+++ b/crates/fleet-core/src/constants/invalidations.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// own findings that a router remembers, to tell a new index-keeper.
+/// own findings that a router remembers, to report to a new index owner.
 pub const REPEATED_FINDINGS_CAPACITY: usize = 256;
 /// ms; how long a call for events is held by an engine: the longest the protocol allows.
 pub const EVENTS_WAIT_MS: u64 = 1000;
@@ -22,13 +22,13 @@
 pub const SHARED_PARTS_CAPACITY: usize = 131_072;
 /// bytes of digests that may be on their way at once; each is held three times until it has gone out.
 pub const REFILL_UNDERWAY: usize = 4 << 20;
-/// bytes a ms at which digests go out: a third of the keeper's line of 100 Mbit/s.
+/// bytes a ms at which digests go out: a third of the index owner's line of 100 Mbit/s.
 pub const REFILL_BYTES_PER_MS: usize = 4_000;
 /// bytes of a holder's and a salt's names in a digest, about.
 pub const SNAPSHOT_NAME_BYTES: usize = 64;
 /// bytes of a part and its kept tokens in a digest, at the most.
 pub const SNAPSHOT_PART_BYTES: usize = 14;
-/// holders whose gathered events a new keeper reads at the same time; each may send `EVENTS_BYTES`.
+/// holders whose gathered events a new index owner reads at the same time; each may send `EVENTS_BYTES`.
 pub const FIRST_READS: usize = 8;
 /// bytes; largest answer to a call for events that is read: some 30,000 events.
 pub const EVENTS_BYTES: usize = 2 << 20;
@@ -38,13 +38,13 @@
 pub const REFILL_TIMEOUT: Duration = Duration::from_secs(2);
 /// ms; routers tell what their sends leave behind this often.
 pub const FINDINGS_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// findings of own sends that wait to be told; more are only slower to come by.
+/// findings of own sends that wait to be reported; more are only slower to come by.
 pub const PENDING_FINDINGS_CAPACITY: usize = 512;
 /// s; a reader that has not come for so long loses its cursor.
 pub const READER_TIMEOUT: Duration = Duration::from_secs(10);
 /// ms; routers fetch published entries this long after they hear of a new head.
 pub const RING_FETCH_DELAY: Duration = Duration::from_millis(20);
-/// ms; the index-keeper tells of a new head at most this often.
+/// ms; the index owner notifies of a new head at most this often.
 pub const RING_PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
 /// blocks of a prompt that are looked up; deeper ones are read without the index.
 pub const CHAIN_BLOCKS: usize = 64;
--- a/crates/fleet-core/src/constants/link.rs
+++ b/crates/fleet-core/src/constants/link.rs
@@ -22,7 +22,7 @@
 pub const RECONNECT_BACKOFF: Duration = Duration::from_millis(250);
 /// bytes; frames that wait are written together up to this, so that a connection holds little beside its queue.
 pub const WRITE_BATCH: usize = 64 << 10;
-/// frames; a reader with so many waiting gets nothing that can be told later in a newer form.
+/// frames; a reader with so many waiting gets nothing that can be sent later in a newer form.
 pub const SLOW_READER_BACKLOG: usize = 8;
 /// ms; pause before a slow reader's queue is looked at again.
 pub const SLOW_READER_POLL_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/fleet-core/src/constants/mod.rs
+++ b/crates/fleet-core/src/constants/mod.rs
@@ -1,21 +1,25 @@
 //! Every constant of the system, with its unit and the reason for its value.
 
-mod control;
-mod duties;
+mod config_distribution;
+mod consensus;
 mod engines;
 mod invalidations;
+mod leases;
 mod link;
-mod members;
+mod membership;
 mod process;
 mod rollout;
 mod router;
+mod storage;
 
-pub use control::*;
-pub use duties::*;
+pub use config_distribution::*;
+pub use consensus::*;
 pub use engines::*;
 pub use invalidations::*;
+pub use leases::*;
 pub use link::*;
-pub use members::*;
+pub use membership::*;
 pub use process::*;
 pub use rollout::*;
 pub use router::*;
+pub use storage::*;
--- a/crates/fleet-core/src/constants/rollout.rs
+++ b/crates/fleet-core/src/constants/rollout.rs
@@ -4,7 +4,7 @@
 
 /// ms; the roll-out looks at its engines this often.
 pub const ROLLOUT_INTERVAL: Duration = Duration::from_millis(100);
-/// ms; routers have heard that an engine changes before it is ordered to.
+/// ms; routers know that an engine changes before it is ordered to.
 pub const ROLLOUT_NOTICE: Duration = Duration::from_millis(120);
 /// engines' share of a service that turn to new weights together at first; learnt from there.
 pub const ROLLOUT_INITIAL_SHARE: f64 = 0.15;
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -4,19 +4,19 @@
 
 /// ms; routers tell the controllers that they live this often.
 pub const ROUTER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// ms; a router silent for this long no longer counts.
+/// ms; a router without a heartbeat for this long no longer counts.
 pub const ROUTER_TIMEOUT: Duration = Duration::from_millis(4000);
 /// share of a budget that is used; the rest covers windows that slide against each other.
 pub const BUDGET_SHARE: f64 = 0.8;
 /// routers; how many may join before the others hear of it.
 pub const BUDGET_SPARES: usize = 3;
-/// ms; loads of engines are told on this often, twice on their way; most reads take longer.
+/// ms; loads of engines are passed on this often, twice on their way; most reads take longer.
 pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// ms; loads that have not changed are told again this often.
+/// ms; loads that have not changed are reported again this often.
 pub const LOAD_REPORT_REFRESH: Duration = Duration::from_millis(500);
 /// ms; loads older than this count no more.
 pub const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// tokens; unit in which loads are told.
+/// tokens; unit in which loads are reported.
 pub const LOAD_TOKENS: u64 = 64;
 /// connections kept idle to one engine.
 pub const IDLE_CONNECTIONS: usize = 12;
@@ -31,7 +31,7 @@
 /// s; rest after which a request that may run only once takes another connection, until more is
 /// known: half of what is kept.
 pub const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(2);
-/// ms; a connection that rested for less was in use: its break tells of the engine, not of the rest.
+/// ms; a connection that rested for less was in use: its break is due to the engine, not to the rest.
 pub const IDLE_TIMEOUT_MIN: Duration = Duration::from_millis(100);
 /// share of the shortest rest seen forgotten that counts as safe, for rests vary.
 pub const IDLE_TIMEOUT_MARGIN: f64 = 0.6;
@@ -49,7 +49,7 @@
 pub const RUN_COST_MS: f64 = 2.0;
 /// ms; what a request waiting at an engine costs.
 pub const WAIT_COST_MS: f64 = 40.0;
-/// ms; what an engine told of its own load counts this long.
+/// ms; what an engine reported of its own load counts this long.
 pub const REPORTED_LOAD_TIMEOUT: Duration = Duration::from_millis(500);
 /// ms; what leaving the zone costs in bytes and time.
 pub const ZONE_COST_MS: f64 = 4.0;
@@ -71,7 +71,7 @@
 pub const PREFILL_HEAVY_MIN_SHARE: f64 = 0.58;
 /// engines by which the division has to be off before it moves, as a share of all.
 pub const DIVISION_STEP: f64 = 0.05;
-/// weight of the newest sum of runs in what the division goes by; a second or two of news.
+/// weight of the newest sum of runs in what the division goes by; a second or two of reports.
 pub const DIVISION_WEIGHT: f64 = 0.05;
 /// ms; what it costs to leave the half of the engines where one belongs.
 pub const WRONG_GROUP_COST_MS: f64 = 120.0;
@@ -95,5 +95,5 @@
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
 /// ms; what a client with no deadline waits.
 pub const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
-/// s; pause told to a client that is refused.
+/// s; `Retry-After` of a client that is rejected.
 pub const RETRY_AFTER: &str = "0.3";
--- a/crates/fleet-core/src/digest.rs
+++ b/crates/fleet-core/src/digest.rs
@@ -21,12 +21,12 @@
         BodyDigest(first)
     }
 
-    /// A digest that was told; none where it has another length.
+    /// A digest as it was sent; none where it has another length.
     pub fn from_bytes(bytes: &[u8]) -> Option<BodyDigest> {
         bytes.try_into().ok().map(BodyDigest)
     }
 
-    /// The digest as it is told.
+    /// The digest as it is sent.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -1,10 +1,10 @@
-//! What is believed of an engine, and how news of it merge; alike at controllers and routers.
+//! What is known of an engine, and how updates of it merge; alike at controllers and routers.
 
 use crate::wire::{Engine, EngineState};
 
-/// Takes the news into what is known; false if they tell nothing new but the call's number.
+/// Merges an update into what is known; false if nothing but the call's number is new.
 /// News of a later call replace what is known; of an earlier one, only what never falls counts:
-/// versions, marks of the roll-out, and that it is gone.
+/// versions, states of the roll-out, and that it was deregistered.
 pub fn merge(known: &mut Engine, update: &Engine) -> bool {
     let before = known.clone();
     if update.call > known.call {
--- a/crates/fleet-core/src/load.rs
+++ b/crates/fleet-core/src/load.rs
@@ -40,7 +40,7 @@
     (crate::node::stable_hash(&[id.as_bytes()]) >> 32) as u32
 }
 
-/// The message that tells these loads: without idle engines, ordered by key, tokens rounded up to
+/// The report of these loads: without idle engines, ordered by key, tokens rounded up to
 /// `LOAD_TOKENS`.
 pub fn pack(loads: &ByEngine) -> LoadReport {
     let mut engines: Vec<(&u32, &Load)> =
@@ -57,7 +57,7 @@
     message
 }
 
-/// The loads that a message tells. Lists of unequal length are read as far as all reach.
+/// The loads in a report. Lists of unequal length are read as far as all reach.
 pub fn unpack(message: &LoadReport) -> impl Iterator<Item = (u32, Load)> + '_ {
     let engines =
         message.keys.iter().zip(&message.unread).zip(&message.runs).zip(&message.interactive);
@@ -67,19 +67,19 @@
     })
 }
 
-/// What each sender told last, for as long as it keeps telling.
+/// What each sender reported last, for as long as it keeps reporting.
 #[derive(Default)]
 pub struct LoadTable {
     reports: std::collections::BTreeMap<u64, (tokio::time::Instant, LoadReport)>,
 }
 
 impl LoadTable {
-    /// Remembers what a sender told now.
+    /// Takes in the report of a sender.
     pub fn record(&mut self, reporter: u64, now: tokio::time::Instant, loads: LoadReport) {
         self.reports.insert(reporter, (now, loads));
     }
 
-    /// The sum over all senders that were heard within `LOAD_REPORT_TIMEOUT`; forgets the others.
+    /// The sum over all senders that reported within `LOAD_REPORT_TIMEOUT`; forgets the others.
     pub fn sum(&mut self, now: tokio::time::Instant) -> ByEngine {
         self.reports.retain(|_, (at, _)| now.duration_since(*at) < constants::LOAD_REPORT_TIMEOUT);
         let mut sum = ByEngine::default();
--- a/crates/fleet-core/src/log.rs
+++ b/crates/fleet-core/src/log.rs
@@ -4,7 +4,7 @@
 
 macro_rules! events {
     ($($name:ident = $no:literal, $level:ident, $text:literal;)*) => {
-        /// What a log line tells; its value is the number in the catalogue.
+        /// What happened; its value is the number in the catalogue.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Event { $(#[doc = $text] $name = $no,)* }
         impl Event {
--- a/crates/fleet-core/src/node.rs
+++ b/crates/fleet-core/src/node.rs
@@ -61,7 +61,7 @@
     hasher.finish() | 1
 }
 
-/// Hash of these parts, which tells `ab, c` from `a, bc`. The same on every machine and in every
+/// Hash of these parts, which differs between `ab, c` and `a, bc`. The same on every machine and in every
 /// incarnation, unlike the tables' own hashes. Not for secrets.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
--- a/crates/fleet-core/src/settings.rs
+++ b/crates/fleet-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: lines of the form `a.b=value`, told to each process by its platform.
+//! The settings file: lines of the form `a.b=value`, given to each process by its platform.
 //!
 //! Unknown fields are ignored, so that an older program can read a newer file. Lists are joined by commas.
 
@@ -44,7 +44,7 @@
     pub grace: Duration,
     /// From the acknowledgement of a configuration until it is in force at every router (`applyMs`).
     pub apply: Duration,
-    /// Length of a duty lease (`leaseMs`).
+    /// Length of a lease (`leaseMs`).
     pub lease: Duration,
     /// From naming weights until requests are answered with them (`versionMs`).
     pub version: Duration,
@@ -74,13 +74,13 @@
 pub struct Settings {
     /// Name of the node; both programs of a machine share it.
     pub node_name: String,
-    /// Name of the role as the deploy file has it; empty if not told.
+    /// Name of the role as the deploy file has it; empty if not given.
     pub role: String,
     /// The machine's address, from which connections are opened as well.
     pub ip: Ipv4Addr,
     /// Zone of the machine.
     pub zone: String,
-    /// Region of the machine; empty if not told.
+    /// Region of the machine; empty if not given.
     pub region: String,
     /// All zones, each with its region, sorted.
     pub zones: Vec<(String, String)>,
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -67,12 +67,12 @@
     /// Name of the node that may have acted last: a new holder of another node waits for its lease to pass.
     #[prost(string, tag = "3")]
     pub acting: String,
-    /// The raise that gave the fence.
+    /// The raise that gave the fencing token.
     #[prost(message, optional, tag = "4")]
     pub raise: Option<RaiseId>,
 }
 
-/// Names one raise of a fence, so that deciding it twice is the same as deciding it once.
+/// Names one raise of a fencing token, so that deciding it twice is the same as deciding it once.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct RaiseId {
     /// Incarnation of the node that raises.
@@ -104,7 +104,7 @@
     /// Names a version of a model's weights.
     #[prost(message, tag = "2")]
     Name(SetTargetVersion),
-    /// Raises a duty's fencing token.
+    /// Raises a lease's fencing token.
     #[prost(message, tag = "3")]
     Raise(RaiseFencingToken),
     /// Changes nothing: asks the key's owner to complete what is open and to prove its value current.
@@ -137,16 +137,16 @@
     pub version: u64,
 }
 
-/// Raises the fencing token of a duty for a new holding.
+/// Raises the fencing token of a lease for a new acquisition.
 #[derive(Clone, PartialEq, Message)]
 pub struct RaiseFencingToken {
-    /// Name of the duty.
+    /// Name of the lease.
     #[prost(string, tag = "1")]
     pub lease_name: String,
     /// Name of the node that is about to hold it; it already has the lease.
     #[prost(string, tag = "2")]
     pub holder: String,
-    /// Which raise this is; the same one gets the same fence again.
+    /// Which raise this is; the same one gets the same token again.
     #[prost(message, required, tag = "3")]
     pub id: RaiseId,
     /// No raise: the former holder's lease has passed, and this node acts from now on. Stale unless the
@@ -177,11 +177,11 @@
     /// An [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "1")]
     pub outcome: i32,
-    /// Version or fence in force after the change; for a refused one, the version that stands in its
+    /// Version or fencing token in force after the change; for a refused one, the version that stands in its
     /// way; 0 if unknown.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// For a raise, the node that held the duty before; else empty.
+    /// For a raise, the node that held the lease before; else empty.
     #[prost(string, tag = "3")]
     pub holder: String,
 }
--- a/crates/fleet-core/src/wire/configurations.rs
+++ b/crates/fleet-core/src/wire/configurations.rs
@@ -2,7 +2,7 @@
 
 use prost::Message;
 
-/// A router asks for the configuration in force, and tells what it has.
+/// A router asks for the configuration in force, and says what it has.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfigRequest {
     /// digest of the body that the router has; empty if it has none that a delta could build on
@@ -33,7 +33,7 @@
     /// all of it, packed
     #[prost(bytes = "bytes", tag = "4")]
     Full(bytes::Bytes),
-    /// a packed `ConfigDelta` against the body that the router told
+    /// a packed `ConfigDelta` against the body that the router has
     #[prost(bytes = "bytes", tag = "5")]
     Delta(bytes::Bytes),
 }
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -14,13 +14,13 @@
 }
 
 /// What is known of one instance of an engine. News merge by [`crate::fleet::merge`]: the highest call
-/// of an instance wins, versions only rise, gone is final.
+/// of an instance wins, versions only rise, deregistration is final.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Engine {
     /// The instance's id; each start of an engine has a new one.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Number of the engine's call that told this (`callSeq`); rises within an instance.
+    /// Number of the engine's call that brought this (`callSeq`); rises within an instance.
     #[prost(uint64, tag = "2")]
     pub call: u64,
     /// Name of the service that it belongs to.
@@ -64,7 +64,7 @@
     Deregistered = 2,
 }
 
-/// Engines as one controller tells them to another; answered in kind.
+/// Engines as one controller sends them to another; answered in kind.
 #[derive(Clone, PartialEq, Message)]
 pub struct EngineHeartbeats {
     /// News of engines; all that are known if the receiver has asked for them.
--- a/crates/fleet-core/src/wire/frame.rs
+++ b/crates/fleet-core/src/wire/frame.rs
@@ -92,7 +92,7 @@
     /// Pushed by a controller to a router.
     #[prost(message, tag = "21")]
     FleetUpdate(FleetUpdate),
-    /// Router to the index-keeper; answered with `RingResponse`.
+    /// Router to the index owner; answered with `RingResponse`.
     #[prost(message, tag = "22")]
     RingRequest(RingRequest),
     /// Answer to `RingRequest`.
@@ -101,10 +101,10 @@
     /// Answer without content: it was done.
     #[prost(message, tag = "24")]
     Empty(Empty),
-    /// Answer without content: it was heard.
+    /// Answer without content: it was received.
     #[prost(message, tag = "25")]
     Acknowledged(Empty),
-    /// Router to the index-keeper; not answered.
+    /// Router to the index owner; not answered.
     #[prost(message, tag = "26")]
     CachedPrefixes(CachedPrefixes),
     /// Both ways between routers and controllers, and between controllers; not answered.
@@ -116,7 +116,7 @@
     /// Answer to `ValueChunkRequest`.
     #[prost(message, tag = "29")]
     ValueChunk(ValueChunk),
-    /// Asks whether a key's owner is silent.
+    /// Asks whether a key's owner has timed out.
     #[prost(message, tag = "40")]
     PreVoteRequest(PreVoteRequest),
     /// Answers `PreVoteRequest`.
--- a/crates/fleet-core/src/wire/invalidations.rs
+++ b/crates/fleet-core/src/wire/invalidations.rs
@@ -6,7 +6,7 @@
 /// Where the ring of invalidations stands; pushed to routers when it moves.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct RingHead {
-    /// The index-keeper's fencing token; a higher one is a later keeper.
+    /// The index owner's fencing token; a higher one is a later owner.
     #[prost(uint64, tag = "1")]
     pub fencing_token: u64,
     /// Random number of this ring; positions of two rings do not compare.
@@ -15,7 +15,7 @@
     /// Position behind the newest entry.
     #[prost(uint64, tag = "3")]
     pub head: u64,
-    /// The index-keeper's IP address, to which [`RingRequest`] goes.
+    /// The index owner's IP address, to which [`RingRequest`] goes.
     #[prost(string, tag = "4")]
     pub owner: String,
     /// Findings (parts that holders were found to keep) counted so far.
@@ -46,7 +46,7 @@
     pub found: u64,
 }
 
-/// Answer to [`RingRequest`]. Without a head, the keeper cannot tell yet: ask again later.
+/// Answer to [`RingRequest`]. Without a head, the index owner doesn't know yet: ask again later.
 #[derive(Clone, PartialEq, Message)]
 pub struct RingResponse {
     /// Where the ring stands now.
@@ -131,7 +131,7 @@
     pub cached_tokens: Vec<u64>,
 }
 
-/// Shared parts that a router's own sends leave at holders. A hint: the keeper takes them in without
+/// Shared parts that a router's own sends leave at holders. A hint: the index owner takes them in without
 /// proof.
 #[derive(Clone, PartialEq, Message)]
 pub struct CachedPrefixes {
--- a/crates/fleet-core/src/wire/leases.rs
+++ b/crates/fleet-core/src/wire/leases.rs
@@ -1,12 +1,12 @@
-//! Messages of duty leases.
+//! Messages of leases.
 
 use prost::Message;
 
-/// Asks a member for its grant of a duty lease, or gives the lease back. The asker counts the lease
-/// from before it asked, and holds the duty with the grants of a majority only.
+/// Asks a member for its grant of a lease, or gives the lease back. The asker counts the lease
+/// from before it asked, and holds the lease with the grants of a majority only.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseRequest {
-    /// Name of the duty.
+    /// Name of the lease.
     #[prost(string, tag = "1")]
     pub lease_name: String,
     /// Incarnation of the asking process.
@@ -33,7 +33,7 @@
 /// Answer to [`LeaseRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseResponse {
-    /// Granted: the granter grants this duty to no other node until the lease has passed, counted from
+    /// Granted: the granter grants this lease to no other node until the lease has passed, counted from
     /// its answer.
     #[prost(bool, tag = "1")]
     pub ok: bool,
--- a/crates/fleet-core/src/wire/mod.rs
+++ b/crates/fleet-core/src/wire/mod.rs
@@ -7,7 +7,7 @@
 mod frame;
 mod invalidations;
 mod leases;
-mod members;
+mod membership;
 mod registers;
 mod views;
 
@@ -17,6 +17,6 @@
 pub use frame::*;
 pub use invalidations::*;
 pub use leases::*;
-pub use members::*;
+pub use membership::*;
 pub use registers::*;
 pub use views::*;
--- a/crates/fleet-core/src/wire/registers.rs
+++ b/crates/fleet-core/src/wire/registers.rs
@@ -62,7 +62,7 @@
     pub own_accepted: Ballot,
 }
 
-/// Asks a voter whether the key's owner has gone silent, before any ballot is prepared.
+/// Asks a voter whether the key's owner has timed out, before any ballot is prepared.
 #[derive(Clone, PartialEq, Message)]
 pub struct PreVoteRequest {
     /// Key that the asker means to take over.
@@ -163,7 +163,7 @@
     /// The asker's present incarnation; messages of earlier ones are dropped from now on.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The new recovery epoch, above all that the asker has heard of.
+    /// The new recovery epoch, above all that the asker knows.
     #[prost(uint64, tag = "3")]
     pub recovery_epoch: u64,
 }
--- a/crates/fleet-core/src/wire/views.rs
+++ b/crates/fleet-core/src/wire/views.rs
@@ -3,13 +3,13 @@
 use super::{Engine, Membership, RingHead};
 use prost::Message;
 
-/// A router tells each controller, once every `ROUTER_HEARTBEAT_INTERVAL`, that it lives and what it has.
+/// A router's heartbeat to each controller, once every `ROUTER_HEARTBEAT_INTERVAL`, with what it has.
 #[derive(Clone, PartialEq, Message)]
 pub struct RouterHeartbeat {
     /// Version of the configuration in force at the router; 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// It has been told to stop, and takes no new connections.
+    /// It is shutting down, and takes no new connections.
     #[prost(bool, tag = "2")]
     pub shutting_down: bool,
 }
@@ -29,14 +29,14 @@
 }
 
 /// Pushed to routers whenever something changed, and once in full at the start of a link. Each field is
-/// set only when it has news.
+/// set only when it has changed.
 #[derive(Clone, PartialEq, Message)]
 pub struct FleetUpdate {
     /// The membership in force.
     #[prost(message, optional, tag = "1")]
     pub membership: Option<Membership>,
     /// Version of the newest committed configuration; the router fetches it by [`super::RegisterRequest`]. 0 for
-    /// no news.
+    /// unchanged.
     #[prost(uint64, tag = "2")]
     pub config: u64,
     /// Newly named weights.
@@ -48,7 +48,7 @@
     /// Where the ring of invalidations stands.
     #[prost(message, optional, tag = "5")]
     pub ring: Option<RingHead>,
-    /// Live routers; 0 for no news.
+    /// Live routers; 0 for unchanged.
     #[prost(uint32, tag = "6")]
     pub routers: u32,
     /// This reader is behind by more than half of the ring, and is asked to fetch at once.
