--- a/crates/prompt-index/src/index.rs
+++ b/crates/prompt-index/src/index.rs
@@ -103,7 +103,8 @@
     fn admit_to_one_of(cells: &[Arc<Cell>], holder: &str) -> Option<At> {
         let rank =
             |cell: usize| fleet_core::node::stable_hash(&[holder.as_bytes(), &cell.to_be_bytes()]);
-        let mut order: Vec<usize> = (0..cells.len()).filter(|n| cells[*n].room() > 0).collect();
+        let mut order: Vec<usize> =
+            (0..cells.len()).filter(|n| cells[*n].free_numbers() > 0).collect();
         order.sort_by_key(|cell| rank(*cell));
         order.into_iter().find_map(|cell| Some(At { cell, no: cells[cell].admit()? }))
     }
--- a/crates/prompt-index/src/shard.rs
+++ b/crates/prompt-index/src/shard.rs
@@ -1,6 +1,6 @@
 //! A map in independent parts, each with a lock of its own, so that few wait for each other.
 
-use crate::sync::{Mutex, held};
+use crate::sync::{Mutex, lock};
 
 /// 2^64 over the golden ratio: scatters what is alike.
 const FIBONACCI: u64 = 0x9E37_79B9_7F4A_7C15;
@@ -38,7 +38,7 @@
 
     /// Runs `work` under the lock of one part, by its number.
     pub fn at<T>(&self, shard: usize, work: impl FnOnce(&mut Map<V>) -> T) -> T {
-        work(&mut held(&self.0[shard].0))
+        work(&mut lock(&self.0[shard].0))
     }
 
     /// Entries of all parts; counted one part after the other.
--- a/crates/prompt-index/src/sync.rs
+++ b/crates/prompt-index/src/sync.rs
@@ -12,6 +12,6 @@
 };
 
 /// Locks, also after a panic under the lock: shards hold no broken invariants.
-pub fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/crates/prompt-index/src/tier.rs
+++ b/crates/prompt-index/src/tier.rs
@@ -1,7 +1,7 @@
 //! Blocks that are kept in part: asked for the winner and its sources only.
 
 use crate::shard::Map;
-use crate::sync::{Mutex, held};
+use crate::sync::{Mutex, lock};
 use fleet_core::constants;
 
 /// Tokens of blocks that a holder keeps in part only; these set no bit. At most `TIER_ENTRIES` a
@@ -12,7 +12,7 @@
 impl Tiers {
     /// Remembers the tokens of a block at a holder; forgets the block where there are none.
     pub fn put(&self, holder: u8, raw: u64, tokens: u32) {
-        let mut holders = held(&self.0);
+        let mut holders = lock(&self.0);
         if tokens == 0 {
             if let Some(blocks) = holders.get_mut(&holder) {
                 blocks.remove(&raw);
@@ -28,17 +28,17 @@
 
     /// Tokens of a block at a holder; 0 if nothing is known.
     pub fn tokens(&self, holder: u8, raw: u64) -> u32 {
-        held(&self.0).get(&holder).and_then(|blocks| blocks.get(&raw)).copied().unwrap_or(0)
+        lock(&self.0).get(&holder).and_then(|blocks| blocks.get(&raw)).copied().unwrap_or(0)
     }
 
     /// Forgets a holder.
     pub fn forget(&self, holder: u8) {
-        held(&self.0).remove(&holder);
+        lock(&self.0).remove(&holder);
     }
 
     /// Blocks remembered, of all holders.
     pub fn len(&self) -> usize {
-        held(&self.0).values().map(|blocks| blocks.len()).sum()
+        lock(&self.0).values().map(|blocks| blocks.len()).sum()
     }
 
     /// Whether there are none.
