--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -38,7 +38,7 @@
     fn of(state: &ClusterState) -> FleetView {
         FleetView {
             engines: state.engines.values().map(EngineView::of).collect(),
-            revision: state.config.map_or(0, |config| config.0),
+            revision: state.config_version(),
             routers: u64::from(state.routers),
         }
     }
--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -5,26 +5,28 @@
 
 use fleet_core::change_log::{ChangeLog, Fold};
 use fleet_core::wire::{Engine, FleetUpdate, Membership, RingHead, TargetWeights};
+use std::collections::BTreeMap;
 use tokio::sync::watch;
+use tokio::time::Instant;
 
 /// Changes that are retained for routers that lag behind; more come in a second only while a fleet starts.
 const CHANGES_RETAINED: usize = 512;
 
-/// Something that this controller learned and routers may have to hear of.
+/// Something that this controller learned, and that routers may have to be sent.
 #[derive(Debug, Clone)]
 pub enum StateChange {
     /// A configuration was chosen.
     Config {
-        /// its number
+        /// Its number.
         version: u64,
-        /// isolation generation of its shared prompt parts
+        /// Isolation generation of its shared prompt parts.
         isolation: u64,
     },
     /// New weights were named.
     Weights {
-        /// name of the model
+        /// Name of the model.
         model: String,
-        /// version that engines are to have
+        /// Version that engines are to have.
         version: u64,
     },
     /// Another membership is in force.
@@ -37,20 +39,38 @@
     Routers(u32),
 }
 
-/// All that this controller knows, folded from the facts.
+/// The newest configuration that is known to be chosen.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ConfigInForce {
+    /// Its number.
+    pub version: u64,
+    /// Isolation generation of its shared prompt parts.
+    pub isolation: u64,
+}
+
+/// The weights that engines are to serve a model with.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct WeightsTarget {
+    /// Their version.
+    pub version: u64,
+    /// When this controller learned of it.
+    pub learned_at: Instant,
+}
+
+/// All that this controller knows, folded from changes.
 #[derive(Debug, Default)]
 pub struct ClusterState {
-    /// version and isolation generation of the configuration
-    pub config: Option<(u64, u64)>,
-    /// by model, the version named and when this controller learned of it
-    pub weights: std::collections::BTreeMap<String, (u64, Option<tokio::time::Instant>)>,
-    /// the membership in force
+    /// The configuration in force; none before the first.
+    pub config: Option<ConfigInForce>,
+    /// Target weights by model.
+    pub weights: BTreeMap<String, WeightsTarget>,
+    /// The membership in force.
     pub membership: Membership,
-    /// engines by id
-    pub engines: std::collections::BTreeMap<String, Engine>,
-    /// where the ring of invalidations stands
+    /// Engines by id.
+    pub engines: BTreeMap<String, Engine>,
+    /// Where the ring of invalidations stands.
     pub ring: Option<RingHead>,
-    /// how many routers are alive
+    /// How many routers are alive.
     pub routers: u32,
 }
 
@@ -59,35 +79,40 @@
     fn fold(&mut self, change: &StateChange) {
         match change {
             StateChange::Config { version, isolation } => {
-                self.config = Some((*version, *isolation))
+                self.config = Some(ConfigInForce { version: *version, isolation: *isolation });
             }
             StateChange::Weights { model, version } => {
-                let at = Some(tokio::time::Instant::now());
-                self.weights.insert(model.clone(), (*version, at));
+                let target = WeightsTarget { version: *version, learned_at: Instant::now() };
+                self.weights.insert(model.clone(), target);
             }
-            StateChange::Membership(r) => self.membership = r.clone(),
-            StateChange::Engine(e) => {
-                self.engines.insert(e.id.clone(), e.clone());
+            StateChange::Membership(membership) => self.membership = membership.clone(),
+            StateChange::Engine(engine) => {
+                self.engines.insert(engine.id.clone(), engine.clone());
             }
-            StateChange::Ring(h) => self.ring = Some(h.clone()),
-            StateChange::Routers(n) => self.routers = *n,
+            StateChange::Ring(head) => self.ring = Some(head.clone()),
+            StateChange::Routers(count) => self.routers = *count,
         }
     }
 }
 
 impl ClusterState {
+    /// Version of the configuration in force; 0 before the first.
+    pub fn config_version(&self) -> u64 {
+        self.config.map_or(0, |config| config.version)
+    }
+
     fn target(&self, model: &str) -> Option<TargetWeights> {
-        let (version, at) = self.weights.get(model)?;
-        let age_ms = at.map_or(0, |t| t.elapsed().as_millis() as u64);
-        Some(TargetWeights { model: model.to_owned(), version: *version, age_ms })
+        let target = self.weights.get(model)?;
+        let age_ms = target.learned_at.elapsed().as_millis() as u64;
+        Some(TargetWeights { model: model.to_owned(), version: target.version, age_ms })
     }
 
     /// Everything, for a router that has nothing yet.
     pub fn complete(&self) -> FleetUpdate {
         FleetUpdate {
             membership: Some(self.membership.clone()),
-            config: self.config.map_or(0, |c| c.0),
-            weights: self.weights.keys().filter_map(|m| self.target(m)).collect(),
+            config: self.config_version(),
+            weights: self.weights.keys().filter_map(|model| self.target(model)).collect(),
             engines: self.engines.values().cloned().collect(),
             ring: self.ring.clone(),
             routers: self.routers,
@@ -95,26 +120,26 @@
         }
     }
 
-    /// The newest state of all that these events touched.
+    /// The newest state of all that these changes touched.
     pub fn delta<'a>(&self, changes: impl Iterator<Item = &'a StateChange>) -> FleetUpdate {
-        let mut v = FleetUpdate::default();
-        for f in changes {
-            match f {
-                StateChange::Config { .. } => v.config = self.config.map_or(0, |c| c.0),
+        let mut update = FleetUpdate::default();
+        for change in changes {
+            match change {
+                StateChange::Config { .. } => update.config = self.config_version(),
                 StateChange::Weights { model, .. } => {
-                    v.weights.retain(|w| w.model != *model);
-                    v.weights.extend(self.target(model));
+                    update.weights.retain(|target| target.model != *model);
+                    update.weights.extend(self.target(model));
                 }
-                StateChange::Membership(_) => v.membership = Some(self.membership.clone()),
-                StateChange::Engine(e) => {
-                    v.engines.retain(|x| x.id != e.id);
-                    v.engines.extend(self.engines.get(&e.id).cloned());
+                StateChange::Membership(_) => update.membership = Some(self.membership.clone()),
+                StateChange::Engine(engine) => {
+                    update.engines.retain(|known| known.id != engine.id);
+                    update.engines.extend(self.engines.get(&engine.id).cloned());
                 }
-                StateChange::Ring(_) => v.ring = self.ring.clone(),
-                StateChange::Routers(_) => v.routers = self.routers,
+                StateChange::Ring(_) => update.ring = self.ring.clone(),
+                StateChange::Routers(_) => update.routers = self.routers,
             }
         }
-        v
+        update
     }
 }
 
@@ -138,7 +163,7 @@
         self.position.send_replace(position);
     }
 
-    /// Changes the state by what no router has to hear of, so that nobody is woken.
+    /// Changes the state by what no router has to be sent, so that nobody is woken.
     pub fn amend(&self, change: impl FnOnce(&mut ClusterState)) {
         self.log.lock().amend(change);
     }
--- a/crates/control-plane/src/consensus/anti_entropy.rs
+++ b/crates/control-plane/src/consensus/anti_entropy.rs
@@ -55,8 +55,7 @@
     fn learn_config(&self, value: &Bytes) {
         let Ok(config) = ConfigValue::decode(value.clone()) else { return };
         let (version, isolation) = (config.version, config.isolation);
-        let is_newer = |known: Option<(u64, u64)>| known.is_none_or(|(known, _)| known < version);
-        if version == 0 || !self.cluster_state.read(|state| is_newer(state.config)) {
+        if version == 0 || self.cluster_state.read(|state| state.config_version() >= version) {
             return;
         }
         fleet_core::log_event!(self.process.log, Event::ConfigCommitted, "version" => version);
@@ -68,7 +67,7 @@
         let Ok(WeightsValue { version }) = WeightsValue::decode(value.clone()) else { return };
         let is_newer = self
             .cluster_state
-            .read(|state| state.weights.get(model).is_none_or(|(known, _)| *known < version));
+            .read(|state| state.weights.get(model).is_none_or(|known| known.version < version));
         if version == 0 || !is_newer {
             return;
         }
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -261,8 +261,8 @@
     /// Invalidations of weights that no engine has any more, and of a shared isolation that has ended.
     fn collect(&mut self, state: &ClusterState) -> Vec<Invalidation> {
         let mut invalidations = Vec::new();
-        for (model, (version, _)) in &state.weights {
-            let (model, version) = (model.clone(), *version);
+        for (model, target) in &state.weights {
+            let (model, version) = (model.clone(), target.version);
             let is_rolled_out = !state.engines.values().any(|engine| {
                 engine.state() == EngineState::Ready
                     && fleet::version_of(engine, &model).is_some_and(|has| has < version)
@@ -271,13 +271,13 @@
                 invalidations.push(Invalidation::Weights(Weights { model, version }));
             }
         }
-        if let Some((_, isolation)) = state.config
-            && isolation > self.isolation
+        if let Some(config) = state.config
+            && config.isolation > self.isolation
         {
             if self.isolation > 0 {
-                invalidations.push(Invalidation::Isolation(isolation));
+                invalidations.push(Invalidation::Isolation(config.isolation));
             }
-            self.isolation = isolation;
+            self.isolation = config.isolation;
         }
         invalidations
     }
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -15,7 +15,7 @@
 pub mod plan;
 pub mod status;
 
-use crate::cluster_state::{ClusterStateStore, StateChange};
+use crate::cluster_state::{ClusterStateStore, StateChange, WeightsTarget};
 use crate::engines::client::EngineClient;
 use crate::engines::registry::EngineRegistry;
 use crate::leases::{LeaseManager, ROLLOUT_LEASE};
@@ -82,8 +82,8 @@
 struct Target {
     model: String,
     version: u64,
-    /// When this rollout learned of it; none if that was before its start.
-    since: Option<Instant>,
+    /// When this node learned of it.
+    since: Instant,
 }
 
 impl Target {
@@ -96,16 +96,16 @@
     fn remaining(&self, rollout: &Rollout, now: Instant) -> Duration {
         let margin = constants::VERSION_MARGIN + constants::ROLLOUT_MARGIN;
         let bound = rollout.process.settings().bounds.version.saturating_sub(margin);
-        self.since.map_or(bound, |since| bound.saturating_sub(now.duration_since(since)))
+        bound.saturating_sub(now.duration_since(self.since))
     }
 }
 
 fn targets(rollout: &Rollout) -> Vec<Target> {
     rollout.cluster_state.read(|state| {
-        let target = |(model, (version, since)): (&String, &(u64, Option<Instant>))| Target {
+        let target = |(model, target): (&String, &WeightsTarget)| Target {
             model: model.clone(),
-            version: *version,
-            since: *since,
+            version: target.version,
+            since: target.learned_at,
         };
         state.weights.iter().map(target).collect()
     })
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -2,13 +2,12 @@
 
 use super::Rollout;
 use super::plan::{Plan, Step};
-use crate::cluster_state::ClusterState;
+use crate::cluster_state::{ClusterState, WeightsTarget};
 use crate::leases::ROLLOUT_LEASE;
 use fleet_core::constants;
 use fleet_core::fleet::{is_draining_streams, is_updating, version_of};
 use fleet_core::wire::{Engine, EngineState};
 use serde::{Deserialize, Serialize};
-use std::time::Duration;
 use tokio::time::Instant;
 
 /// The roll-outs of all models. Fields of the views are in the order of their names, as they always were sent.
@@ -108,14 +107,14 @@
     let models = rollout.cluster_state.read(|state| {
         let mut targets: Vec<_> = state.weights.iter().collect();
         targets.sort_by_key(|(model, _)| model.as_str());
-        let view = |(model, (target, learned_at)): (&String, &(u64, Option<Instant>))| {
-            let age = learned_at.map_or(Duration::ZERO, |at| now.duration_since(at));
+        let view = |(model, target): (&String, &WeightsTarget)| {
+            let age = now.duration_since(target.learned_at);
             ModelView {
                 age_ms: age.as_millis() as u64,
-                engines: engine_views(state, &plan, model, *target, now),
+                engines: engine_views(state, &plan, model, target.version, now),
                 left_ms: bound.saturating_sub(age).as_millis() as u64,
                 model: model.clone(),
-                revision: *target,
+                revision: target.version,
             }
         };
         targets.into_iter().map(view).collect()
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! | file | what it is |
 //! |---|---|
-//! | [`format`] | bytes of slots and log records, and how a torn one is known |
+//! | [`mod@format`] | bytes of slots and log records, and how a torn one is known |
 //! | [`files`] | which of them hold the state, and when a slot is written |
 //! | [`backend`] | the folder's files, as a trait that tests replace by a simulated disk |
 //! | [`writer`] | the thread that writes and syncs |
--- /dev/null
+++ b/crates/fleet-core/src/configuration/checks.rs
@@ -0,0 +1,81 @@
+//! Reading a configuration, and the checks that its form alone doesn't make.
+
+use super::{ConfigError, Configuration};
+use hashbrown::{HashMap, HashSet};
+use validator::{Validate, ValidationErrors, ValidationErrorsKind};
+
+/// Path of the first field that is out of bounds.
+fn first_place(errors: &ValidationErrors) -> String {
+    for (field, kind) in errors.errors() {
+        match kind {
+            ValidationErrorsKind::List(items) => {
+                if let Some((index, inner)) = items.iter().next() {
+                    return format!("{field}[{index}].{}", first_place(inner));
+                }
+            }
+            ValidationErrorsKind::Struct(inner) => {
+                return format!("{field}.{}", first_place(inner));
+            }
+            ValidationErrorsKind::Field(_) => return field.to_string(),
+        }
+    }
+    String::new()
+}
+
+impl Configuration {
+    /// Reads and checks a configuration by itself, without what is in force.
+    ///
+    /// # Errors
+    ///
+    /// The first thing that is wrong, with its place: the text, then bounds of fields, routes, and keys.
+    pub fn read(body: &[u8]) -> Result<Configuration, ConfigError> {
+        let configuration: Configuration = serde_json::from_slice(body).map_err(|e| {
+            ConfigError::Unreadable { line: e.line(), column: e.column(), reason: e.to_string() }
+        })?;
+        configuration
+            .validate()
+            .map_err(|e| ConfigError::OutOfBounds { place: first_place(&e) })?;
+        configuration.check_routes()?;
+        configuration.check_keys()?;
+        Ok(configuration)
+    }
+
+    /// Each route has a place of its own, known services and some weight.
+    fn check_routes(&self) -> Result<(), ConfigError> {
+        let services: HashSet<&str> =
+            self.services.iter().map(|service| service.name.as_str()).collect();
+        let mut places = HashMap::new();
+        for (index, route) in self.routes.iter().enumerate() {
+            let place = format!("routes[{index}]");
+            let key = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
+            if let Some(other) = places.insert(key, index) {
+                return Err(ConfigError::SamePlace { place, other: format!("routes[{other}]") });
+            }
+            let shares = route.shares();
+            if let Some((unknown, _)) = shares.iter().find(|(name, _)| !services.contains(name)) {
+                return Err(ConfigError::UnknownService { place, service: (*unknown).to_owned() });
+            }
+            if shares.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>() == 0 {
+                return Err(ConfigError::NoWeight { place });
+            }
+        }
+        Ok(())
+    }
+
+    /// No key stands for two tenants.
+    fn check_keys(&self) -> Result<(), ConfigError> {
+        let mut owners: HashMap<&str, usize> = HashMap::new();
+        for (index, tenant) in self.tenants.iter().enumerate() {
+            for (key_index, key) in tenant.api_keys.iter().enumerate() {
+                let other = owners.insert(key.as_str(), index).filter(|other| *other != index);
+                if let Some(other) = other {
+                    return Err(ConfigError::SharedKey {
+                        place: format!("tenants[{index}].apiKeys[{key_index}]"),
+                        other: self.tenants[other].name.clone(),
+                    });
+                }
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/fleet-core/src/configuration/error.rs
@@ -0,0 +1,68 @@
+//! What makes a configuration invalid.
+
+/// What makes a configuration invalid, with the place in it.
+#[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
+pub enum ConfigError {
+    /// unreadable: {reason} (line {line}, column {column})
+    Unreadable {
+        /// line of the JSON text, from 1
+        line: usize,
+        /// column of that line, from 1
+        column: usize,
+        /// what is wrong there
+        reason: String,
+    },
+    /// {place}: out of bounds
+    OutOfBounds {
+        /// path of the field
+        place: String,
+    },
+    /// {place}: names the unknown service `{service}`
+    UnknownService {
+        /// path of the route
+        place: String,
+        /// the name that no service has
+        service: String,
+    },
+    /// {place}: same host and prefix as {other}
+    SamePlace {
+        /// path of the later route
+        place: String,
+        /// path of the earlier route
+        other: String,
+    },
+    /// {place}: its weights sum to 0
+    NoWeight {
+        /// path of the route
+        place: String,
+    },
+    /// {place}: a key of tenant `{other}` too
+    SharedKey {
+        /// path of the key
+        place: String,
+        /// name of the other tenant
+        other: String,
+    },
+    /// revision: {version} is not above {current}
+    VersionNotAbove {
+        /// the number sent
+        version: u64,
+        /// the number in force
+        current: u64,
+    },
+}
+
+impl ConfigError {
+    /// The error's stable name, for programs.
+    pub fn code(&self) -> &'static str {
+        match self {
+            ConfigError::Unreadable { .. } => "unreadable",
+            ConfigError::OutOfBounds { .. } => "out_of_bounds",
+            ConfigError::UnknownService { .. } => "unknown_service",
+            ConfigError::SamePlace { .. } => "same_place",
+            ConfigError::NoWeight { .. } => "no_weight",
+            ConfigError::SharedKey { .. } => "shared_key",
+            ConfigError::VersionNotAbove { .. } => "version_not_above",
+        }
+    }
+}
--- a/crates/fleet-core/src/configuration/schema.rs
+++ b/crates/fleet-core/src/configuration/schema.rs
@@ -1,75 +1,8 @@
-//! The operator's configuration: its form, and what makes it invalid.
+//! The form of a configuration, with the defaults of what may be left out.
 
 use serde::Deserialize;
 use validator::Validate;
 
-/// What makes a configuration invalid, with the place in it.
-#[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
-pub enum ConfigError {
-    /// unreadable: {reason} (line {line}, column {column})
-    Unreadable {
-        /// line of the JSON text, from 1
-        line: usize,
-        /// column of that line, from 1
-        column: usize,
-        /// what is wrong there
-        reason: String,
-    },
-    /// {place}: out of bounds
-    OutOfBounds {
-        /// path of the field
-        place: String,
-    },
-    /// {place}: names the unknown service `{service}`
-    UnknownService {
-        /// path of the route
-        place: String,
-        /// the name that no service has
-        service: String,
-    },
-    /// {place}: same host and prefix as {other}
-    SamePlace {
-        /// path of the later route
-        place: String,
-        /// path of the earlier route
-        other: String,
-    },
-    /// {place}: its weights sum to 0
-    NoWeight {
-        /// path of the route
-        place: String,
-    },
-    /// {place}: a key of tenant `{other}` too
-    SharedKey {
-        /// path of the key
-        place: String,
-        /// name of the other tenant
-        other: String,
-    },
-    /// revision: {version} is not above {current}
-    VersionNotAbove {
-        /// the number sent
-        version: u64,
-        /// the number in force
-        current: u64,
-    },
-}
-
-impl ConfigError {
-    /// The error's stable name, for programs.
-    pub fn code(&self) -> &'static str {
-        match self {
-            ConfigError::Unreadable { .. } => "unreadable",
-            ConfigError::OutOfBounds { .. } => "out_of_bounds",
-            ConfigError::UnknownService { .. } => "unknown_service",
-            ConfigError::SamePlace { .. } => "same_place",
-            ConfigError::NoWeight { .. } => "no_weight",
-            ConfigError::SharedKey { .. } => "shared_key",
-            ConfigError::VersionNotAbove { .. } => "version_not_above",
-        }
-    }
-}
-
 /// What may be repeated on a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -277,78 +210,6 @@
     pub tenants: Vec<Tenant>,
 }
 
-/// Path of the first field that is out of bounds.
-fn first_place(errors: &validator::ValidationErrors) -> String {
-    for (field, kind) in errors.errors() {
-        match kind {
-            validator::ValidationErrorsKind::List(items) => {
-                if let Some((index, inner)) = items.iter().next() {
-                    return format!("{field}[{index}].{}", first_place(inner));
-                }
-            }
-            validator::ValidationErrorsKind::Struct(inner) => {
-                return format!("{field}.{}", first_place(inner));
-            }
-            validator::ValidationErrorsKind::Field(_) => return field.to_string(),
-        }
-    }
-    String::new()
-}
-
-impl Configuration {
-    /// Reads and checks a configuration by itself, without what is in force.
-    pub fn read(body: &[u8]) -> Result<Configuration, ConfigError> {
-        let configuration: Configuration = serde_json::from_slice(body).map_err(|e| {
-            ConfigError::Unreadable { line: e.line(), column: e.column(), reason: e.to_string() }
-        })?;
-        configuration
-            .validate()
-            .map_err(|e| ConfigError::OutOfBounds { place: first_place(&e) })?;
-        configuration.check_routes()?;
-        configuration.check_keys()?;
-        Ok(configuration)
-    }
-
-    /// Each route has a place of its own, known services and some weight.
-    fn check_routes(&self) -> Result<(), ConfigError> {
-        let services: hashbrown::HashSet<&str> =
-            self.services.iter().map(|service| service.name.as_str()).collect();
-        let mut places = hashbrown::HashMap::new();
-        for (index, route) in self.routes.iter().enumerate() {
-            let place = format!("routes[{index}]");
-            let key = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-            if let Some(other) = places.insert(key, index) {
-                return Err(ConfigError::SamePlace { place, other: format!("routes[{other}]") });
-            }
-            let shares = route.shares();
-            if let Some((unknown, _)) = shares.iter().find(|(name, _)| !services.contains(name)) {
-                return Err(ConfigError::UnknownService { place, service: (*unknown).to_owned() });
-            }
-            if shares.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>() == 0 {
-                return Err(ConfigError::NoWeight { place });
-            }
-        }
-        Ok(())
-    }
-
-    /// No key stands for two tenants.
-    fn check_keys(&self) -> Result<(), ConfigError> {
-        let mut owners: hashbrown::HashMap<&str, usize> = hashbrown::HashMap::new();
-        for (index, tenant) in self.tenants.iter().enumerate() {
-            for (key_index, key) in tenant.api_keys.iter().enumerate() {
-                let other = owners.insert(key.as_str(), index).filter(|other| *other != index);
-                if let Some(other) = other {
-                    return Err(ConfigError::SharedKey {
-                        place: format!("tenants[{index}].apiKeys[{key_index}]"),
-                        other: self.tenants[other].name.clone(),
-                    });
-                }
-            }
-        }
-        Ok(())
-    }
-}
-
 impl Route {
     /// The services that it goes to, with their weights.
     pub fn shares(&self) -> Vec<(&str, u32)> {
@@ -358,7 +219,3 @@
         self.service.iter().map(|service| (service.as_str(), 1)).collect()
     }
 }
-
-#[cfg(test)]
-#[path = "configuration_tests.rs"]
-mod tests;
--- a/crates/fleet-core/src/lib.rs
+++ b/crates/fleet-core/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod delta;
 pub mod digest;
 pub mod fleet;
-
 pub mod link;
 pub mod load;
 pub mod log;
--- /dev/null
+++ b/crates/fleet-core/src/settings/error.rs
@@ -0,0 +1,31 @@
+//! Why a settings file cannot be used.
+
+/// Why a settings file cannot be used.
+#[derive(Debug, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
+pub enum SettingsError {
+    /// the variable ANISEDYKE_SETTINGS names no settings file
+    Unnamed,
+    /// the settings file {0} can't be read: {1}
+    Unreadable(String, String),
+    /// {field}: missing from the settings file
+    Missing {
+        /// name of the field
+        field: &'static str,
+    },
+    /// line {line}: {field}: `{value}` is not {wanted}
+    Malformed {
+        /// number of the line, from 1
+        line: usize,
+        /// name of the field
+        field: String,
+        /// what stands there
+        value: String,
+        /// what should stand there, with its article
+        wanted: &'static str,
+    },
+    /// line {line}: not of the form name=value
+    NoPair {
+        /// number of the line, from 1
+        line: usize,
+    },
+}
--- a/crates/fleet-core/src/settings/mod.rs
+++ b/crates/fleet-core/src/settings/mod.rs
@@ -2,38 +2,14 @@
 //!
 //! Unknown fields are ignored, so that an older program can read a newer file. Lists are joined by commas.
 
+mod error;
+mod lines;
+
+use lines::Lines;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Why a settings file cannot be used.
-#[derive(Debug, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
-pub enum SettingsError {
-    /// the variable ANISEDYKE_SETTINGS names no settings file
-    Unnamed,
-    /// the settings file {0} can't be read: {1}
-    Unreadable(String, String),
-    /// {field}: missing from the settings file
-    Missing {
-        /// name of the field
-        field: &'static str,
-    },
-    /// line {line}: {field}: `{value}` is not {wanted}
-    Malformed {
-        /// number of the line, from 1
-        line: usize,
-        /// name of the field
-        field: String,
-        /// what stands there
-        value: String,
-        /// what should stand there, with its article
-        wanted: &'static str,
-    },
-    /// line {line}: not of the form name=value
-    NoPair {
-        /// number of the line, from 1
-        line: usize,
-    },
-}
+pub use error::SettingsError;
 
 /// Times and ratios that the deployment promises or demands (`bounds.*`).
 #[derive(Debug, Clone, PartialEq)]
@@ -114,124 +90,6 @@
     pub bounds: Bounds,
 }
 
-/// A field as it stands in the file.
-#[derive(Clone, Copy)]
-struct Field<'a> {
-    /// number of the line, from 1
-    line: usize,
-    value: &'a str,
-}
-
-/// All fields of a file; of one that is given twice, the last.
-struct Lines<'a> {
-    fields: hashbrown::HashMap<&'a str, Field<'a>>,
-}
-
-/// The error that names a field and its line.
-fn malformed(field: &str, found: Field<'_>, wanted: &'static str) -> SettingsError {
-    SettingsError::Malformed {
-        line: found.line,
-        field: field.to_owned(),
-        value: found.value.to_owned(),
-        wanted,
-    }
-}
-
-impl<'a> Lines<'a> {
-    fn parse(text: &'a str) -> Result<Self, SettingsError> {
-        let mut fields = hashbrown::HashMap::new();
-        for (index, raw) in text.lines().enumerate() {
-            let trimmed = raw.trim();
-            if trimmed.is_empty() || trimmed.starts_with('#') {
-                continue;
-            }
-            let line = index + 1;
-            let Some((name, value)) = trimmed.split_once('=') else {
-                return Err(SettingsError::NoPair { line });
-            };
-            fields.insert(name.trim(), Field { line, value: value.trim() });
-        }
-        Ok(Lines { fields })
-    }
-
-    fn find(&self, field: &str) -> Option<Field<'a>> {
-        self.fields.get(field).copied()
-    }
-
-    /// The value of a field, if the field is there.
-    fn optional<T: std::str::FromStr>(
-        &self,
-        field: &'static str,
-        wanted: &'static str,
-    ) -> Result<Option<T>, SettingsError> {
-        let Some(found) = self.find(field) else { return Ok(None) };
-        let value = found.value.parse().map_err(|_| malformed(field, found, wanted))?;
-        Ok(Some(value))
-    }
-
-    /// The value of a field that has to be there.
-    fn required<T: std::str::FromStr>(
-        &self,
-        field: &'static str,
-        wanted: &'static str,
-    ) -> Result<T, SettingsError> {
-        self.optional(field, wanted)?.ok_or(SettingsError::Missing { field })
-    }
-
-    /// A time that is given in units of `unit_ms`; `default` is in the same unit.
-    fn duration(
-        &self,
-        field: &'static str,
-        unit_ms: f64,
-        default: f64,
-    ) -> Result<Duration, SettingsError> {
-        let Some(found) = self.find(field) else {
-            return Ok(Duration::from_secs_f64(default * unit_ms / 1000.0));
-        };
-        let units: f64 = found.value.parse().map_err(|_| malformed(field, found, "a number"))?;
-        if !(units.is_finite() && (0.0..1e9).contains(&units)) {
-            return Err(malformed(field, found, "a span of time"));
-        }
-        Ok(Duration::from_secs_f64(units * unit_ms / 1000.0))
-    }
-
-    fn ports(&self) -> Result<PortRange, SettingsError> {
-        let field = "portRange";
-        let found = self.find(field).ok_or(SettingsError::Missing { field })?;
-        let read = || {
-            let (first, last) = found.value.split_once(',')?;
-            Some(PortRange { first: first.trim().parse().ok()?, last: last.trim().parse().ok()? })
-        };
-        read()
-            .filter(|range| range.first < range.last)
-            .ok_or_else(|| malformed(field, found, "two ports, the lower first"))
-    }
-
-    fn seeds(&self) -> Result<Vec<SocketAddr>, SettingsError> {
-        let field = "seeds";
-        let Some(found) = self.find(field) else { return Ok(Vec::new()) };
-        let parts = found.value.split(',').map(str::trim).filter(|part| !part.is_empty());
-        parts
-            .map(|part| {
-                let only = Field { line: found.line, value: part };
-                part.parse().map_err(|_| malformed(field, only, "an address with a port"))
-            })
-            .collect()
-    }
-
-    fn zones(&self) -> Vec<(String, String)> {
-        let mut zones: Vec<_> = self
-            .fields
-            .iter()
-            .filter_map(|(name, found)| {
-                Some((name.strip_prefix("zones.")?.to_owned(), found.value.to_owned()))
-            })
-            .collect();
-        zones.sort();
-        zones
-    }
-}
-
 impl Bounds {
     fn parse(lines: &Lines<'_>) -> Result<Bounds, SettingsError> {
         Ok(Bounds {
@@ -251,6 +109,10 @@
 
 impl Settings {
     /// Reads the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// A line is no pair, a field is missing, or its value is malformed; the first one found.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let lines = Lines::parse(text)?;
         let ports = lines.ports()?;
@@ -280,6 +142,10 @@
     }
 
     /// Reads the settings file at this path.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or [`Settings::parse`] rejects it.
     pub fn load(path: &str) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| SettingsError::Unreadable(path.to_owned(), e.to_string()))?;
@@ -287,6 +153,10 @@
     }
 
     /// The path that the environment names.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Unnamed`] where the variable is missing.
     pub fn path() -> Result<String, SettingsError> {
         std::env::var("ANISEDYKE_SETTINGS").map_err(|_| SettingsError::Unnamed)
     }
@@ -303,5 +173,4 @@
 }
 
 #[cfg(test)]
-#[path = "settings_tests.rs"]
 mod tests;
--- a/crates/simulation/src/sampler.rs
+++ b/crates/simulation/src/sampler.rs
@@ -3,6 +3,7 @@
 use crate::constants;
 use crate::history::{CaughtUp, Holder, MembershipObservation};
 use crate::world::World;
+use control_plane::cluster_state::ClusterState;
 use control_plane::leases::ROLLOUT_LEASE;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -82,7 +83,7 @@
             machine: number,
             votes: controller.as_ref().is_some_and(|(_, c)| c.consensus().votes()),
             version: controller
-                .map_or(0, |(_, c)| c.cluster_state().read(|k| k.config.map_or(0, |(v, _)| v))),
+                .map_or(0, |(_, c)| c.cluster_state().read(ClusterState::config_version)),
         });
     }
     stand
