--- a/crates/control-plane/src/consensus/anti_entropy.rs
+++ b/crates/control-plane/src/consensus/anti_entropy.rs
@@ -6,6 +6,7 @@
 use super::quorum_status::{KeyStatus, QuorumStatus};
 use super::{ChosenValue, Consensus, forward, state_machine};
 use crate::cluster_state::StateChange;
+use crate::membership::peer_links::MemberLink;
 use bytes::Bytes;
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -79,7 +80,7 @@
     /// An own change is chosen: learns it and notifies the other voters.
     pub(super) async fn committed(&self, key: &str, ballot: Ballot, value: &Bytes) {
         self.learn(key, ballot, value).await;
-        for (_, link) in self.links_to_voters() {
+        for MemberLink { link, .. } in self.links_to_voters() {
             // a voter that misses the notice learns of the value by itself
             let _ = link.notify(Body::CommitNotice(CommitNotice { key: key.to_owned(), ballot }));
         }
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -3,6 +3,7 @@
 use super::Consensus;
 use super::proposer::ProposalError;
 use super::state_machine;
+use crate::membership::peer_links::MemberLink;
 use fleet_core::constants;
 use fleet_core::wire::{Body, ChangeKind, ChangeRequest, ChangeResponse, Outcome};
 use std::sync::Arc;
@@ -122,7 +123,8 @@
     hops: u32,
 ) -> Option<ChangeResponse> {
     let members = consensus.acceptor.lock().membership().members.clone();
-    let (_, link) = consensus.links_to(&members).into_iter().find(|(id, _)| *id == to)?;
+    let links = consensus.links_to(&members);
+    let MemberLink { link, .. } = links.into_iter().find(|link| link.member == to)?;
     let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
     match link.call(body, constants::owner_timeout(value_bytes(change))).await {
         Ok(Body::ChangeResponse(changed)) if changed.outcome() != Outcome::Unknown => Some(changed),
--- a/crates/control-plane/src/consensus/membership_change_tests.rs
+++ b/crates/control-plane/src/consensus/membership_change_tests.rs
@@ -287,7 +287,7 @@
         }
     }
 
-    fn hear(&mut self, i: usize, from: usize) {
+    fn receive_membership(&mut self, i: usize, from: usize) {
         let membership = self.machines[from].acceptor.membership().clone();
         self.machines[i].adopt(&membership);
     }
@@ -302,7 +302,7 @@
             4..=7 => self.deliver(a),
             8 => self.machines[i].restart(i),
             9 => self.wipe(i),
-            10..=12 => self.hear(i, j),
+            10..=12 => self.receive_membership(i, j),
             13..=15 => self.recover(i, &everyone),
             16..=17 => self.all(&reached, |w, at| w.change(i, at)),
             _ => self.all(&reached, |w, at| w.move_members(i, at, a / 36 % (MACHINES * 2), j)),
@@ -373,8 +373,8 @@
     let (a, b, c, d) = (0, 1, 2, 3);
     let mut w = World::new(3);
     w.all(&[b, c], |w, at| w.move_members(b, at, a, d));
-    w.hear(c, b);
-    w.hear(d, b);
+    w.receive_membership(c, b);
+    w.receive_membership(d, b);
     w.recover(d, &[b, c]);
     w.all(&[b, d], |w, at| w.change(b, at));
     let committed = w.chosen.len();
@@ -382,8 +382,8 @@
     let newest = w.memberships.last().unwrap();
     assert!(newest.epoch == 3 && holds(newest, a) && !holds(newest, b));
     w.machines[a].restart(a);
-    w.hear(c, d);
-    w.hear(a, d);
+    w.receive_membership(c, d);
+    w.receive_membership(a, d);
     assert!(!w.machines[a].acceptor.votes(), "it was no member at epoch 2");
     w.all(&[a, c], |w, at| w.change(c, at));
     assert_eq!(w.chosen.len(), committed, "no quorum without D, who holds the change");
@@ -399,10 +399,10 @@
     let (a, b, c, d, e) = (0, 1, 2, 3, 4);
     let mut w = World::new(3);
     w.all(&[b, c], |w, at| w.move_members(c, at, a, d));
-    w.hear(d, c);
+    w.receive_membership(d, c);
     w.recover(d, &[b, c]);
     assert!(!w.machines[d].acceptor.votes(), "B votes under the old membership still");
-    w.hear(b, c);
+    w.receive_membership(b, c);
     w.recover(d, &[b, c]);
     assert!(w.machines[d].acceptor.votes());
     w.all(&[c, d], |w, at| w.move_members(c, at, b, e));
@@ -429,12 +429,12 @@
     w.all(&[a, b, c], |w, at| w.change(a, at));
     w.all(&[b, c], |w, at| w.move_members(b, at, a, d));
     for hearer in [a, c, d] {
-        w.hear(hearer, b);
+        w.receive_membership(hearer, b);
     }
     w.machines[a].restart(a);
     assert_eq!(w.machines[a].acceptor.registers().count(), 0);
     w.recover(d, &[b, c]);
     w.all(&[b, d], |w, at| w.move_members(b, at, c, a));
-    w.hear(a, b);
+    w.receive_membership(a, b);
     assert!(w.machines[a].acceptor.is_member() && !w.machines[a].acceptor.votes());
 }
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -41,13 +41,12 @@
 mod voter_calls;
 
 use crate::cluster_state::{ClusterStateStore, StateChange};
-use crate::membership::peer_links::PeerLinks;
+use crate::membership::peer_links::{MemberLink, PeerLinks};
 use crate::process::Process;
 use crate::storage::format::{Record, State};
 use crate::storage::monitor::MonitoredDisk;
 use acceptor::{Acceptor, Step};
 use bytes::Bytes;
-use fleet_core::link::Link;
 use fleet_core::log::Event;
 use fleet_core::wire::{Ballot, ConfigValue, Member, Membership};
 use key_owner::KeyOwners;
@@ -143,12 +142,12 @@
     }
 
     /// Links to the other voters of the membership in force.
-    pub fn links_to_voters(&self) -> Vec<(u64, Arc<Link>)> {
+    pub fn links_to_voters(&self) -> Vec<MemberLink> {
         self.links.to(&self.membership().members)
     }
 
     /// Links to these members but this node.
-    pub fn links_to(&self, members: &[Member]) -> Vec<(u64, Arc<Link>)> {
+    pub fn links_to(&self, members: &[Member]) -> Vec<MemberLink> {
         self.links.to(members)
     }
 
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -6,6 +6,7 @@
 
 use super::quorum_status::{KeyStatus, QuorumStatus};
 use super::{ChosenValue, Consensus, forward};
+use crate::membership::peer_links::MemberLink;
 use fleet_core::constants;
 use fleet_core::wire::{
     Ballot, BallotReport, Body, ChangeKind, Outcome, ReadBallots, RegisterRequest,
@@ -64,8 +65,8 @@
             if let Some(found) = self.read_once(key).await {
                 return Some(found);
             }
-            let pause = 1 + self.process.random_below(backoff_ms);
-            tokio::time::sleep(Duration::from_millis(pause)).await;
+            let backoff = 1 + self.process.random_below(backoff_ms);
+            tokio::time::sleep(Duration::from_millis(backoff)).await;
             backoff_ms *= 2;
         }
         let confirmed = forward::submit(self, ChangeKind::Confirm(key.to_owned())).await;
@@ -100,7 +101,7 @@
         if let Some(value) = own.or_else(|| learned().map(|known| known.value)) {
             return Some(value);
         }
-        for (voter, link) in self.links_to_voters() {
+        for MemberLink { member: voter, link } in self.links_to_voters() {
             if !status.is_accepted_by(key, voter, ballot) {
                 continue;
             }
--- a/crates/control-plane/src/consensus/resignation.rs
+++ b/crates/control-plane/src/consensus/resignation.rs
@@ -2,6 +2,7 @@
 //! owner at once instead of waiting for the election time-out.
 
 use super::Consensus;
+use crate::membership::peer_links::MemberLink;
 use fleet_core::constants;
 use fleet_core::wire::{Ballot, Body, Empty};
 use std::net::Ipv4Addr;
@@ -31,10 +32,11 @@
     consensus.key_owners.release_keys().await;
     record_resignation(consensus, consensus.process.node.ip);
     let members = consensus.acceptor.lock().membership().members.clone();
-    let calls = consensus.links_to(&members).into_iter().map(|(_, link)| async move {
-        // one that can't be reached waits for the election time-out
-        let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
-    });
+    let calls =
+        consensus.links_to(&members).into_iter().map(|MemberLink { link, .. }| async move {
+            // one that can't be reached waits for the election time-out
+            let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
+        });
     futures_util::future::join_all(calls).await;
 }
 
--- a/crates/control-plane/src/consensus/schedules_tests.rs
+++ b/crates/control-plane/src/consensus/schedules_tests.rs
@@ -31,7 +31,7 @@
 
 #[derive(Clone)]
 enum Message {
-    Ask(Request),
+    Request(Request),
     Vote(Vote),
 }
 
@@ -125,7 +125,7 @@
                 to,
                 to_incarnation: self.nodes[to].incarnation,
                 step: node.attempt << 32 | proposer.step(),
-                message: Message::Ask(proposer.request_for(to as u64)),
+                message: Message::Request(proposer.request_for(to as u64)),
             };
             self.wires.push(wire);
         }
@@ -186,7 +186,7 @@
             return;
         }
         match &w.message {
-            Message::Ask(request) => {
+            Message::Request(request) => {
                 let vote = n.vote(request);
                 self.wires.push(Wire {
                     from: w.to,
--- a/crates/control-plane/src/consensus/voter_calls.rs
+++ b/crates/control-plane/src/consensus/voter_calls.rs
@@ -1,6 +1,7 @@
 //! Calls to all voters of a membership at once.
 
 use super::Consensus;
+use crate::membership::peer_links::MemberLink;
 use fleet_core::wire::{Body, Member, Membership};
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +27,7 @@
         request: impl Fn(u64) -> Body,
     ) -> mpsc::Receiver<MemberAnswer> {
         let (answers, inbox) = mpsc::channel(members.len().max(1));
-        for (member, link) in self.links_to(members) {
+        for MemberLink { member, link } in self.links_to(members) {
             let (answers, consensus, request) = (answers.clone(), self.clone(), request(member));
             tokio::spawn(async move {
                 let answer = link.call(request, timeout).await.ok();
--- /dev/null
+++ b/crates/control-plane/src/controller.rs
@@ -0,0 +1,256 @@
+//! The areas of a controller and how they are wired: the only place that knows all of them.
+
+use crate::cluster_state::{ClusterStateStore, StateChange};
+use crate::config_distribution::{ConfigBodies, ConfigDistribution};
+use crate::consensus::{Consensus, ConsensusParts, anti_entropy, quorum_contact, resignation};
+use crate::engines::registry::{self, EngineRegistry};
+use crate::environment::Environment;
+use crate::index_owner::{self, IndexOwnership, IndexOwnershipParts};
+use crate::leases::{INDEX_OWNER_LEASE, LeaseManager, ROLLOUT_LEASE, run_lease_holder};
+use crate::membership::load_reports::{self, LoadReports};
+use crate::membership::peer_links::PeerLinks;
+use crate::membership::routers::Routers;
+use crate::membership::{self, MembershipManager, PeerService, PeerServiceParts};
+use crate::process::Process;
+use crate::rollout::{self, Rollout, RolloutParts};
+use crate::service::membership::ViewSources;
+use crate::storage::monitor::MonitoredDisk;
+use fleet_core::log::Event;
+use fleet_core::node::{Node, Role};
+use fleet_core::settings::Settings;
+use fleet_core::transport::{Listener, Transport};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::task::JoinSet;
+
+/// The areas of one controller, wired. Each is built with those before it that it needs.
+pub struct Controller {
+    process: Arc<Process>,
+    links: Arc<PeerLinks>,
+    routers: Arc<Routers>,
+    cluster_state: Arc<ClusterStateStore>,
+    consensus: Arc<Consensus>,
+    distribution: Arc<ConfigDistribution>,
+    leases: Arc<LeaseManager>,
+    membership: Arc<MembershipManager>,
+    registry: Arc<EngineRegistry>,
+    load_reports: Arc<LoadReports>,
+    rollout: Arc<Rollout>,
+    index: Arc<IndexOwnership>,
+    view_sources: ViewSources,
+}
+
+/// What all other areas are built on.
+struct Foundation {
+    process: Arc<Process>,
+    transport: Arc<dyn Transport>,
+    links: Arc<PeerLinks>,
+    cluster_state: Arc<ClusterStateStore>,
+    config_bodies: Arc<ConfigBodies>,
+    consensus: Arc<Consensus>,
+    /// How long a former incarnation may have granted a lease for; none at the first start of all.
+    closed_for: Option<Duration>,
+}
+
+impl Foundation {
+    fn new(settings: Settings, log: slog::Logger, environment: Environment) -> Foundation {
+        let Environment { transport, disk, state, first_start, seed } = environment;
+        let node = Node::seeded(&settings, Role::Controller, seed);
+        let closed_for = (!first_start).then_some(settings.bounds.lease);
+        let process = Arc::new(Process::new(node, settings, log.clone()));
+        let links = Arc::new(PeerLinks::new(process.clone(), transport.clone()));
+        let cluster_state = Arc::new(ClusterStateStore::new());
+        let config_bodies = Arc::new(ConfigBodies::default());
+        let consensus = Arc::new(Consensus::new(ConsensusParts {
+            process: process.clone(),
+            links: links.clone(),
+            cluster_state: cluster_state.clone(),
+            config_observer: config_bodies.clone(),
+            disk: MonitoredDisk::new(disk, log),
+            state,
+        }));
+        Foundation {
+            process,
+            transport,
+            links,
+            cluster_state,
+            config_bodies,
+            consensus,
+            closed_for,
+        }
+    }
+}
+
+impl Controller {
+    /// Builds all areas; nothing runs yet.
+    pub(crate) fn new(
+        settings: Settings,
+        log: slog::Logger,
+        environment: Environment,
+    ) -> Arc<Controller> {
+        Controller::wire(Foundation::new(settings, log, environment))
+    }
+
+    fn wire(base: Foundation) -> Arc<Controller> {
+        let process = || base.process.clone();
+        let consensus = || base.consensus.clone();
+        let cluster_state = || base.cluster_state.clone();
+        let routers = Arc::new(Routers::default());
+        let leases = Arc::new(LeaseManager::new(process(), consensus(), base.closed_for));
+        let membership =
+            MembershipManager::new(process(), consensus(), base.links.clone(), leases.clone());
+        let registry = Arc::new(EngineRegistry::new(
+            process(),
+            consensus(),
+            base.links.clone(),
+            cluster_state(),
+        ));
+        let load_reports = Arc::new(LoadReports::new(consensus(), routers.clone()));
+        let rollout = Rollout::new(RolloutParts {
+            process: process(),
+            leases: leases.clone(),
+            registry: registry.clone(),
+            cluster_state: cluster_state(),
+            load_reports: load_reports.clone(),
+            transport: base.transport.clone(),
+        });
+        let index = IndexOwnership::new(IndexOwnershipParts {
+            process: process(),
+            leases: leases.clone(),
+            consensus: consensus(),
+            cluster_state: cluster_state(),
+            config_bodies: base.config_bodies.clone(),
+            routers: routers.clone(),
+            transport: base.transport.clone(),
+        });
+        let view_sources = ViewSources {
+            consensus: consensus(),
+            links: base.links.clone(),
+            leases: leases.clone(),
+        };
+        Arc::new(Controller {
+            distribution: Arc::new(ConfigDistribution::new(consensus(), base.config_bodies)),
+            process: base.process,
+            links: base.links,
+            routers,
+            cluster_state: base.cluster_state,
+            consensus: base.consensus,
+            leases,
+            membership: Arc::new(membership),
+            registry,
+            load_reports,
+            rollout: Arc::new(rollout),
+            index: Arc::new(index),
+            view_sources,
+        })
+    }
+
+    /// Puts the membership that is on the disk in force; the first start of all founds it.
+    pub(crate) async fn load_membership(&self, first_start: bool) {
+        if first_start {
+            let initial = membership::initial_membership(&self.process.settings());
+            self.consensus.persist(|acceptor| acceptor.bootstrap(&initial)).await;
+        }
+        let membership = self.consensus.membership();
+        if membership.epoch > 0 {
+            self.cluster_state.append(StateChange::Membership(membership));
+        }
+        self.consensus.relink();
+    }
+
+    /// Starts the tasks of all areas; they end when the set is dropped.
+    pub(crate) fn spawn_tasks(&self, listener: Box<dyn Listener>) -> JoinSet<()> {
+        let mut tasks = JoinSet::new();
+        let peer_service = Arc::new(PeerService::new(self.peer_service_parts()));
+        tasks.spawn(fleet_core::link::serve_peers(listener, peer_service));
+        tasks.spawn(membership::run_join(self.membership.clone()));
+        tasks.spawn(membership::run_replacement(self.membership.clone()));
+        tasks.spawn(anti_entropy::run_anti_entropy(self.consensus.clone()));
+        tasks.spawn(quorum_contact::run_contact_check(self.consensus.clone()));
+        tasks.spawn(load_reports::run_load_sharing(self.load_reports.clone()));
+        tasks.spawn(registry::run_heartbeat_sharing(self.registry.clone()));
+        tasks.spawn(registry::run_failure_detection(self.registry.clone()));
+        tasks.spawn(run_lease_holder(self.leases.clone(), ROLLOUT_LEASE));
+        tasks.spawn(run_lease_holder(self.leases.clone(), INDEX_OWNER_LEASE));
+        tasks.spawn(rollout::run_rollout(self.rollout.clone()));
+        tasks.spawn(index_owner::run_index_owner(self.index.clone()));
+        tasks
+    }
+
+    fn peer_service_parts(&self) -> PeerServiceParts {
+        PeerServiceParts {
+            process: self.process.clone(),
+            links: self.links.clone(),
+            routers: self.routers.clone(),
+            consensus: self.consensus.clone(),
+            membership: self.membership.clone(),
+            leases: self.leases.clone(),
+            registry: self.registry.clone(),
+            cluster_state: self.cluster_state.clone(),
+            distribution: self.distribution.clone(),
+            load_reports: self.load_reports.clone(),
+            index: self.index.clone(),
+        }
+    }
+
+    /// Puts settings that were read again in force.
+    pub(crate) fn reconfigure(&self, settings: Settings) {
+        self.process.reconfigure(settings);
+        self.consensus.relink();
+    }
+
+    /// Ends in good order: releases its leases and keys, and sends the others what they may not know of the
+    /// engines. Each part has a time-out.
+    pub(crate) async fn leave(&self) {
+        fleet_core::log_event!(self.process.log, Event::Stopping);
+        self.process.begin_shutdown();
+        let share_engines = self.registry.share_all();
+        let release_keys = resignation::release_keys(&self.consensus);
+        tokio::join!(self.leases.release_all(), release_keys, share_engines);
+    }
+
+    /// Closes the links to all other processes.
+    pub(crate) fn close_links(&self) {
+        self.links.close();
+    }
+
+    /// The process that it is.
+    pub(crate) fn process(&self) -> &Process {
+        &self.process
+    }
+
+    /// Who this controller is.
+    pub fn node(&self) -> &Node {
+        &self.process.node
+    }
+
+    /// Its part in the agreement.
+    pub fn consensus(&self) -> &Arc<Consensus> {
+        &self.consensus
+    }
+
+    /// The engines that it knows.
+    pub fn registry(&self) -> &Arc<EngineRegistry> {
+        &self.registry
+    }
+
+    /// What it knows of the cluster.
+    pub fn cluster_state(&self) -> &ClusterStateStore {
+        &self.cluster_state
+    }
+
+    /// The leases that it granted and holds.
+    pub fn leases(&self) -> &LeaseManager {
+        &self.leases
+    }
+
+    /// Its part in roll-outs.
+    pub fn rollout(&self) -> &Rollout {
+        &self.rollout
+    }
+
+    /// What an operator's view of the control plane is made of.
+    pub fn view_sources(&self) -> &ViewSources {
+        &self.view_sources
+    }
+}
--- a/crates/control-plane/src/index_owner/index.rs
+++ b/crates/control-plane/src/index_owner/index.rs
@@ -204,9 +204,9 @@
     /// How many bytes a digest takes on the wire, about; known without making one.
     pub fn snapshot_bytes(&self) -> usize {
         let salts = self.holders.values().flatten();
-        let named = self.holders.len() + salts.clone().count();
+        let names = self.holders.len() + salts.clone().count();
         let parts: usize = salts.map(|(_, parts)| parts.len()).sum();
-        named * constants::SNAPSHOT_NAME_BYTES + parts * constants::SNAPSHOT_PART_BYTES
+        names * constants::SNAPSHOT_NAME_BYTES + parts * constants::SNAPSHOT_PART_BYTES
     }
 
     /// All that holders are believed to keep of shared parts.
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -104,7 +104,7 @@
 
 /// A lease that this node holds, and the fencing token that it raised under it.
 #[derive(Debug, Clone, Copy)]
-struct HeldLease {
+struct CurrentLease {
     until: Instant,
     /// former holders' leases have ended by then
     from: Instant,
@@ -134,7 +134,7 @@
 pub struct LeaseHolder {
     incarnation: u64,
     attempt: u64,
-    lease: Option<HeldLease>,
+    lease: Option<CurrentLease>,
 }
 
 impl LeaseHolder {
@@ -177,7 +177,7 @@
         self.attempt += 1;
         let acts = alone || !policy.commands_engines;
         let from = if acts { granted } else { granted + policy.usable() };
-        self.lease = Some(HeldLease {
+        self.lease = Some(CurrentLease {
             until: requested_at + policy.usable(),
             from,
             fencing_token,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A controller keeps the state that routers, engines and the operator have to agree on, and does what one node
 //! at a time may do. [`Controller`] wires the areas below and does nothing itself; each area owns its state and
-//! its locks, and is built with the areas that it needs, so that the order of construction in [`runtime`] is also
+//! its locks, and is built with the areas that it needs, so that the order of construction in [`controller`] is also
 //! the order in which locks may be taken.
 //!
 //! Read them in this order:
@@ -13,12 +13,15 @@
 //! 4. [`leases`], and what runs under one: [`rollout`], [`index_owner`]
 //! 5. [`engines`]: the engines and calls to them; [`config_distribution`]: configurations for routers
 //! 6. [`service`]: what engines and operators ask, [`api`]: the same over HTTP
+//! 7. [`environment`], [`controller`], [`runtime`]: what it is started with, how all is wired, start and end
 
 pub mod api;
 pub mod cluster_state;
 pub mod config_distribution;
 pub mod consensus;
+pub mod controller;
 pub mod engines;
+pub mod environment;
 pub mod index_owner;
 pub mod leases;
 pub mod membership;
@@ -28,7 +31,9 @@
 pub mod service;
 pub mod storage;
 
-pub use runtime::{Controller, Environment, RunningController, run};
+pub use controller::Controller;
+pub use environment::Environment;
+pub use runtime::{RunningController, run};
 
 /// Why a controller doesn't run.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
--- a/crates/control-plane/src/membership/load_reports.rs
+++ b/crates/control-plane/src/membership/load_reports.rs
@@ -3,6 +3,7 @@
 //! A router reports to one controller only. Controllers exchange their sums, so that each can add up the whole,
 //! without its routers' own parts counted twice.
 
+use super::peer_links::MemberLink;
 use super::routers::Routers;
 use crate::consensus::Consensus;
 use fleet_core::constants;
@@ -107,7 +108,7 @@
         if !schedule.is_due(now, &report) {
             return;
         }
-        for (_, link) in self.consensus.links_to_voters() {
+        for MemberLink { link, .. } in self.consensus.links_to_voters() {
             let _ = link.notify(Body::LoadReport(report.clone()));
         }
     }
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -12,6 +12,15 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
+/// The link to a member.
+#[derive(Clone)]
+pub struct MemberLink {
+    /// The member's number in ballots.
+    pub member: u64,
+    /// The link to it.
+    pub link: Arc<Link>,
+}
+
 /// One link to each controller that this node needs. Tables whose order can change what is sent are ordered, so
 /// that a simulated run can be repeated. All locks are leaves.
 pub struct PeerLinks {
@@ -99,12 +108,12 @@
         self.links.lock().get(&ip).cloned()
     }
 
-    /// Links to these members but this node, each with the member's number in ballots.
-    pub fn to(&self, members: &[Member]) -> Vec<(u64, Arc<Link>)> {
+    /// Links to these members but this node.
+    pub fn to(&self, members: &[Member]) -> Vec<MemberLink> {
         let links = self.links.lock();
         let link = |member: &Member| {
             let ip = member.addr()?;
-            Some((u64::from(u32::from(ip)), links.get(&ip)?.clone()))
+            Some(MemberLink { member: u64::from(u32::from(ip)), link: links.get(&ip)?.clone() })
         };
         members.iter().filter_map(link).collect()
     }
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -6,6 +6,7 @@
 //! membership changes midway, so only progress counts and not the whole time.
 
 use super::MembershipManager;
+use super::peer_links::MemberLink;
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::log::Event;
@@ -181,8 +182,9 @@
     for (offset, (key, (ballot, mut ids))) in latest_ballots(answers).into_iter().enumerate() {
         let first = offset % ids.len();
         ids.rotate_left(first);
-        let link = |id: &u64| links.iter().find(|(at, _)| at == id).map(|(_, link)| link.clone());
-        let sources: Vec<Arc<Link>> = ids.iter().filter_map(link).collect();
+        let link = |id: &u64| links.iter().find(|link| link.member == *id);
+        let sources: Vec<Arc<Link>> =
+            ids.iter().filter_map(link).map(|link| link.link.clone()).collect();
         if !catch_up.fetch(&key, ballot, &sources).await {
             return false;
         }
@@ -196,7 +198,7 @@
     request: Body,
 ) -> Vec<(u64, BallotReport)> {
     let members = manager.consensus.membership().members;
-    let calls = manager.links.to(&members).into_iter().map(|(id, link)| {
+    let calls = manager.links.to(&members).into_iter().map(|MemberLink { member: id, link }| {
         let request = request.clone();
         async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
     });
--- a/crates/control-plane/src/membership/state_transfer.rs
+++ b/crates/control-plane/src/membership/state_transfer.rs
@@ -16,7 +16,7 @@
 
 struct StateTransfer {
     register: Register,
-    asked: Instant,
+    last_requested: Instant,
 }
 
 impl StateTransfers {
@@ -28,7 +28,9 @@
         current: Option<&Register>,
     ) -> ValueChunk {
         let mut open = self.open.lock();
-        open.retain(|_, transfer| transfer.asked.elapsed() < constants::STATE_TRANSFER_RETENTION);
+        open.retain(|_, transfer| {
+            transfer.last_requested.elapsed() < constants::STATE_TRANSFER_RETENTION
+        });
         let reader = (peer.to_owned(), request.key.clone());
         let begun =
             open.get(&reader).filter(|transfer| transfer.register.accepted == request.ballot);
@@ -38,7 +40,7 @@
         let register = register.clone();
         let chunk = chunk_at(&register, request);
         if chunk.offset + (chunk.bytes.len() as u64) < chunk.total {
-            open.insert(reader, StateTransfer { register, asked: Instant::now() });
+            open.insert(reader, StateTransfer { register, last_requested: Instant::now() });
         } else {
             open.remove(&reader);
         }
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -206,7 +206,7 @@
 
 async fn carry_out(rollout: Arc<Rollout>, target: Target, action: Action) {
     match action {
-        Action::DrainStreams(id) => mark(&rollout, &id, set_draining).await,
+        Action::DrainStreams(id) => publish_update_state(&rollout, &id, set_draining).await,
         Action::Update(id) => {
             let updated = update(&rollout, &id, &target).await;
             let mut plan = rollout.plan.lock();
@@ -239,12 +239,12 @@
     let address = engine.address.parse().map_err(|_| OrderError::Unknown)?;
     let transport = rollout.transport.clone();
     let mut client = EngineClient::over(transport, rollout.process.node.ip, address);
-    mark(rollout, &engine.id, set_updating).await;
+    publish_update_state(rollout, &engine.id, set_updating).await;
     tokio::time::sleep(constants::ROLLOUT_NOTICE).await;
     let (model, version) = (target.model.as_str(), target.version);
     let updated = order::order(rollout, &mut client, engine, model, version).await;
     log_update(rollout, engine, target, &updated);
-    mark(rollout, &engine.id, |engine| {
+    publish_update_state(rollout, &engine.id, |engine| {
         clear_marks(engine);
         if updated.is_ok() {
             fleet::raise(engine, model, version);
@@ -273,7 +273,7 @@
 }
 
 /// Changes what is known of an engine, here and at a majority of the controllers.
-async fn mark(rollout: &Arc<Rollout>, id: &str, change: impl FnOnce(&mut Engine)) {
+async fn publish_update_state(rollout: &Arc<Rollout>, id: &str, change: impl FnOnce(&mut Engine)) {
     let engine = rollout.registry.get(id);
     let Some(mut engine) = engine else { return };
     change(&mut engine);
--- a/crates/control-plane/src/rollout/plan.rs
+++ b/crates/control-plane/src/rollout/plan.rs
@@ -236,8 +236,8 @@
     /// Whether a quota of interactive engines has the target weights, so that the others may follow.
     fn interactive_ones_are_ready(&self, outdated: &[OutdatedEngine]) -> bool {
         let all = self.is_interactive.values().filter(|is| **is).count();
-        let left = outdated.iter().filter(|engine| self.is_interactive(engine)).count();
-        all - left.min(all) >= self.drain_quota().min(all)
+        let waiting = outdated.iter().filter(|engine| self.is_interactive(engine)).count();
+        all - waiting.min(all) >= self.drain_quota().min(all)
     }
 }
 
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -7,6 +7,7 @@
 
 use crate::consensus::{Consensus, state_machine};
 use crate::leases::{self, LeaseManager};
+use crate::membership::peer_links::MemberLink;
 use crate::membership::peer_links::PeerLinks;
 use fleet_core::constants;
 use fleet_core::wire::{Ballot, BallotReport, Body, LeaseValue, Member, Membership, ReadBallots};
@@ -65,14 +66,16 @@
     consensus: &Consensus,
     membership: &Membership,
 ) -> BTreeMap<u64, BallotReport> {
-    let calls = consensus.links_to(&membership.members).into_iter().map(|(id, link)| async move {
-        let request =
-            Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
-        match link.call(request, constants::PHASE_TIMEOUT).await {
-            Ok(Body::BallotReport(report)) => Some((id, report)),
-            _ => None,
-        }
-    });
+    let calls = consensus.links_to(&membership.members).into_iter().map(
+        |MemberLink { member: id, link }| async move {
+            let request =
+                Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
+            match link.call(request, constants::PHASE_TIMEOUT).await {
+                Ok(Body::BallotReport(report)) => Some((id, report)),
+                _ => None,
+            }
+        },
+    );
     let own = tokio::time::timeout(
         constants::PHASE_TIMEOUT,
         consensus.vote(|acceptor| acceptor.read_ballots(false)),
--- a/crates/control-plane/tests/exhaustive.rs
+++ b/crates/control-plane/tests/exhaustive.rs
@@ -42,7 +42,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 enum Content {
-    Ask(Request),
+    Request(Request),
     Vote(Vote),
 }
 
@@ -189,7 +189,7 @@
                 incarnation: self.incarnations[voter],
                 attempt: self.attempts[machine],
                 step: proposer.step(),
-                content: Content::Ask(proposer.request_for(id(voter))),
+                content: Content::Request(proposer.request_for(id(voter))),
             };
             self.messages.push(message);
         }
@@ -198,7 +198,7 @@
     fn deliver(&mut self, at: usize) {
         let message = self.messages.remove(at);
         match &message.content {
-            Content::Ask(request) => {
+            Content::Request(request) => {
                 if self.incarnations[message.voter] != message.incarnation {
                     return;
                 }
@@ -260,8 +260,10 @@
         recovery.queried.insert(from);
         let mut answer = self.acceptors[from].begin_state_transfer(recovery.recovery_epoch).answer;
         for register in &mut answer.registers {
-            let held = self.acceptors[from].register(&register.key);
-            register.value = held.map(|held| held.value.clone()).unwrap_or_default();
+            let register_there = self.acceptors[from].register(&register.key);
+            register.value = register_there
+                .map(|register_there| register_there.value.clone())
+                .unwrap_or_default();
         }
         recovery.got.push(answer);
         let done = self.acceptors[recovery.machine]
@@ -274,7 +276,7 @@
     fn prune(&mut self) {
         let mut messages = std::mem::take(&mut self.messages);
         messages.retain(|m| match &m.content {
-            Content::Ask(request) => {
+            Content::Request(request) => {
                 let fits = self.incarnations[m.voter] == m.incarnation;
                 let mut voter = self.acceptors[m.voter].clone();
                 fits && match request {
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -166,12 +166,12 @@
 
     fn choose(&self, router: &Router, best: &Best) -> Choice {
         let prefix_cache = self.prefix_cache(best.candidate);
-        let asked = self.choose_source(best);
+        let chosen = self.choose_source(best);
         let sink = prefix_cache.and_then(|prefix_cache| {
             kv_transfer::sink(&self.context.request, &prefix_cache.sources)
         });
-        self.count(router, best, asked.is_some(), sink.is_some());
-        let (source, source_engine) = asked.unzip();
+        self.count(router, best, chosen.is_some(), sink.is_some());
+        let (source, source_engine) = chosen.unzip();
         Choice {
             engine: self.endpoint(best.candidate).engine.clone(),
             version: best.candidate.version,
--- a/crates/prompt-index/src/index.rs
+++ b/crates/prompt-index/src/index.rs
@@ -138,12 +138,12 @@
         }
     }
 
-    /// Takes in that a holder keeps `kept` tokens of a part, or all of it where none are told.
-    pub fn registered(&self, holder: &str, salt: &str, part: u64, kept: Option<u64>) {
+    /// Takes in that a holder keeps `cached` tokens of a part, or all of it where none are given.
+    pub fn registered(&self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
         let at = self.admit(holder);
         let seed = self.seed(salt);
         let Some(cell) = self.cell(at.cell) else { return };
-        let counter = if cell.registered(at.no, seed, chain::raw(seed, part), kept) {
+        let counter = if cell.registered(at.no, seed, chain::raw(seed, part), cached) {
             &self.registered
         } else {
             &self.dropped
@@ -151,12 +151,12 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes in that a holder keeps at most `kept` tokens of a part.
-    pub fn evicted(&self, holder: &str, salt: &str, part: u64, kept: u64) {
+    /// Takes in that a holder keeps at most `cached` tokens of a part.
+    pub fn evicted(&self, holder: &str, salt: &str, part: u64, cached: u64) {
         let Some(at) = self.at(holder) else { return };
         let seed = self.seed(salt);
         let Some(cell) = self.cell(at.cell) else { return };
-        let counter = if cell.evicted(at.no, chain::raw(seed, part), kept) {
+        let counter = if cell.evicted(at.no, chain::raw(seed, part), cached) {
             &self.evicted
         } else {
             &self.dropped
@@ -164,14 +164,14 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Holder gone: what it kept no longer counts. It comes back under another number.
+    /// Holder gone: what it cached no longer counts. It comes back under another number.
     pub fn remove(&self, holder: &str) -> bool {
         let Some(at) = write(&self.names).remove(holder) else { return false };
         self.moves.fetch_add(1, Ordering::Release);
         self.cell(at.cell).is_some_and(|cell| cell.remove(at.no))
     }
 
-    /// All kept under the salts that `dead` names.
+    /// All cached under the salts that `dead` names.
     pub fn void(&self, dead: impl Fn(&str) -> bool) {
         let remove: Vec<u64> = {
             let mut seeds = write(&self.seeds);
--- /dev/null
+++ b/crates/simulation/src/checker/changes.rs
@@ -0,0 +1,85 @@
+//! What became of each change of the configuration, over all its sendings and reads.
+
+use crate::history::{History, Read, Reply, Version};
+use std::collections::BTreeMap;
+
+/// One change, over all its sendings.
+pub(super) struct Change {
+    pub(super) version: Version,
+    pub(super) base: u64,
+    pub(super) valid: bool,
+    pub(super) first_invoked: u64,
+    pub(super) first_acknowledged: Option<u64>,
+    pub(super) first_observed: Option<u64>,
+    pub(super) refused: bool,
+}
+
+impl Change {
+    pub(super) fn is_committed(&self) -> bool {
+        self.first_acknowledged.is_some() || self.first_observed.is_some()
+    }
+
+    /// Whether it was in force before the other was even sent, and the other doesn't build on it.
+    pub(super) fn was_superseded_by(&self, other: &Change) -> bool {
+        self.in_force_by().is_some_and(|by| by < other.first_invoked)
+    }
+
+    /// The moment by which it was surely in force.
+    pub(super) fn in_force_by(&self) -> Option<u64> {
+        match (self.first_acknowledged, self.first_observed) {
+            (Some(a), Some(b)) => Some(a.min(b)),
+            (a, b) => a.or(b),
+        }
+    }
+}
+
+pub(super) struct Changes {
+    pub(super) all: BTreeMap<Version, Change>,
+    /// read, but never sent by anybody
+    pub(super) unsent: Vec<Read>,
+}
+
+impl Changes {
+    pub(super) fn collect(history: &History) -> Changes {
+        let mut all: BTreeMap<Version, Change> = BTreeMap::new();
+        for write in &history.writes {
+            let change = all.entry(write.version).or_insert_with(|| Change {
+                version: write.version,
+                base: write.base,
+                valid: write.valid,
+                first_invoked: write.invoked,
+                first_acknowledged: None,
+                first_observed: None,
+                refused: false,
+            });
+            change.first_invoked = change.first_invoked.min(write.invoked);
+            change.refused |= write.reply == Reply::Refused;
+            if write.reply == Reply::Acknowledged {
+                change.first_acknowledged = earliest(change.first_acknowledged, write.completed);
+            }
+        }
+        let mut unsent = Vec::new();
+        for read in history.reads.iter().chain(&history.last_reads) {
+            match all.get_mut(&read.version) {
+                Some(change) => {
+                    change.first_observed = earliest(change.first_observed, read.completed);
+                }
+                None => unsent.push(read.clone()),
+            }
+        }
+        Changes { all, unsent }
+    }
+
+    pub(super) fn committed(&self) -> Vec<&Change> {
+        self.all.values().filter(|change| change.is_committed()).collect()
+    }
+
+    /// The highest version that was surely in force at a moment.
+    pub(super) fn newest_at(&self, at: u64) -> Option<&Change> {
+        self.committed().into_iter().rfind(|change| change.in_force_by().is_some_and(|by| by < at))
+    }
+}
+
+fn earliest(current: Option<u64>, other: u64) -> Option<u64> {
+    Some(current.map_or(other, |at| at.min(other)))
+}
--- a/crates/simulation/src/checker_tests.rs
+++ b/crates/simulation/src/checker/tests.rs
@@ -1,7 +1,10 @@
 //! Each rule of the checker, on histories written by hand.
 
 use super::*;
-use crate::history::{CaughtUp, DrainObservation, LinkCall, MembershipObservation};
+use crate::history::{
+    CaughtUp, DrainObservation, Holder, LinkCall, MembershipObservation, Read, Reply, Version,
+    Write,
+};
 
 fn version(number: u64) -> Version {
     Version { number, digest: number }
--- a/crates/simulation/src/engine_workload.rs
+++ b/crates/simulation/src/engine_workload.rs
@@ -32,8 +32,8 @@
     while !engine.world.is_over() {
         tokio::time::sleep(Duration::from_millis(constants::HEARTBEAT_MS)).await;
         if engine.world.now() < drains_at {
-            engine.beat("ready").await;
-        } else if let Some(by) = engine.beat("draining").await {
+            engine.send_heartbeat("ready").await;
+        } else if let Some(by) = engine.send_heartbeat("draining").await {
             let at = engine.world.now();
             return Some(Drained { engine: engine.id, by, at });
         }
@@ -43,7 +43,7 @@
 
 impl Engine {
     /// One heartbeat to any node; the machine that acknowledged it, if any.
-    async fn beat(&mut self, state: &str) -> Option<usize> {
+    async fn send_heartbeat(&mut self, state: &str) -> Option<usize> {
         self.calls += 1;
         let body = serde_json::json!({
             "service": "service", "address": "10.9.2.1:9000", "state": state,
@@ -55,7 +55,7 @@
         let call = async move |controller: Arc<Controller>| {
             instances::heartbeat(controller.registry(), id, body).await
         };
-        let answer = self.world.ask(&machine, call).await;
+        let answer = self.world.call(&machine, call).await;
         matches!(answer, Some(Ok(()))).then_some(machine.number)
     }
 }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -229,11 +229,11 @@
 
     /// Tells the process to end, and ends it once it has done so or its grace is over.
     pub async fn leave(&self) {
-        let taken = self.process.lock().as_mut().and_then(|process| {
+        let ended = self.process.lock().as_mut().and_then(|process| {
             let running = process.running.take()?;
             Some((process.start, running))
         });
-        let Some((start, running)) = taken else { return };
+        let Some((start, running)) = ended else { return };
         let _ = tokio::time::timeout(constants::GRACE, running.leave()).await;
         running.abort();
         if self.runs(start) {
--- a/crates/simulation/src/operator_workload.rs
+++ b/crates/simulation/src/operator_workload.rs
@@ -130,7 +130,7 @@
         let call = async move |controller: Arc<Controller>| {
             configuration::replace(controller.consensus(), Some(&base), body).await
         };
-        let answer = self.world.ask(machine, call).await;
+        let answer = self.world.call(machine, call).await;
         self.as_mutant(reply_of(answer))
     }
 
--- a/crates/simulation/src/read_workload.rs
+++ b/crates/simulation/src/read_workload.rs
@@ -60,7 +60,7 @@
         }
         control_plane::service::configuration::fetch(controller.consensus()).await.ok()
     };
-    world.ask(machine, call).await.flatten()
+    world.call(machine, call).await.flatten()
 }
 
 /// What a controller holds itself, whatever the others have.
@@ -131,9 +131,9 @@
 /// The configuration that a majority confirms, put together as the real router does it.
 async fn fetch_newest(link: &Link, current: Option<&ConfigBody>) -> Option<ConfigBody> {
     let digest = current.map(|current| Bytes::copy_from_slice(current.digest.as_bytes()));
-    let ask = ConfigRequest { digest: digest.unwrap_or_default() };
+    let request = ConfigRequest { digest: digest.unwrap_or_default() };
     let answer =
-        link.call(Body::ConfigRequest(ask), fleet_core::constants::CONFIG_FETCH_TIMEOUT).await;
+        link.call(Body::ConfigRequest(request), fleet_core::constants::CONFIG_FETCH_TIMEOUT).await;
     let Ok(Body::ConfigResponse(response)) = answer else { return None };
     if response.form.is_none() {
         return current
--- a/crates/simulation/src/sampler.rs
+++ b/crates/simulation/src/sampler.rs
@@ -74,17 +74,17 @@
         .cloned();
     let Some(newest) = newest else { return Vec::new() };
     let running = world.machines();
-    let mut stand = Vec::new();
+    let mut caught_up = Vec::new();
     for member in newest.members {
         let machine = running.iter().find(|machine| machine.ip.to_string() == member);
         let controller = machine.and_then(|machine| machine.controller());
         let number = machine.map(|machine| machine.number);
-        stand.push(CaughtUp {
+        caught_up.push(CaughtUp {
             machine: number,
             votes: controller.as_ref().is_some_and(|(_, c)| c.consensus().votes()),
             version: controller
                 .map_or(0, |(_, c)| c.cluster_state().read(ClusterState::config_version)),
         });
     }
-    stand
+    caught_up
 }
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -12,10 +12,10 @@
 /// When a runtime can't be made.
 pub fn shrink(plan: &Plan, invariant: Invariant, runs: usize) -> std::io::Result<Plan> {
     let mut smallest = plan.clone();
-    let mut left = runs;
+    let mut runs_left = runs;
     let mut place = 0;
-    while place < smallest.faults.len() && left > 0 {
-        left -= 1;
+    while place < smallest.faults.len() && runs_left > 0 {
+        runs_left -= 1;
         let mut fewer = smallest.clone();
         fewer.faults.remove(place);
         let outcome = run(&fewer, None)?;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -108,7 +108,7 @@
     /// Calls a controller from outside, and waits as callers of `control` do.
     ///
     /// None when nothing came back: the call may have been carried out, or may be yet.
-    pub async fn ask<A, F>(
+    pub async fn call<A, F>(
         &self,
         machine: &Arc<Machine>,
         call: impl FnOnce(Arc<Controller>) -> F,
