--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -35,6 +35,10 @@
 }
 
 /// An answer of JSON.
+///
+/// # Errors
+///
+/// The status or a header is none; handlers only use constants.
 pub fn json(
     status: http::StatusCode,
     body: impl Into<dropshot::Body>,
@@ -56,6 +60,10 @@
 }
 
 /// The body, or 413 where it holds more than it may.
+///
+/// # Errors
+///
+/// 413 for a body of more than `most` bytes, and the server's own error where the connection broke.
 pub async fn read_limited(
     body: dropshot::StreamingBody,
     most: usize,
@@ -73,6 +81,10 @@
 }
 
 /// Starts the server of all handlers.
+///
+/// # Errors
+///
+/// The address can't be listened at.
 pub fn serve(
     controller: &Context,
     at: std::net::SocketAddr,
--- a/crates/control-plane/src/engines/client.rs
+++ b/crates/control-plane/src/engines/client.rs
@@ -95,6 +95,10 @@
     }
 
     /// Has a connection ready for [`EngineClient::send`].
+    ///
+    /// # Errors
+    ///
+    /// No connection came up within the limit; nothing was sent.
     pub async fn open(&mut self) -> Result<(), CallError> {
         if let Some(mut c) = self.connection.take()
             && c.sender.ready().await.is_ok()
@@ -107,6 +111,10 @@
     }
 
     /// Calls over a connection that stands, or over a new one.
+    ///
+    /// # Errors
+    ///
+    /// As [`EngineClient::send`], and where no connection came up.
     pub async fn call(
         &mut self,
         method: http::Method,
@@ -124,6 +132,10 @@
 
     /// Calls over the connection that was opened, and never over another: what was found to hold before
     /// the call can't grow old while one comes up. Past the limit nothing of the call is sent any more.
+    ///
+    /// # Errors
+    ///
+    /// The connection broke, the time was over, or the answer can't be read. The engine may have carried the call out.
     pub async fn send(
         &mut self,
         method: http::Method,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -15,6 +15,9 @@
 //! 6. [`service`]: what engines and operators ask, [`api`]: the same over HTTP
 //! 7. [`environment`], [`controller`], [`runtime`]: what it is started with, how all is wired, start and end
 
+// A process that carries traffic does not panic for a value that is not there; tests may.
+#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
+
 pub mod api;
 pub mod cluster_state;
 pub mod config_distribution;
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -68,6 +68,10 @@
 }
 
 /// Runs a controller until it is stopped.
+///
+/// # Errors
+///
+/// A setting is missing, the disk can't be used, or a port can't be listened at. Nothing runs then.
 pub async fn run(
     settings: Settings,
     log: slog::Logger,
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -20,6 +20,10 @@
 }
 
 /// The version that a change builds on, from the text of its header.
+///
+/// # Errors
+///
+/// 400 where the header is missing or no number.
 pub fn base_of(header: Option<&str>) -> Result<u64, Rejection> {
     header
         .map(str::trim)
@@ -29,6 +33,10 @@
 }
 
 /// Puts a configuration in force in place of the one that it builds on.
+///
+/// # Errors
+///
+/// 412 and 400 only where the change is certain not to be in force; after 503 it may be.
 pub async fn replace(
     consensus: &Arc<Consensus>,
     base_header: Option<&str>,
@@ -74,6 +82,10 @@
 }
 
 /// The configuration in force, confirmed by a majority after the call came.
+///
+/// # Errors
+///
+/// 503 out of contact, before the first configuration, and where no majority confirms one in time.
 pub async fn fetch(consensus: &Arc<Consensus>) -> Result<Bytes, Rejection> {
     require_contact(consensus)?;
     let read =
--- a/crates/control-plane/src/service/instances.rs
+++ b/crates/control-plane/src/service/instances.rs
@@ -68,6 +68,10 @@
 }
 
 /// Takes a heartbeat; that of a draining engine is acknowledged when a majority has it.
+///
+/// # Errors
+///
+/// 400 for a call that can't be read; 503 out of contact, and where no majority has a drain in time. It is recorded all the same.
 pub async fn heartbeat(
     registry: &Arc<EngineRegistry>,
     id: String,
@@ -97,6 +101,10 @@
 }
 
 /// Takes an engine's farewell, acknowledged when a majority has it.
+///
+/// # Errors
+///
+/// 400 for a call that can't be read; 503 out of contact, and where no majority has it in time. It is recorded all the same.
 pub async fn deregister(
     registry: &Arc<EngineRegistry>,
     id: String,
--- a/crates/control-plane/src/service/mod.rs
+++ b/crates/control-plane/src/service/mod.rs
@@ -10,6 +10,10 @@
 
 /// Out of contact with a majority of the voters nothing is acknowledged, refused or handed out: the caller
 /// goes on to another node at once.
+///
+/// # Errors
+///
+/// 503 `no_contact`.
 pub fn require_contact(consensus: &Consensus) -> Result<(), Rejection> {
     if consensus.in_contact() {
         return Ok(());
--- a/crates/control-plane/src/service/weights.rs
+++ b/crates/control-plane/src/service/weights.rs
@@ -14,6 +14,10 @@
 }
 
 /// Names the version that a model's engines shall have.
+///
+/// # Errors
+///
+/// 400 for a body that can't be read; 503 out of contact, and where no majority decided in time: the target may be set.
 pub async fn put(consensus: &Arc<Consensus>, body: Bytes) -> Result<(), Rejection> {
     require_contact(consensus)?;
     let put: Put = serde_json::from_slice(&body)
--- a/crates/control-plane/src/storage/backend.rs
+++ b/crates/control-plane/src/storage/backend.rs
@@ -8,18 +8,38 @@
 /// before the sync of the folder.
 pub trait Storage {
     /// All of a file; nothing where there is none.
+    ///
+    /// # Errors
+    ///
+    /// The file is there and can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
     /// Bytes of a file; none where there is no file.
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be read.
     fn length(&self, name: &str) -> io::Result<u64>;
 
     /// Writes at an offset; makes the file where there is none.
+    ///
+    /// # Errors
+    ///
+    /// The bytes may be there in part.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
     /// Returns once the file's content and length are durable.
+    ///
+    /// # Errors
+    ///
+    /// The bytes may be durable or not.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Returns once the folder's entries are durable.
+    ///
+    /// # Errors
+    ///
+    /// New entries may be durable or not.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
@@ -31,6 +51,10 @@
 
 impl Folder {
     /// Makes the folder where there is none; it and those above it that were made are durable then.
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be made or synced.
     pub fn open(path: &Path) -> io::Result<Folder> {
         let missing: Vec<&Path> = path.ancestors().take_while(|p| !p.exists()).collect();
         std::fs::create_dir_all(path)?;
--- a/crates/control-plane/src/storage/files.rs
+++ b/crates/control-plane/src/storage/files.rs
@@ -44,6 +44,10 @@
 
 impl Files {
     /// Opens the files of a folder, which is made where there is none.
+    ///
+    /// # Errors
+    ///
+    /// The folder can't be made, or a file of it can't be read. An unreadable file is no empty disk.
     pub fn open(dir: &Path) -> Result<(Files, State), DiskError> {
         let folder = Folder::open(dir).map_err(io_error("create folder"))?;
         Files::open_in(folder, Layout::default())
@@ -52,6 +56,10 @@
 
 impl<S: Storage> Files<S> {
     /// Newest whole slot and the valid log behind it; with neither, an empty disk.
+    ///
+    /// # Errors
+    ///
+    /// A file can't be read, or the files can't be preallocated.
     pub fn open_in(mut storage: S, layout: Layout) -> Result<(Files<S>, State), DiskError> {
         let mut best: Option<(u64, State)> = None;
         let mut damaged = false;
@@ -117,6 +125,10 @@
     }
 
     /// Keeps several records; whatever failed before is on the disk too once this succeeds.
+    ///
+    /// # Errors
+    ///
+    /// A write or sync failed: the records are in memory only, and are written with the next ones.
     pub fn persist<'a>(
         &mut self,
         records: impl Iterator<Item = &'a Record>,
--- a/crates/control-plane/src/storage/monitor.rs
+++ b/crates/control-plane/src/storage/monitor.rs
@@ -32,6 +32,10 @@
     }
 
     /// Queues a record at once. It is written also when the caller stops waiting for it.
+    ///
+    /// # Errors
+    ///
+    /// The record is not durable, or nobody knows: see [`DiskError`].
     pub fn append(
         &self,
         record: Record,
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -46,6 +46,10 @@
 }
 
 /// The body that was given, with the digest that a majority confirmed.
+///
+/// # Errors
+///
+/// The body can't be unpacked, or doesn't have the digest.
 pub fn rebuild(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,5 +1,8 @@
 //! The data plane: what the router program is made of.
 
+// A process that carries traffic does not panic for a value that is not there; tests may.
+#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
+
 pub mod fleet_view;
 pub mod load_balancer;
 pub mod pool;
@@ -144,6 +147,10 @@
 }
 
 /// Runs a router until it is stopped.
+///
+/// # Errors
+///
+/// A setting is missing, or a port can't be listened at. Nothing runs then.
 pub async fn run(
     settings: fleet_core::settings::Settings,
     log: slog::Logger,
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -51,6 +51,10 @@
 }
 
 /// Chooses an engine for a request, none of those that were tried.
+///
+/// # Errors
+///
+/// No engine that may run the request is known, or all are full.
 pub fn choose_engine(
     router: &Router,
     routing_table: &Table,
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -121,6 +121,10 @@
 }
 
 /// The idle connection that was used last, if it is fit, else a new one within the router's share.
+///
+/// # Errors
+///
+/// No connection came up, or the router's share is used up; nothing was sent.
 pub async fn checkout(
     router: &Router,
     engine: &Arc<EngineHandle>,
@@ -193,6 +197,10 @@
     }
 
     /// Gives the answer's head, or says whether the request may have been read.
+    ///
+    /// # Errors
+    ///
+    /// Says whether the engine may have read the request.
     pub async fn send(
         mut self,
         request: http::Request<Sent>,
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -41,6 +41,10 @@
 }
 
 /// Finds an engine and a connection to it; none before the deadline gives the request back.
+///
+/// # Errors
+///
+/// Gives the request back where the deadline came first; it was sent to nobody.
 pub async fn find_engine(
     router: &Router,
     mut accepted: Accepted,
--- a/crates/data-plane/src/proxy/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -126,6 +126,10 @@
     }
 
     /// On to another engine after a refusal, if the route and the budget allow it.
+    ///
+    /// # Errors
+    ///
+    /// Gives the request back where it may not be sent again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Accepted> {
         if self.request.spend_retry(router) { Ok(self) } else { Err(self) }
     }
@@ -165,6 +169,10 @@
     }
 
     /// On to another engine after an uncertain end: only what may run twice, within the budget.
+    ///
+    /// # Errors
+    ///
+    /// Gives the request back where it may not be sent again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Dispatched> {
         if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
             return Err(self);
@@ -197,6 +205,10 @@
     }
 
     /// On to another engine in place of this answer, if the route and the budget allow it.
+    ///
+    /// # Errors
+    ///
+    /// Gives the response back where the request may not be sent again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Box<Responding>> {
         if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
             return Err(Box::new(self));
--- a/crates/fleet-core/src/delta.rs
+++ b/crates/fleet-core/src/delta.rs
@@ -83,6 +83,10 @@
 }
 
 /// The body that a delta makes of `former`, of `most` bytes at the most.
+///
+/// # Errors
+///
+/// The delta does not belong to `former`, its packing is broken, or it makes more than `most` bytes.
 pub fn apply(delta: &ConfigDelta, former: &[u8], most: usize) -> Result<bytes::Bytes, DeltaError> {
     let mut body = Vec::with_capacity(former.len());
     for op in &delta.ops {
--- a/crates/fleet-core/src/lib.rs
+++ b/crates/fleet-core/src/lib.rs
@@ -1,6 +1,9 @@
 //! What the controller, the router and the tool share: settings, configuration, messages and the links that carry
 //! them, log events, constants. It depends on no other crate of the workspace.
 
+// A process that carries traffic does not panic for a value that is not there; tests may.
+#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
+
 pub mod change_log;
 pub mod configuration;
 pub mod constants;
--- a/crates/fleet-core/src/packing.rs
+++ b/crates/fleet-core/src/packing.rs
@@ -21,6 +21,10 @@
 }
 
 /// Inflates what `pack` gave, up to `most` bytes.
+///
+/// # Errors
+///
+/// The bytes are not what `pack` gives, or hold more than `most` bytes.
 pub fn unpack(packed: &[u8], most: usize) -> Result<bytes::Bytes, UnpackError> {
     let mut plain = Vec::new();
     let limit = most as u64 + 1;
--- a/crates/fleet-core/src/transport.rs
+++ b/crates/fleet-core/src/transport.rs
@@ -42,6 +42,10 @@
     }
 
     /// From now on, closing this end resets the connection: what has not got through by then never does.
+    ///
+    /// # Errors
+    ///
+    /// The operating system refused the option; the connection closes as usual then.
     fn reset_on_close(&self) -> std::io::Result<()> {
         Ok(())
     }
@@ -72,6 +76,10 @@
     ) -> BoxFuture<'_, Result<BoxedStream, TransportError>>;
 
     /// Takes connections at an address until the listener is dropped.
+    ///
+    /// # Errors
+    ///
+    /// The address can't be listened at: it is taken, or not this machine's.
     fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>>;
 }
 
@@ -124,6 +132,10 @@
 }
 
 /// Bounds how long a socket may hang behind a cut.
+///
+/// # Errors
+///
+/// The operating system refused an option; some may be set by then.
 pub fn set_socket_options(stream: &tokio::net::TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
@@ -137,6 +149,10 @@
 }
 
 /// Listens for TCP connections, at once again after a restart.
+///
+/// # Errors
+///
+/// The address can't be listened at: it is taken, or not this machine's.
 pub fn listen(at: SocketAddr) -> std::io::Result<tokio::net::TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -147,6 +163,10 @@
 }
 
 /// Connects over TCP from the machine's own address.
+///
+/// # Errors
+///
+/// No connection came up within the limit, or it was refused; nothing was sent.
 pub async fn connect(
     own: Ipv4Addr,
     to: SocketAddr,
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -37,6 +37,10 @@
 
 impl ConfigValue {
     /// The operator's bytes again, with the digest that they had.
+    ///
+    /// # Errors
+    ///
+    /// The packing is broken, or the bytes don't have the digest.
     pub fn body(&self) -> Result<bytes::Bytes, BodyError> {
         let body = crate::packing::unpack(&self.packed, crate::constants::CONFIG_BYTES)?;
         let digest = crate::digest::BodyDigest::of(&body);
--- a/crates/fleetctl/src/findings.rs
+++ b/crates/fleetctl/src/findings.rs
@@ -37,6 +37,10 @@
 }
 
 /// Invalid by itself: the controller's own check, and nothing else can be said then.
+///
+/// # Errors
+///
+/// What makes it invalid, with its place.
 pub fn read(body: &[u8]) -> Result<Configuration, Finding> {
     Configuration::read(body).map_err(|e| error(&e))
 }
--- a/crates/fleetctl/src/members.rs
+++ b/crates/fleetctl/src/members.rs
@@ -172,6 +172,10 @@
 }
 
 /// Asks these nodes, and then the voters that they name, each once.
+///
+/// # Errors
+///
+/// No node answered with a view; each is named with the reason.
 pub async fn query(nodes: &[SocketAddr], limit: Duration) -> Result<Members, QueryError> {
     let mut queried = query_each(nodes, limit).await;
     let voters = queried.iter().filter_map(|node| node.view.as_ref()).flat_map(|view| &view.voters);
--- a/crates/fleetctl/src/query.rs
+++ b/crates/fleetctl/src/query.rs
@@ -130,6 +130,10 @@
 }
 
 /// Asks the first node that answers, with up to `limit` for each call.
+///
+/// # Errors
+///
+/// No node answered in time, or the answer can't be read.
 pub async fn fetch(nodes: &[SocketAddr], limit: Duration) -> Result<AsItIs, QueryError> {
     let found = first_of(nodes, "/anisedyke/Fleet.Look", limit).await?;
     let fleet: Fleet = serde_json::from_slice(&found.response.body)
--- a/crates/fleetctl/src/rollout.rs
+++ b/crates/fleetctl/src/rollout.rs
@@ -129,6 +129,10 @@
 }
 
 /// The view of the node that carries the roll-out out; any other's where that one can't be reached.
+///
+/// # Errors
+///
+/// No node answered with a view; each is named with the reason.
 pub async fn query(nodes: &[SocketAddr], limit: Duration) -> Result<Rollout, QueryError> {
     let mut best: Option<Rollout> = None;
     let mut why = Vec::new();
