--- a/crates/fleet-core/src/lib.rs
+++ b/crates/fleet-core/src/lib.rs
@@ -2,7 +2,7 @@
 //! them, log events, constants. It depends on no other crate of the workspace.
 
 // A process that carries traffic does not panic for a value that is not there; tests may.
-#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
+#![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used))]
 
 pub mod change_log;
 pub mod configuration;
