--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -1,4 +1,7 @@
-//! What engines and the operator call: one handler object for each resource.
+//! The HTTP side of what engines and the operator call: one handler for each call, one file for each resource.
+//!
+//! Handlers translate and decide nothing; what is decided is in [`crate::service`]. Bodies are taken untyped, so that a 400
+//! names the place in the body.
 
 mod config;
 mod fleet;
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -1,12 +1,12 @@
 //! The roll-out: brings the engines of a model to its target weights, a few at a time.
 //!
-//! The target is a key of the control state (`weights/MODEL`). The rollout that holds
+//! The target is a key of the control state (`weights/MODEL`). The node that holds
 //! [`ROLLOUT_LEASE`] orders engines to load it; each order bears the lease's fencing token, so that an engine
 //! refuses one of a former holder. [`plan`] decides which engine is next, `order` carries one order out,
 //! [`status`] shows both to the operator.
 //!
 //! Routers are notified beforehand, with the engine's own state, that an engine is about to be updated: they send
-//! it no more long streams first, and then nothing at all. These two marks are counters that only rise
+//! it no more long streams first, and then nothing at all. These two states are counters that only rise
 //! ([`Engine::drain_seq`], [`Engine::update_seq`]) and are odd while they are set, so that late messages
 //! change nothing.
 
--- a/crates/control-plane/src/service/mod.rs
+++ b/crates/control-plane/src/service/mod.rs
@@ -1,5 +1,7 @@
 //! What engines and operators ask of a controller, decided apart from HTTP: the handlers in `api`
 //! translate, and tests and simulations call the same functions.
+//!
+//! Each function takes the areas that it works on. All but the views need contact with a majority first ([`require_contact`]).
 
 pub mod configuration;
 pub mod instances;
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -80,7 +80,7 @@
     failures: u32,
     /// place of the next link to be asked, among those that are up
     next_index: usize,
-    /// the last delta didn't fit: the next body is asked for whole
+    /// The last delta didn't fit: the next body is requested complete.
     full_next: bool,
 }
 
--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One engine, with what placement asks of it.
+/// One engine, with what the load balancer needs of it.
 pub struct Endpoint {
     /// The engine.
     pub engine: Arc<EngineHandle>,
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -1,4 +1,15 @@
-//! What a router sees of the fleet; it never goes back within an incarnation.
+//! What a router knows of the fleet: sent by controllers, and seen in its own requests.
+//!
+//! Within an incarnation of the process nothing goes back to an older state: versions, epochs and tokens only rise, and
+//! an update of an engine counts by its call number. So updates may come from several controllers, late and more than once.
+//!
+//! | file | what it is |
+//! |---|---|
+//! | [`links`] | links to controllers: heartbeats out, updates in |
+//! | [`config_fetch`], [`routing_table`] | fetches the configuration in force and compiles it |
+//! | [`endpoints`] | the engines of a service, as the load balancer weighs them |
+//! | [`load_reports`] | own requests in flight out, the sum of all routers in |
+//! | [`invalidations`] | the prompt index, kept valid by the ring of the index owner |
 
 pub mod config_fetch;
 pub mod endpoints;
@@ -17,12 +28,12 @@
 /// All engines that are known, by instance id; deregistered ones for a while.
 pub type EngineHandles = hashbrown::HashMap<String, Arc<EngineHandle>, ahash::RandomState>;
 
-/// Newest named weights of a model, and since when.
+/// Target weights of a model, and since when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetVersion {
-    /// The named version.
+    /// The target version.
     pub version: u64,
-    /// When it was named, or when the roll-out was last disturbed.
+    /// When it was set, or when the roll-out was last disturbed.
     pub since: Instant,
 }
 
@@ -35,7 +46,7 @@
     /// All engines that are known.
     pub engines: parking_lot::RwLock<EngineHandles>,
     target: parking_lot::RwLock<hashbrown::HashMap<String, TargetVersion, ahash::RandomState>>,
-    /// when a controller was lost last
+    /// When a controller was lost last.
     disturbed: parking_lot::Mutex<Option<Instant>>,
     membership: parking_lot::Mutex<Membership>,
     /// Where the ring of invalidations stands.
@@ -43,7 +54,7 @@
     /// Wakes the reader of the ring.
     pub ring_moved: tokio::sync::Notify,
     routers: AtomicUsize,
-    /// What holders keep.
+    /// What holders have cached.
     pub prefix_view: invalidations::PrefixView,
     endpoints: endpoints::Endpoints,
     links: parking_lot::Mutex<hashbrown::HashMap<std::net::Ipv4Addr, Arc<fleet_core::link::Link>>>,
@@ -83,7 +94,7 @@
         true
     }
 
-    /// The weights named for a model.
+    /// The target weights of a model.
     pub fn target(&self, model: &str) -> Option<TargetVersion> {
         let target = self.target.read().get(model).copied()?;
         let since = self.disturbed.lock().map_or(target.since, |at| at.max(target.since));
@@ -129,7 +140,7 @@
         }
     }
 
-    /// The engines of a service, as placement weighs them.
+    /// The engines of a service, as the load balancer weighs them.
     pub fn endpoints_of(&self, service: &str, zone: &str) -> Arc<endpoints::EndpointSet> {
         self.endpoints.of(service, zone, &self.engines, self.prefix_view.current_index())
     }
@@ -158,7 +169,7 @@
         self.announced_config.subscribe()
     }
 
-    /// The links to controllers that are up, in the order of their addresses; those that were
+    /// The links to controllers that are up, in the order of their addresses; those
     /// that answered lately, unless there is none.
     pub fn links_up(&self) -> Vec<Arc<fleet_core::link::Link>> {
         let links = self.links.lock();
--- a/crates/data-plane/src/fleet_view/routing_table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -1,4 +1,4 @@
-//! A configuration as requests ask for it.
+//! A configuration compiled for look-ups by request.
 
 use fleet_core::configuration::{ConfigError, Configuration, Kind, Limits, Route, Service};
 use std::sync::Arc;
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,4 +1,15 @@
-//! The data plane: what the router program is made of.
+//! The data plane: the library that the `router` program runs.
+//!
+//! A router takes requests of clients, chooses an engine for each, relays the response, and retries where that is
+//! allowed. It decides by what controllers sent it and what its own requests showed; it asks nobody on the way of a request.
+//!
+//! Read the modules in this order:
+//!
+//! 1. [`proxy`]: the way of a request, from the client's connection to the last byte of the response
+//! 2. [`load_balancer`]: which engine a request goes to
+//! 3. [`pool`]: connections to engines, and what is known of each engine
+//! 4. [`retry_budget`]: how many requests may go to a second engine
+//! 5. [`fleet_view`]: what controllers send, and the configuration in force
 
 // A process that carries traffic does not panic for a value that is not there; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
@@ -11,6 +22,7 @@
 
 use fleet_core::constants;
 use fleet_core::log::Event;
+use fleet_core::random::RandomSource;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 
@@ -30,40 +42,41 @@
     pub requests: AtomicU64,
     /// Answers of engines that have begun.
     pub responses: AtomicU64,
-    /// Requests turned away unsent.
+    /// Requests rejected unsent.
     pub rejected: AtomicU64,
     /// Requests that were sent and got no answer of an engine.
     pub failed: AtomicU64,
     /// Streams that went on at another engine.
     pub resumed: AtomicU64,
-    /// Second sends.
+    /// Retries.
     pub retries: AtomicU64,
     /// New connections to engines.
     pub connections: AtomicU64,
-    /// Sends on a rested connection that was reset: the engine had perhaps forgotten it.
+    /// Sends on an idle connection that was reset: the engine had perhaps closed it already.
     pub idle_resets: AtomicU64,
-    /// Tokens of prompts that the chosen engine was known to keep.
+    /// Tokens of prompts that the chosen engine was known to have cached.
     pub cached_tokens: AtomicU64,
-    /// Tokens of prompts that it was not known to keep.
+    /// Tokens of prompts that it was not known to have cached.
     pub missing_tokens: AtomicU64,
-    /// Sends with a source that is known to keep what is missing.
+    /// Sends with a source that is known to have cached what is missing.
     pub transfers: AtomicU64,
     /// Sends with a source that is only guessed.
     pub guesses: AtomicU64,
     /// Sends with a sink.
     pub sinks: AtomicU64,
-    /// Sends whose prompt a store is known to keep some of.
+    /// Sends whose prompt a store is known to have some of.
     pub stored: AtomicU64,
     /// Tokens of shared parts that were missing and had no known source.
     pub shared_missing: AtomicU64,
-    /// Answers to requests that are heavy to read.
+    /// Responses to requests that need much prefill.
     pub prefill_heavy_answers: AtomicU64,
     /// Their waits for a first event, added up, in microseconds.
     pub prefill_heavy_wait_us: AtomicU64,
 }
 
-/// All state of a router. Lock order: table, engines, one engine's work, inbox, index; never two
-/// engines.
+/// All state of a router.
+///
+/// Lock order: routing table, engines, one engine's work, inbox of invalidations, prompt index; never two engines.
 pub struct Router {
     /// Who this process is.
     pub node: fleet_core::node::Node,
@@ -72,7 +85,7 @@
     settings: parking_lot::RwLock<Arc<fleet_core::settings::Settings>>,
     /// What is known of the fleet.
     pub fleet_view: fleet_view::FleetView,
-    /// Budgets of second sends.
+    /// Budgets of retries, by service.
     pub budgets: retry_budget::Budgets,
     /// How long engines keep idle connections.
     pub idle_timeouts: pool::idle_timeout::IdleTimeouts,
@@ -80,13 +93,13 @@
     pub counters: Counters,
     /// When it was assembled.
     pub started: tokio::time::Instant,
-    /// what was said of readiness last
+    /// The readiness that was logged last.
     ready: AtomicBool,
     shutting_down: AtomicBool,
     /// Open connections of clients.
     pub open: AtomicUsize,
     closing: tokio::sync::watch::Sender<bool>,
-    random: AtomicU64,
+    random: RandomSource,
 }
 
 impl Router {
@@ -94,7 +107,7 @@
     pub fn assemble(settings: fleet_core::settings::Settings, log: slog::Logger) -> Arc<Router> {
         let node = fleet_core::node::Node::start(&settings, fleet_core::node::Role::Router);
         Arc::new(Router {
-            random: AtomicU64::new(node.incarnation),
+            random: RandomSource::seeded(node.incarnation),
             fleet_view: fleet_view::FleetView::new(),
             budgets: retry_budget::Budgets::default(),
             idle_timeouts: pool::idle_timeout::IdleTimeouts::default(),
@@ -117,11 +130,10 @@
 
     /// A random number; not for secrets.
     pub fn random(&self) -> u64 {
-        let state = self.random.fetch_add(0x9e37_79b9_7f4a_7c15, Ordering::Relaxed);
-        fleet_core::node::stable_hash(&[&state.to_le_bytes()])
+        self.random.next()
     }
 
-    /// Whether clients may come: a configuration is in force, and the router is not leaving.
+    /// Whether clients may come: a configuration is in force, and the router is not shutting down.
     pub fn is_ready(&self) -> bool {
         let now = !self.shutting_down.load(Ordering::Relaxed)
             && self.fleet_view.routing_table().is_some();
--- a/crates/data-plane/src/load_balancer/kv_transfer.rs
+++ b/crates/data-plane/src/load_balancer/kv_transfer.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// A holder that keeps more of the prompt than some engines do.
+/// A holder that has more of the prompt cached than some engines do.
 pub struct Source {
     /// where engines reach it
     pub address: String,
@@ -39,7 +39,7 @@
 }
 
 impl Source {
-    /// What it offers an engine that keeps so much of the prompt itself.
+    /// What it offers an engine that has so much of the prompt cached itself.
     pub fn for_endpoint(
         &self,
         request: &RequestProfile,
@@ -56,7 +56,7 @@
 #[derive(Default)]
 pub struct Sources {
     found: SmallVec<[Source; 8]>,
-    /// tokens that the store where the prompt belongs keeps of it
+    /// tokens of it that the store where the prompt belongs has
     stored: u64,
 }
 
@@ -140,7 +140,7 @@
             })
     }
 
-    /// A store keeps some of it.
+    /// A store has some of it.
     pub fn is_stored(&self) -> bool {
         self.found.iter().any(|s| s.engine.is_none())
     }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -1,4 +1,8 @@
-//! Where a request goes: the engine that costs it and the others least.
+//! The choice of an engine for a request: the one that costs it and the others least, in milliseconds.
+//!
+//! [`candidates`] drops engines that may not or should not get it, [`prefix_cache`] and [`kv_transfer`] say what each has
+//! cached or could receive, [`cost`] adds it up (docs/load-balancing.md). It reads the fleet view and the engines' handles,
+//! changes nothing, and never waits. Safety doesn't depend on it: a stale view costs time, never a rule.
 
 pub mod candidates;
 pub mod cost;
@@ -29,7 +33,7 @@
     pub engine: Arc<EngineHandle>,
     /// the weights that it may run under
     pub version: Option<u64>,
-    /// the text under which its parts are kept
+    /// The salt under which its blocks are cached.
     pub salt: Option<String>,
     /// tokens that the engine is expected to read
     pub prefill_tokens: u64,
@@ -187,7 +191,7 @@
         }
     }
 
-    /// Who is asked for what is missing: the best source, another holder, or the part's home.
+    /// Where to fetch what is missing from: the best source, another holder, or the affinity target.
     fn choose_source(&self, best: &Best) -> Option<(String, Option<Arc<EngineHandle>>)> {
         if let Some(source) = best.source {
             return Some((source.address.clone(), source.engine.clone()));
--- a/crates/data-plane/src/load_balancer/prefix_cache.rs
+++ b/crates/data-plane/src/load_balancer/prefix_cache.rs
@@ -11,12 +11,12 @@
 pub struct PrefixCache {
     /// the version
     pub version: u64,
-    /// the text under which its parts are kept
+    /// The salt under which its blocks are cached.
     pub salt: String,
-    /// who else keeps some of it
+    /// Who else has some of it.
     pub sources: Sources,
     chain: Chain,
-    /// blocks kept, by row
+    /// Cached blocks, by endpoint.
     depths: Vec<u16>,
 }
 
--- a/crates/data-plane/src/load_balancer/prompt.rs
+++ b/crates/data-plane/src/load_balancer/prompt.rs
@@ -66,7 +66,7 @@
         self.parts[..n].iter().map(|p| p.tokens).sum()
     }
 
-    /// More to read than to write: kept apart from the long streams, whose pace reading slows.
+    /// More prefill than decode: kept apart from the long streams, which prefill slows.
     pub fn is_prefill_heavy(&self) -> bool {
         self.read.max(self.tokens()) > self.put_out * fleet_core::constants::PREFILL_HEAVY_RATIO
     }
--- a/crates/data-plane/src/load_balancer/request_profile.rs
+++ b/crates/data-plane/src/load_balancer/request_profile.rs
@@ -1,4 +1,4 @@
-//! What a request asks of engines, stores and moves: what placement weighs and sources answer.
+//! What a request needs of engines, stores and KV transfers: the load balancer's view of it.
 
 use super::prompt::Prompt;
 use crate::fleet_view::endpoints::EndpointSet;
@@ -87,7 +87,7 @@
 /// What a source offers one engine.
 #[derive(Clone, Copy)]
 pub struct Offer {
-    /// tokens of the prompt beyond what the engine keeps
+    /// Tokens of the prompt beyond what the engine has cached.
     pub tokens: u64,
     /// how long the move takes
     pub ms: f64,
@@ -102,11 +102,11 @@
 
 /// What one placement goes by: a request, the engines of its service, and what the index knows.
 pub struct SelectionContext<'a> {
-    /// what the request asks
+    /// What the request needs.
     pub request: RequestProfile<'a>,
     /// the engines of the service
     pub endpoint_set: &'a EndpointSet,
-    /// who keeps which parts
+    /// Who has which blocks.
     pub index: &'a Index,
     /// one time for all that is weighed
     pub now: Instant,
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Since when a connection rests; none while it is used, and once we close it ourselves.
+/// Since when a connection is idle; none while it is used, and once we close it ourselves.
 #[derive(Default)]
 struct Resting(parking_lot::Mutex<Option<Instant>>);
 
@@ -78,7 +78,7 @@
 /// A connection for one request.
 pub struct PooledConnection {
     wire: Wire,
-    /// how long it rested before; none for a new one
+    /// how long it was idle before; none for a new one
     idle_time: Option<Duration>,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl Idle {
-    /// Neither closed by the engine nor rested for as long as it was to be kept.
+    /// Neither closed by the engine nor idle for as long as it was to be kept.
     pub fn is_open(&self, now: Instant) -> bool {
         now < self.until && !self.wire.sender.is_closed()
     }
@@ -99,7 +99,7 @@
         self.wire.sender.is_ready()
     }
 
-    /// How long it has rested.
+    /// How long it has been idle.
     pub fn idle_time(&self, now: Instant) -> Duration {
         now.duration_since(self.since)
     }
@@ -223,7 +223,7 @@
         }
     }
 
-    /// A break after a rest is laid to the rest; all that rested longer is then dropped too.
+    /// A break after an idle time is blamed on that time; all that were idle for longer are then dropped too.
     fn uncertain_end(self) -> SendError {
         let Some(idle_time) =
             self.idle_time.filter(|idle_time| *idle_time >= constants::IDLE_TIMEOUT_MIN)
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -230,7 +230,7 @@
         w.suspected = Some(w.suspected.map_or(ejection_time, |known| known.min(ejection_time)));
     }
 
-    /// The connection that was used last, unless it has rested for too long.
+    /// The connection that was used last, unless it has been idle for too long.
     pub(super) fn checkout_idle(&self, now: Instant, longest: Duration) -> Option<Idle> {
         let mut w = self.work();
         w.idle.retain(|i| i.is_open(now));
--- a/crates/data-plane/src/pool/idle_timeout.rs
+++ b/crates/data-plane/src/pool/idle_timeout.rs
@@ -1,9 +1,9 @@
 //! How long engines of a service keep an idle connection, learnt from what became of such ones.
 //!
 //! An engine may forget an idle connection early and silently: whatever goes out next is reset, and
-//! may have run. A request that may run only once therefore takes a connection that rested for less
+//! may have run. A request that may run only once therefore takes a connection that was idle for less
 //! than the service was seen to forget, or a new one. Requests that may be repeated take longer
-//! rested ones too, and so find out how long these live.
+//! idle ones too, and so find out how long these live.
 
 use fleet_core::constants;
 use hashbrown::HashMap;
@@ -30,7 +30,7 @@
 }
 
 impl IdleTimeout {
-    /// How long a connection may have rested for a request that may run only once.
+    /// How long a connection may have been idle for a request that may run only once.
     pub fn safe_idle_time(&self, now: Instant) -> Duration {
         self.estimate.lock().safe_idle_time(now)
     }
--- a/crates/data-plane/src/pool/mod.rs
+++ b/crates/data-plane/src/pool/mod.rs
@@ -1,4 +1,8 @@
-//! Engines as a router uses them: their load, their rests, and the connections to them.
+//! Engines as a router uses them: load, ejection, and the connections to them.
+//!
+//! An [`EngineHandle`] lives as long as its engine is known; each owns its work and its idle connections under one lock,
+//! and no two are ever locked at once. A connection is checked out for one request ([`connection`]), and goes back once the
+//! response has ended where its end could be proven. [`idle_timeout`] learns how long engines keep idle connections.
 
 pub mod connection;
 pub mod engine;
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -40,7 +40,7 @@
     DeadlineExceeded(Dispatched),
 }
 
-/// Finds an engine and a connection to it; none before the deadline gives the request back.
+/// Finds an engine and a connection to it.
 ///
 /// # Errors
 ///
--- a/crates/data-plane/src/proxy/headers.rs
+++ b/crates/data-plane/src/proxy/headers.rs
@@ -23,7 +23,7 @@
 pub const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
 /// The version of the weights that the request may run under.
 pub const EXPECTED_VERSION: HeaderName = HeaderName::from_static("x-expected-version");
-/// The text under which parts of the prompt are kept.
+/// The salt under which blocks of the prompt are cached.
 pub const CACHE_SALT: HeaderName = HeaderName::from_static("x-cache-salt");
 /// How soon the engine admits the request.
 pub const URGENCY: HeaderName = HeaderName::from_static("x-urgency");
--- a/crates/data-plane/src/proxy/mod.rs
+++ b/crates/data-plane/src/proxy/mod.rs
@@ -1,4 +1,15 @@
-//! Clients: their connections, their requests, the answers.
+//! The way of a request, from the client's connection to the last byte of the response.
+//!
+//! | file | step |
+//! |---|---|
+//! | [`request`] | reads and checks it; then one engine after another, as far as retries are allowed |
+//! | [`dispatch`] | finds an engine with a connection and sends the request there |
+//! | [`response_check`] | what the head of the response proves |
+//! | [`relay`] | passes the body on, and resumes a broken stream |
+//! | [`answer`] | responses of the router itself |
+//!
+//! [`stage`] has a type for each step (accepted, dispatched, responding): a rejection that promises that the request has not
+//! run can only be made from a proof that it hasn't.
 
 pub mod answer;
 pub mod dispatch;
--- a/crates/data-plane/src/proxy/passive_health.rs
+++ b/crates/data-plane/src/proxy/passive_health.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Counts an answer that has begun, and what its engine now keeps of the prompt.
+/// Counts a response that has begun, and what its engine now has cached of the prompt.
 pub fn count_answer(
     router: &Router,
     request: &ClientRequest,
--- a/crates/data-plane/src/proxy/response_check.rs
+++ b/crates/data-plane/src/proxy/response_check.rs
@@ -1,5 +1,5 @@
 //! What the head of an engine's answer proves: whose answer it is, whether the request has run, and
-//! whether its end can be told. Only this module makes the proofs that `stage` asks for.
+//! whether its end can be proven. Only this module makes the proofs that `stage` asks for.
 
 use super::headers;
 use crate::fleet_view::routing_table::Repeat;
--- a/crates/data-plane/src/proxy/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -48,7 +48,7 @@
     pub headers: HeaderMap,
     /// as the client sent it
     pub body: Bytes,
-    /// engines that are not to be asked again
+    /// Engines that are not to be tried again.
     pub attempted: Vec<String>,
     /// sends to engines so far
     pub sends: u32,
@@ -150,7 +150,7 @@
         &self.request
     }
 
-    /// Back, since not a byte of it went out: no send, and the engine may be asked again.
+    /// Back, since not a byte of it went out: no attempt, and the engine may be tried again.
     pub fn not_sent(mut self, _proof: NotSent) -> Accepted {
         self.request.sends -= 1;
         self.request.attempted.pop();
@@ -162,7 +162,7 @@
         Accepted { request: self.request, may_have_run: self.may_have_run }
     }
 
-    /// Its connection had been forgotten: the engine is well, and may be asked again on another.
+    /// The engine had closed the idle connection: it is healthy, and may be tried again on another.
     pub fn idle_reset(mut self) -> Dispatched {
         self.request.attempted.pop();
         self
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of second sends, held in common by all routers: each uses its own share.
+//! The retry budget, common to all routers: each uses its own share.
 
 use fleet_core::constants;
 use std::collections::VecDeque;
@@ -53,7 +53,7 @@
         self.arrivals.push_back(now);
     }
 
-    /// Charges one second send; false, and nothing is charged, if there is no room for it.
+    /// Charges one retry; false, and nothing is charged, if the budget is used up.
     pub fn spend(&mut self, now: Instant, policy: &BudgetPolicy) -> bool {
         self.age(now, policy.window);
         let earned = self.arrivals.len() as f64 * policy.ratio * constants::BUDGET_SHARE;
@@ -91,7 +91,7 @@
         budgets.entry_ref(service).or_default().arrived(Instant::now(), &policy);
     }
 
-    /// Charges one second send to the budget of this service; false if there is no room for it.
+    /// Charges one retry to the budget of this service; false if it is used up.
     pub fn spend(&self, service: &str) -> bool {
         let policy = self.policy();
         let mut budgets = self.budgets.table.lock();
--- a/crates/fleet-core/src/wire/mod.rs
+++ b/crates/fleet-core/src/wire/mod.rs
@@ -1,4 +1,8 @@
-//! What the system's own processes say to each other.
+//! Messages between the system's own processes, and the values that voters store.
+//!
+//! A [`Frame`] carries one [`Body`]. Tags and forms never change: members of several versions run side by side, and disks
+//! keep what older ones wrote (`tests/wire_format.rs`). A process ignores what it doesn't know, so that a new field or
+//! message has to be safe to miss.
 
 mod answers;
 mod changes;
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -307,12 +307,11 @@
 #[test]
 fn every_message_is_written_as_the_earlier_release_wrote_it() {
     let fixtures = fixtures();
-    for (name, body) in bodies() {
-        let bytes = frame(body).encode_to_vec();
-        assert_eq!(hex(&bytes), hex(&fixtures[name]), "{name}");
-    }
-    for (name, bytes) in values() {
-        assert_eq!(hex(&bytes), hex(&fixtures[name]), "{name}");
+    let frames = bodies().into_iter().map(|(name, body)| (name, frame(body).encode_to_vec()));
+    for (name, bytes) in frames.chain(values()) {
+        let written = hex(&bytes);
+        let Some(fixture) = fixtures.get(name) else { panic!("no fixture, add: {name} {written}") };
+        assert_eq!(written, hex(fixture), "{name}");
     }
 }
 
--- a/crates/prompt-index/src/lib.rs
+++ b/crates/prompt-index/src/lib.rs
@@ -1,4 +1,9 @@
-//! The prompt index: which holders keep which blocks of a prompt, and how deep (docs/prompt-index.md).
+//! The prompt index: which holders have cached which blocks of a prompt, and how deep (docs/prompt-index.md).
+//!
+//! An [`Index`] has cells of 256 holders each ([`cell`]). A prompt is a [`Chain`] of blocks; each chain has a bitmap of the
+//! holders that have all of it, and a query finds each holder's depth by binary search ([`query`]). Holders are excluded at
+//! once when they go ([`alive`]) and scrubbed from the shards later. It has no I/O and no clock; locks are of one shard at a
+//! time.
 
 // A process that carries traffic does not panic for a value that is not there; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Several real controllers run in one process on a current-thread runtime with paused time, over a
 //! simulated network and simulated disks. Faults are drawn from a seed; stand-ins of operators,
-//! engines and routers record what they asked and were told; a checker judges that history.
+//! engines and routers (`*_workload`) record their calls and the answers in a [`history`]; a [`checker`] judges it.
 
 pub mod checker;
 mod config_body;
