--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -68,8 +68,10 @@
         if !can_decide(consensus) {
             return forward_to_any(consensus, change, forwarded_to, hops).await;
         }
-        let proposed =
-            consensus.propose_and_commit(&key, |now| state_machine::decide(change, now)).await;
+        // Boxed: its state is large, and every message's task would have room for it, changes or not.
+        let proposing =
+            Box::pin(consensus.propose_and_commit(&key, |now| state_machine::decide(change, now)));
+        let proposed = proposing.await;
         match proposed {
             Ok(changed) => return changed,
             Err(ProposalError::NoOwnVote) => {
