--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -12,7 +12,7 @@
     /// Version of the newest configuration that this controller knows to be chosen; 0 before the first.
     revision: u64,
     /// Routers that are linked to controllers.
-    routers: u64,
+    routers: u32,
 }
 
 #[derive(Serialize)]
@@ -39,7 +39,7 @@
         FleetView {
             engines: state.engines.values().map(EngineView::of).collect(),
             revision: state.config_version(),
-            routers: u64::from(state.routers),
+            routers: state.routers,
         }
     }
 }
--- a/crates/control-plane/src/consensus/acceptor/membership.rs
+++ b/crates/control-plane/src/consensus/acceptor/membership.rs
@@ -17,7 +17,7 @@
     }
 
     fn is_own(&self, member: &Member) -> bool {
-        member.addr().is_some_and(|address| u64::from(u32::from(address)) == self.own)
+        member.id() == Some(self.own)
     }
 
     /// A lease counts only with grants of one membership, like a vote.
--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -12,6 +12,7 @@
 use crate::storage::format::{Record, State};
 use bytes::Bytes;
 use fleet_core::constants;
+use fleet_core::node::id_of;
 use fleet_core::wire::{Accept, Ballot, BallotReport, Membership, Prepare, Register, Vote};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -54,7 +55,7 @@
             membership: Membership::default(),
             voting: state.voting,
             recovery_epoch: 0,
-            own: u64::from(u32::from(own)),
+            own: id_of(own),
         };
         for register in state.registers {
             acceptor.load(register);
@@ -137,8 +138,10 @@
     /// Phase 2: accepts a value under a ballot that is not below the one promised.
     pub fn accept(&mut self, request: &Accept) -> Step<Vote> {
         let key = &request.key;
-        let accepted = self.registers.get(key).map(|r| r.accepted).unwrap_or_default();
-        let is_outdated = request.ballot.epoch() < self.promised(key).epoch();
+        let held = self.registers.get(key);
+        let promised = held.map(|register| register.promised).unwrap_or_default();
+        let accepted = held.map(|register| register.accepted).unwrap_or_default();
+        let is_outdated = request.ballot.epoch() < promised.epoch();
         let is_repeated = request.ballot <= accepted;
         let lacks_value = request.same_as.is_some_and(|same| same != accepted);
         let may_vote = self.may_vote(request.membership, request.recovery_epoch);
@@ -147,7 +150,7 @@
             return self.reject(key);
         }
         let value = match request.same_as {
-            Some(_) => self.registers.get(key).map(|r| r.value.clone()).unwrap_or_default(),
+            Some(_) => held.map(|register| register.value.clone()).unwrap_or_default(),
             None => request.value.clone(),
         };
         let register = Register {
--- a/crates/control-plane/src/consensus/acceptor/recovery.rs
+++ b/crates/control-plane/src/consensus/acceptor/recovery.rs
@@ -31,10 +31,12 @@
     ///
     /// Nothing that was held before counts: an accepted value that was never chosen may have the higher ballot.
     pub fn recover(&mut self, recovery_epoch: u64, reports: &[BallotReport]) -> Option<Record> {
-        let quorum = self.membership.members.len() / 2 + 1;
-        let counts = |report: &&BallotReport| self.counts(report, recovery_epoch);
+        let epoch = self.membership.epoch;
+        let counts = |report: &&BallotReport| {
+            report.votes_in(epoch) && report.recovery_epoch >= recovery_epoch
+        };
         let counted: Vec<&BallotReport> = reports.iter().filter(counts).collect();
-        if self.voting || !self.is_member() || counted.len() < quorum {
+        if self.voting || !self.is_member() || counted.len() < self.membership.majority() {
             return None;
         }
         let latest = reports.iter().map(|report| report.recovery_epoch).max().unwrap_or(0);
@@ -50,14 +52,6 @@
         Some(Record { reset: true, ..self.record(all) })
     }
 
-    /// Whether a report is of a voter of the membership in force, in the recovery epoch or a later one.
-    fn counts(&self, report: &BallotReport, recovery_epoch: u64) -> bool {
-        let epoch = report.membership.as_ref().map(|membership| membership.epoch);
-        report.votes
-            && report.recovery_epoch >= recovery_epoch
-            && epoch == Some(self.membership.epoch)
-    }
-
     /// Keeps the highest promise and the highest accepted value of a key.
     fn merge(&mut self, other: &Register) {
         let own =
--- a/crates/control-plane/src/consensus/campaign.rs
+++ b/crates/control-plane/src/consensus/campaign.rs
@@ -4,12 +4,10 @@
 
 use super::Consensus;
 use super::proposer::{ProposalError, Proposer, Scope};
-use super::voter_calls::majority;
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{Body, PreVoteRequest, PreVoteResponse};
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::time::Instant;
 
 impl Consensus {
@@ -43,7 +41,7 @@
                 Ok(proposer) => return Ok(proposer),
                 Err(error) => error,
             };
-            let wait = Duration::from_millis(1 + self.process.random_below(backoff_ms));
+            let wait = self.process.random_backoff(backoff_ms);
             let is_final = matches!(error, ProposalError::NoOwnVote | ProposalError::Preempted(_));
             if is_final || Instant::now() + wait >= deadline {
                 return Err(error);
@@ -96,17 +94,14 @@
     async fn owner_timed_out(self: &Arc<Self>, key: &str) -> bool {
         let membership = self.membership();
         let request = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
-        let quorum = majority(&membership);
-        let timeout = constants::PHASE_TIMEOUT;
-        let body = Body::PreVoteRequest(request.clone());
-        let mut answers = self.call_members(&membership.members, timeout, |_| body.clone());
-        let mut willing = usize::from(self.pre_vote(&request).ok);
-        while willing < quorum {
-            let Some((_, answer)) = answers.recv().await else { return false };
-            let Some(Body::PreVoteResponse(answer)) = answer else { continue };
+        let own_answer = self.pre_vote(&request).ok;
+        let is_willing = |answer| {
+            let Body::PreVoteResponse(answer) = answer else { return false };
             self.key_owners.observe_ballot(key, answer.promised);
-            willing += usize::from(answer.ok);
-        }
-        true
+            answer.ok
+        };
+        let timeout = constants::PHASE_TIMEOUT;
+        let body = Body::PreVoteRequest(request);
+        self.majority_agrees(&membership, timeout, body, own_answer, is_willing).await
     }
 }
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -7,7 +7,6 @@
 use fleet_core::constants;
 use fleet_core::wire::{Body, ChangeKind, ChangeRequest, ChangeResponse, Outcome};
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::time::Instant;
 
 fn value_bytes(change: &ChangeKind) -> usize {
@@ -80,9 +79,7 @@
             Err(ProposalError::Preempted(_) | ProposalError::OwnerActive) => forwarded_to = None,
             Err(ProposalError::NoQuorum) => return state_machine::unknown(),
         }
-        let wait = Duration::from_millis(
-            1 + consensus.process.random_below(constants::ELECTION_BACKOFF_MS),
-        );
+        let wait = consensus.process.random_backoff(constants::ELECTION_BACKOFF_MS);
         if Instant::now() + wait >= until {
             return state_machine::unknown();
         }
@@ -104,9 +101,8 @@
     if hops >= constants::CHANGE_HOPS {
         return state_machine::unknown();
     }
-    let members = consensus.acceptor.lock().membership().members.clone();
-    for member in &members {
-        let Some(id) = member.addr().map(|a| u64::from(u32::from(a))) else { continue };
+    for member in &consensus.membership().members {
+        let Some(id) = member.id() else { continue };
         if id == consensus.process.node.id() || forwarded_to == Some(id) {
             continue;
         }
@@ -124,8 +120,7 @@
     to: u64,
     hops: u32,
 ) -> Option<ChangeResponse> {
-    let members = consensus.acceptor.lock().membership().members.clone();
-    let links = consensus.links_to(&members);
+    let links = consensus.links_to_voters();
     let MemberLink { link, .. } = links.into_iter().find(|link| link.member == to)?;
     let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
     match link.call(body, constants::owner_timeout(value_bytes(change))).await {
--- a/crates/control-plane/src/consensus/quorum_contact.rs
+++ b/crates/control-plane/src/consensus/quorum_contact.rs
@@ -3,6 +3,7 @@
 use super::Consensus;
 use fleet_core::constants;
 use fleet_core::log::Event;
+use fleet_core::wire::Member;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -50,8 +51,7 @@
     fn contact_until(&self) -> Option<Instant> {
         let voters: Vec<u64> = {
             let acceptor = self.acceptor.lock();
-            let members = &acceptor.membership().members;
-            members.iter().filter_map(|m| m.addr()).map(|a| u64::from(u32::from(a))).collect()
+            acceptor.membership().members.iter().filter_map(Member::id).collect()
         };
         let mut contact = self.contact.lock();
         contact.retain(&voters);
--- a/crates/control-plane/src/consensus/quorum_status.rs
+++ b/crates/control-plane/src/consensus/quorum_status.rs
@@ -36,8 +36,7 @@
 
     /// Counts an answer; false if it doesn't count: its sender has no vote, or has another membership.
     pub fn add(&mut self, voter: u64, answer: &BallotReport) -> bool {
-        let epoch = answer.membership.as_ref().map_or(0, |m| m.epoch);
-        if !answer.votes || epoch != self.membership {
+        if !answer.votes_in(self.membership) {
             return false;
         }
         for register in &answer.registers {
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -12,7 +12,6 @@
     Ballot, BallotReport, Body, ChangeKind, Outcome, ReadBallots, RegisterRequest,
 };
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::time::Instant;
 
 impl Consensus {
@@ -65,8 +64,7 @@
             if let Some(found) = self.read_once(key).await {
                 return Some(found);
             }
-            let backoff = 1 + self.process.random_below(backoff_ms);
-            tokio::time::sleep(Duration::from_millis(backoff)).await;
+            tokio::time::sleep(self.process.random_backoff(backoff_ms)).await;
             backoff_ms *= 2;
         }
         let confirmed = forward::submit(self, ChangeKind::Confirm(key.to_owned())).await;
--- a/crates/control-plane/src/consensus/resignation.rs
+++ b/crates/control-plane/src/consensus/resignation.rs
@@ -4,6 +4,7 @@
 use super::Consensus;
 use crate::membership::peer_links::MemberLink;
 use fleet_core::constants;
+use fleet_core::node::id_of;
 use fleet_core::wire::{Ballot, Body, Empty};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -31,18 +32,16 @@
 pub async fn release_keys(consensus: &Arc<Consensus>) {
     consensus.key_owners.release_keys().await;
     record_resignation(consensus, consensus.process.node.ip);
-    let members = consensus.acceptor.lock().membership().members.clone();
-    let calls =
-        consensus.links_to(&members).into_iter().map(|MemberLink { link, .. }| async move {
-            // one that can't be reached waits for the election time-out
-            let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
-        });
+    let calls = consensus.links_to_voters().into_iter().map(|MemberLink { link, .. }| async move {
+        // one that can't be reached waits for the election time-out
+        let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
+    });
     futures_util::future::join_all(calls).await;
 }
 
 /// The consensus at this address owns nothing any more: its keys may be taken over at once.
 pub fn record_resignation(consensus: &Consensus, from: Ipv4Addr) {
-    let owner = u64::from(u32::from(from));
+    let owner = id_of(from);
     let acceptor = consensus.acceptor.lock();
     for register in acceptor.registers().filter(|register| register.promised.node == owner) {
         consensus.key_owners.owner_resigned(&register.key, register.promised);
--- a/crates/control-plane/src/consensus/voter_calls.rs
+++ b/crates/control-plane/src/consensus/voter_calls.rs
@@ -10,11 +10,6 @@
 /// A member, and its answer; none where the call failed.
 pub(crate) type MemberAnswer = (u64, Option<Body>);
 
-/// Of how many members a majority consists.
-pub(crate) fn majority(membership: &Membership) -> usize {
-    membership.members.len() / 2 + 1
-}
-
 impl Consensus {
     /// Calls these members but this node; their answers come in as they are given.
     ///
@@ -50,7 +45,7 @@
         own_answer: bool,
         agrees: impl Fn(Body) -> bool,
     ) -> bool {
-        let quorum = majority(membership);
+        let quorum = membership.majority();
         let mut agreed = usize::from(own_answer);
         let mut answers = self.call_members(&membership.members, timeout, |_| request.clone());
         while agreed < quorum {
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Process;
 use fleet_core::link::Link;
-use fleet_core::node::Role;
+use fleet_core::node::{Role, id_of};
 use fleet_core::transport::Transport;
 use fleet_core::wire::{Handshake, Member, Membership};
 use hashbrown::{HashMap, HashSet};
@@ -113,7 +113,7 @@
         let links = self.links.lock();
         let link = |member: &Member| {
             let ip = member.addr()?;
-            Some(MemberLink { member: u64::from(u32::from(ip)), link: links.get(&ip)?.clone() })
+            Some(MemberLink { member: id_of(ip), link: links.get(&ip)?.clone() })
         };
         members.iter().filter_map(link).collect()
     }
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -7,7 +7,8 @@
 use crate::consensus::state_machine;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::wire::{BallotReport, Body, JoinRequest, Member, Membership, ReadBallots};
+use fleet_core::node::id_of;
+use fleet_core::wire::{Body, JoinRequest, Member, Membership, ReadBallots};
 use prost::Message;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -94,7 +95,7 @@
     fn record(&mut self, membership: &Membership, voters: &[u64]) {
         self.last_voted.retain(|ip, _| membership.members.iter().any(|m| m.ip == *ip));
         for member in &membership.members {
-            let votes = member_id(member).is_some_and(|id| voters.contains(&id));
+            let votes = member.id().is_some_and(|id| voters.contains(&id));
             let status = self.last_voted.entry(member.ip.clone()).or_insert_with(Instant::now);
             if votes {
                 *status = Instant::now();
@@ -107,10 +108,6 @@
     }
 }
 
-fn member_id(member: &Member) -> Option<u64> {
-    member.addr().map(|ip| u64::from(u32::from(ip)))
-}
-
 /// Moves the membership on when it should. Any member that votes may do it; ballots decide between
 /// several, and each waits longer the more voters of lower addresses there are.
 pub async fn run_replacement(manager: Arc<MembershipManager>) {
@@ -153,15 +150,15 @@
         |ip| unreachable_for(ip).is_some_and(|ago| ago < constants::MEMBER_TIMEOUT_SAME_ZONE);
     let addresses = membership.members.iter().filter_map(Member::addr);
     let was_reachable = addresses.filter(|ip| *ip == manager.process.node.ip || recent(*ip));
-    was_reachable.map(|ip| u64::from(u32::from(ip))).collect()
+    was_reachable.map(id_of).collect()
 }
 
 /// Members that vote now under this membership, this one too.
 async fn voters(manager: &Arc<MembershipManager>, membership: u64) -> Vec<u64> {
     let request = Body::ReadBallots(ReadBallots { membership, values: false });
     let answers = recovery::query_all(manager, request).await;
-    let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
-    let others = answers.iter().filter(|(_, p)| p.votes && in_force(p)).map(|(id, _)| *id);
+    let others =
+        answers.iter().filter(|(_, report)| report.votes_in(membership)).map(|(id, _)| *id);
     others.chain(manager.consensus.votes().then(|| manager.process.node.id())).collect()
 }
 
@@ -202,7 +199,7 @@
     vote_monitor: &VoteMonitor,
 ) -> MemberStatus {
     let mut member = member.clone();
-    let own = member_id(&member) == Some(manager.process.node.id());
+    let own = member.id() == Some(manager.process.node.id());
     if own {
         member.zone.clone_from(&manager.process.node.zone);
     } else if let Some(zone) = member.addr().and_then(|ip| manager.links.zone_of(ip)) {
@@ -217,7 +214,7 @@
             unreachable_for.unwrap_or_else(|| manager.process.started.elapsed())
         },
         was_reachable: own || unreachable_for.is_some(),
-        votes: member_id(&member).is_some_and(|id| voters.contains(&id)),
+        votes: member.id().is_some_and(|id| voters.contains(&id)),
         not_voting_for: vote_monitor.of(&member),
         member,
     }
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -144,10 +144,9 @@
 pub async fn recover(manager: &Arc<MembershipManager>, membership: u64, catch_up: &mut CatchUp) {
     let before =
         query_all(manager, Body::ReadBallots(ReadBallots { membership, values: false })).await;
-    let in_force = |p: &BallotReport| p.membership.as_ref().is_some_and(|m| m.epoch == membership);
-    let quorum = manager.consensus.membership().members.len() / 2 + 1;
+    let quorum = manager.consensus.membership().majority();
     let mut voters = before.clone();
-    voters.retain(|(_, p)| p.votes && in_force(p));
+    voters.retain(|(_, report)| report.votes_in(membership));
     if voters.len() < quorum || !fetch_all(manager, &voters, catch_up).await {
         return;
     }
@@ -158,7 +157,9 @@
         recovery_epoch,
     });
     let mut answers = query_all(manager, request).await;
-    answers.retain(|(_, p)| p.votes && in_force(p) && p.recovery_epoch >= recovery_epoch);
+    answers.retain(|(_, report)| {
+        report.votes_in(membership) && report.recovery_epoch >= recovery_epoch
+    });
     if answers.len() < quorum || !fetch_all(manager, &answers, catch_up).await {
         return;
     }
--- a/crates/control-plane/src/membership/replacement.rs
+++ b/crates/control-plane/src/membership/replacement.rs
@@ -63,7 +63,7 @@
     /// one votes already, who holds the state: a newcomer has to read it first.
     pub fn next(&self) -> Option<Membership> {
         let voters = self.members.iter().filter(|status| status.votes).count();
-        if voters < quorum(self.membership) {
+        if voters < self.membership.majority() {
             return None;
         }
         self.replaced().or_else(|| self.grown()).or_else(|| self.failure_domains())
@@ -76,7 +76,7 @@
 
     fn holds_state(&self, next: &Membership) -> bool {
         let stays = |status: &&MemberStatus| next.members.iter().any(|m| m.ip == status.member.ip);
-        self.members.iter().filter(|status| status.votes).filter(stays).count() >= quorum(next)
+        self.members.iter().filter(|status| status.votes).filter(stays).count() >= next.majority()
     }
 
     /// The members as they would be, with their zones.
@@ -158,10 +158,6 @@
     }
 }
 
-fn quorum(membership: &Membership) -> usize {
-    membership.members.len() / 2 + 1
-}
-
 fn with_replacement(membership: &Membership, lost: &Member, candidate: &Member) -> Membership {
     let mut next = grown(membership, candidate);
     next.members.retain(|m| m.ip != lost.ip);
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -7,6 +7,7 @@
 use fleet_core::random::RandomSource;
 use fleet_core::settings::Settings;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
@@ -56,6 +57,11 @@
         self.random.below(bound)
     }
 
+    /// A random pause of up to so many ms, never none, before something is tried again.
+    pub fn random_backoff(&self, most_ms: u64) -> Duration {
+        Duration::from_millis(1 + self.random_below(most_ms))
+    }
+
     /// Whether the process was asked to end.
     pub fn is_shutting_down(&self) -> bool {
         *self.shutting_down.borrow()
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -7,8 +7,7 @@
 
 use crate::consensus::{Consensus, state_machine};
 use crate::leases::{self, LeaseManager};
-use crate::membership::peer_links::MemberLink;
-use crate::membership::peer_links::PeerLinks;
+use crate::membership::peer_links::{MemberLink, PeerLinks};
 use fleet_core::constants;
 use fleet_core::wire::{Ballot, BallotReport, Body, LeaseValue, Member, Membership, ReadBallots};
 use prost::Message;
@@ -107,7 +106,7 @@
     highest: Ballot,
 ) -> VoterView {
     let node = &sources.consensus.process().node;
-    let id = member.addr().map(|ip| u64::from(u32::from(ip)));
+    let id = member.id();
     let reported_zone = member.addr().and_then(|ip| sources.links.zone_of(ip));
     let own_zone = (id == Some(node.id())).then(|| node.zone.clone());
     let view = VoterView {
--- a/crates/fleet-core/src/node.rs
+++ b/crates/fleet-core/src/node.rs
@@ -47,10 +47,15 @@
 
     /// The machine's address as a number, which names it in ballots.
     pub fn id(&self) -> u64 {
-        u64::from(u32::from(self.ip))
+        id_of(self.ip)
     }
 }
 
+/// The number that names the node at an address in ballots.
+pub fn id_of(ip: std::net::Ipv4Addr) -> u64 {
+    u64::from(u32::from(ip))
+}
+
 /// A random number, never 0, which no other process is likely to have. Not for secrets.
 pub fn fresh() -> u64 {
     let mut hasher = std::hash::RandomState::new().build_hasher();
--- a/crates/fleet-core/src/wire/membership.rs
+++ b/crates/fleet-core/src/wire/membership.rs
@@ -28,6 +28,11 @@
     pub fn addr(&self) -> Option<std::net::Ipv4Addr> {
         self.ip.parse().ok()
     }
+
+    /// Its number in ballots; none where its address cannot be read.
+    pub fn id(&self) -> Option<u64> {
+        self.addr().map(crate::node::id_of)
+    }
 }
 
 /// The controllers that vote.
@@ -41,6 +46,13 @@
     pub members: Vec<Member>,
 }
 
+impl Membership {
+    /// Of how many members a majority consists.
+    pub fn majority(&self) -> usize {
+        self.members.len() / 2 + 1
+    }
+}
+
 /// First frame of a link: who has opened it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Handshake {
--- a/crates/fleet-core/src/wire/registers.rs
+++ b/crates/fleet-core/src/wire/registers.rs
@@ -153,6 +153,14 @@
     pub recovery_epoch: u64,
 }
 
+impl BallotReport {
+    /// Whether it is of a voter in the membership of this epoch: only then does it count there.
+    pub fn votes_in(&self, membership: u64) -> bool {
+        let epoch = self.membership.as_ref().map(|membership| membership.epoch);
+        self.votes && epoch == Some(membership)
+    }
+}
+
 /// An empty disk asks for all ballots, and ends what its former incarnation had on the way: whoever
 /// answers is in the new recovery epoch, and votes in no earlier one.
 #[derive(Clone, PartialEq, Message)]
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -203,20 +203,17 @@
 
     /// Ends the process at once; what it had queued for the disk is not written.
     pub fn kill(&self) {
-        self.starts.fetch_add(1, Ordering::Relaxed);
-        let ended = self.process.lock().take();
-        if let Some(process) = ended {
-            process.ends.close_connections();
-            if let Some(running) = process.running {
-                running.abort();
-            }
-        }
+        self.abort_process();
         self.network.drop_machine(self.ip);
     }
 
     /// Ends the process without a word to anybody: its connections hang.
     pub fn lose_power(&self) {
         self.network.power_off(self.ip);
+        self.abort_process();
+    }
+
+    fn abort_process(&self) {
         self.starts.fetch_add(1, Ordering::Relaxed);
         let ended = self.process.lock().take();
         if let Some(process) = ended {
