--- a/crates/control-plane/tests/calls_to_engines.rs
+++ b/crates/control-plane/tests/calls_to_engines.rs
@@ -1,9 +1,11 @@
 //! What a controller sends to engines: paths, headers and fields of the orders, reports and event reads.
 
-use control_plane::engines::client::EngineClient;
-use fleet_core::settings::Settings;
+mod program;
+
+use program::Program;
 use serde_json::{Value, json};
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -85,34 +87,12 @@
     address
 }
 
-fn settings(dir: &std::path::Path) -> Settings {
-    let ip = Ipv4Addr::new(127, 0, 31, 1);
-    let port = || std::net::TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap().port();
-    let (control, peers) = (port(), port());
-    let text = format!(
-        "nodeName=a\nip={ip}\nzone=z\nportRange={peers},{}\nbindAddrs.control={ip}:{control}\n\
-         seeds={ip}:{control}\nbootstrap=true\ndataDir={}\nbounds.leaseMs=3000\n",
-        peers.saturating_add(9),
-        dir.display()
-    );
-    Settings::parse(&text).unwrap()
-}
-
 /// Posts until the answer is 200.
-async fn post(control: SocketAddr, path: &str, body: &str) {
-    let until = tokio::time::Instant::now() + LIMIT;
-    while tokio::time::Instant::now() < until {
-        let mut line = EngineClient::new(Ipv4Addr::LOCALHOST, control);
-        if line.open().await.is_ok() {
-            let body = body.as_bytes().to_vec();
-            let answer = line.send(http::Method::POST, path, &[], body, LIMIT).await.unwrap();
-            if answer.status == http::StatusCode::OK {
-                return;
-            }
-        }
-        tokio::task::yield_now().await;
-    }
-    panic!("{path} was never acknowledged");
+async fn post(program: &Program, path: &str, body: &str) {
+    let acknowledged =
+        async { while program.call(http::Method::POST, path, "", body).await.0 != 200 {} };
+    let in_time = tokio::time::timeout(LIMIT, acknowledged).await;
+    assert!(in_time.is_ok(), "{path} was never acknowledged");
 }
 
 /// Calls that the engine got, in whatever order the controller's tasks made them.
@@ -135,26 +115,21 @@
 
 #[tokio::test]
 async fn orders_reports_and_event_reads_have_their_paths_headers_and_fields() {
-    let dir = std::env::temp_dir().join(format!("calls-to-engines-{}", std::process::id()));
-    let settings = settings(&dir);
-    let control = settings.control.unwrap();
-    let (_stop, stopped) = tokio::sync::watch::channel(false);
-    let (_reread, rereads) = tokio::sync::mpsc::channel(1);
-    let log = fleet_core::log::root(slog::Level::Error, "a", "controller");
-    let running = tokio::spawn(control_plane::run(settings, log, stopped, rereads));
+    let program = Arc::new(Program::start(31, 1));
     let (sent, inbox) = mpsc::unbounded_channel();
     let mut calls = Calls { inbox, received: Vec::new() };
     let address = engine(sent).await;
     let heartbeat = json!({"service": "s", "address": address.to_string(), "zone": "z", "slots": 3,
         "state": "ready", "models": [{"name": "m", "revision": 4}], "callSeq": 3});
-    post(control, "/anisedyke/Instances.Heartbeat/e1", &heartbeat.to_string()).await;
-    post(control, "/anisedyke/version-put", r#"{"model":"m","revision":5}"#).await;
+    post(&program, "Instances.Heartbeat/e1", &heartbeat.to_string()).await;
+    post(&program, "version-put", r#"{"model":"m","revision":5}"#).await;
     // the engine stays alive while the controller acquires the lease
+    let beating = program.clone();
     let beats = tokio::spawn(async move {
         for call_seq in 4.. {
             let mut heartbeat = heartbeat.clone();
             heartbeat["callSeq"] = call_seq.into();
-            post(control, "/anisedyke/Instances.Heartbeat/e1", &heartbeat.to_string()).await;
+            post(&beating, "Instances.Heartbeat/e1", &heartbeat.to_string()).await;
         }
     });
 
@@ -174,6 +149,4 @@
         "holder": "a", "fence": null, "expected": 3});
     assert_eq!(body, expected);
     beats.abort();
-    running.abort();
-    let _ = std::fs::remove_dir_all(&dir);
 }
--- a/crates/control-plane/tests/http_api.rs
+++ b/crates/control-plane/tests/http_api.rs
@@ -1,72 +1,29 @@
 //! What engines, operators and `fleetctl` see of a controller over HTTP: paths, statuses, headers, and the
 //! names of all fields. None of it changes with the names in the sources.
 
-use control_plane::engines::client::EngineClient;
+mod program;
+
 use control_plane::service::membership::{
     BallotView, DiskState, GrantView, KeyView, Lag, LeaseView, MembersView, VoterView,
 };
-use fleet_core::settings::Settings;
+use program::Program;
 use serde_json::{Value, json};
-use std::net::{Ipv4Addr, SocketAddr, TcpListener};
-use std::time::Duration;
 
-/// For a busy machine; nothing is measured by it.
-const LIMIT: Duration = Duration::from_secs(20);
 const HEARTBEAT: &str = r#"{"service":"s","address":"10.0.0.9:80","zone":"z","revision":"r","slots":3,
     "state":"ready","coldLeftMs":0,"models":[{"name":"m","revision":4}],"callSeq":1}"#;
 const CONFIGURATION: &str = r#"{"revision":1,"routes":[],"services":[],"limits":{}}"#;
 
 /// A controller on this machine that is the only member.
-struct Running {
-    control: SocketAddr,
-    dir: std::path::PathBuf,
-    task: tokio::task::JoinHandle<()>,
-    _ends: (tokio::sync::watch::Sender<bool>, tokio::sync::mpsc::Sender<Settings>),
-}
-
-fn free_port(ip: Ipv4Addr) -> u16 {
-    TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap().port()
-}
+struct Running(Program);
 
 impl Running {
     fn start(net: u8) -> Running {
-        let ip = Ipv4Addr::new(127, 0, net, 1);
-        let (control, peers) = (free_port(ip), free_port(ip));
-        let dir = std::env::temp_dir().join(format!("http-api-{net}-{}", std::process::id()));
-        let text = format!(
-            "nodeName=a\nip={ip}\nzone=z\nportRange={peers},{}\nbindAddrs.control={ip}:{control}\n\
-             seeds={ip}:{control}\nbootstrap=true\ndataDir={}\n",
-            peers.saturating_add(9),
-            dir.display()
-        );
-        let settings = Settings::parse(&text).unwrap();
-        let (stop, stopped) = tokio::sync::watch::channel(false);
-        let (reread, rereads) = tokio::sync::mpsc::channel(1);
-        let log = fleet_core::log::root(slog::Level::Error, "a", "controller");
-        let task = tokio::spawn(async move {
-            control_plane::run(settings, log, stopped, rereads).await.unwrap();
-        });
-        let control = SocketAddr::new(ip.into(), control);
-        Running { control, dir, task, _ends: (stop, reread) }
+        Running(Program::start(net, 1))
     }
 
-    /// Calls with a base version until the controller listens; status and body of the answer.
+    /// Calls with a base version; status and body of the answer.
     async fn call(&self, method: &str, path: &str, base: &str, body: &str) -> (u16, String) {
-        let method: http::Method = method.parse().unwrap();
-        loop {
-            let mut client = EngineClient::new(Ipv4Addr::LOCALHOST, self.control);
-            if client.open().await.is_err() {
-                assert!(!self.task.is_finished(), "the controller ended");
-                tokio::task::yield_now().await;
-                continue;
-            }
-            let headers = [("X-Base-Revision", base)];
-            let body = body.as_bytes().to_vec();
-            let path = format!("/anisedyke/{path}");
-            let answer = client.send(method, &path, &headers, body, LIMIT).await.unwrap();
-            let text = String::from_utf8_lossy(&answer.body).into_owned();
-            return (answer.status.as_u16(), text);
-        }
+        self.0.call(method.parse().unwrap(), path, base, body).await
     }
 
     async fn get(&self, path: &str) -> Value {
@@ -91,13 +48,6 @@
     }
 }
 
-impl Drop for Running {
-    fn drop(&mut self) {
-        self.task.abort();
-        let _ = std::fs::remove_dir_all(&self.dir);
-    }
-}
-
 /// Names of an object's fields, sorted.
 fn names(value: &Value) -> Vec<&str> {
     let mut names: Vec<&str> = value.as_object().unwrap().keys().map(String::as_str).collect();
