--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration up to date: one fetch under way at a time, always for the newest.
+//! Keeps the configuration up to date. At most one fetch is in progress at a time, and it requests the newest version.
 
 use super::routing_table::Table;
 use crate::Router;
@@ -13,83 +13,85 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Why a fetch brought nothing.
+/// Reason why a fetch failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum FetchError {
     /// no link to a controller is up
     NoLink,
     /// {0}
     Link(#[from] LinkError),
-    /// the controller gave a configuration no newer than the one in force
+    /// the controller returned no configuration newer than the one in force
     NotNewer,
     /// {0}
     Packing(#[from] packing::UnpackError),
-    /// a delta can't be read
+    /// the configuration delta can't be decoded
     Undecodable,
     /// {0}
     Delta(#[from] delta::DeltaError),
-    /// the body doesn't have its digest
-    OtherDigest,
+    /// the configuration body doesn't match its digest
+    DigestMismatch,
     /// {0}
     Invalid(#[from] ConfigError),
-    /// the task that reads it ended early
+    /// the task that compiles the configuration was aborted
     Aborted,
 }
 
-/// A body in force, and its digest.
+/// The body of a configuration, and its digest.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigBody {
-    /// digest of the body
+    /// Digest of `body`.
     pub digest: BodyDigest,
-    /// the operator's bytes
+    /// The bytes as the operator submitted them.
     pub body: bytes::Bytes,
 }
 
-/// The body that was given, with the digest that a majority confirmed.
+/// Decodes the body in a response, applying a delta to `current`, and checks it against the digest that a majority of the
+/// controllers has confirmed.
 ///
 /// # Errors
 ///
-/// The body can't be unpacked, or doesn't have the digest.
+/// The response has no body, or a delta where `current` is none; the body can't be unpacked; or the body doesn't match
+/// the digest.
 pub fn rebuild(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
 ) -> Result<ConfigBody, FetchError> {
-    const MOST: usize = constants::CONFIG_BYTES;
+    const MAX_BYTES: usize = constants::CONFIG_BYTES;
     let body = match (&response.form, current) {
-        (Some(ConfigForm::Full(packed)), _) => packing::unpack(packed, MOST)?,
+        (Some(ConfigForm::Full(packed)), _) => packing::unpack(packed, MAX_BYTES)?,
         (Some(ConfigForm::Delta(packed)), Some(current)) => {
-            let plain = packing::unpack(packed, MOST)?;
-            let delta = ConfigDelta::decode(plain).map_err(|_| FetchError::Undecodable)?;
-            delta::apply(&delta, &current.body, MOST)?
+            let unpacked = packing::unpack(packed, MAX_BYTES)?;
+            let delta = ConfigDelta::decode(unpacked).map_err(|_| FetchError::Undecodable)?;
+            delta::apply(&delta, &current.body, MAX_BYTES)?
         }
         (Some(ConfigForm::Delta(_)), None) | (None, _) => return Err(FetchError::NotNewer),
     };
     let digest = BodyDigest::of(&body);
     if digest.as_bytes() != &response.digest[..] {
-        return Err(FetchError::OtherDigest);
+        return Err(FetchError::DigestMismatch);
     }
     Ok(ConfigBody { digest, body })
 }
 
-/// What the one task that fetches knows.
+/// State of the task that fetches configurations.
 #[derive(Default)]
 struct Fetcher {
-    /// the body that the table in force was made of
+    /// The body from which the routing table in force was compiled.
     current: Option<ConfigBody>,
-    /// failed fetches since the last one that brought something
+    /// Number of failed fetches since the last successful one.
     failures: u32,
-    /// place of the next link to be asked, among those that are up
+    /// Index of the next link to use, modulo the number of links that are up.
     next_index: usize,
-    /// The last delta didn't fit: the next body is requested complete.
-    full_next: bool,
+    /// Set after a response could not be decoded or compiled: the next request asks for the full body, not for a delta.
+    request_full: bool,
 }
 
 impl Fetcher {
-    /// How long a controller may take: short while another may do better, then longer after each
-    /// failure, for slow lines.
-    fn limit(&self) -> Duration {
-        let comes_full = self.current.is_none() || self.full_next;
-        let first = if comes_full {
+    /// Timeout of the next fetch. It is short at first, so that another controller is tried soon, and doubles with further
+    /// failures to allow for slow links.
+    fn timeout(&self) -> Duration {
+        let expects_full = self.current.is_none() || self.request_full;
+        let first = if expects_full {
             constants::CONFIG_FULL_FETCH_TIMEOUT
         } else {
             constants::CONFIG_FETCH_TIMEOUT
@@ -99,35 +101,35 @@
         doubled.min(constants::CONFIG_FETCH_TIMEOUT_MAX)
     }
 
-    /// The longest pause before the next try, in ms.
+    /// Upper limit of the random pause before the next attempt, in milliseconds.
     fn max_backoff_ms(&self) -> u64 {
         constants::CONFIG_FETCH_BACKOFF_MS << self.failures.min(5)
     }
 
     fn request(&self) -> ConfigRequest {
-        let current = self.current.as_ref().filter(|_| !self.full_next);
+        let current = self.current.as_ref().filter(|_| !self.request_full);
         let digest =
             current.map(|current| bytes::Bytes::copy_from_slice(current.digest.as_bytes()));
         ConfigRequest { digest: digest.unwrap_or_default() }
     }
 
-    /// The links take turns, from a start that is drawn for each router.
+    /// Selects the links in turn. The first one is random, which spreads the routers over the controllers.
     fn next_link(&mut self, links: Vec<Arc<Link>>, random: u64) -> Option<Arc<Link>> {
         if self.failures == 0 {
             self.next_index = random as usize;
         }
-        let at = self.next_index.checked_rem(links.len())?;
+        let index = self.next_index.checked_rem(links.len())?;
         self.next_index = self.next_index.wrapping_add(1);
-        links.into_iter().nth(at)
+        links.into_iter().nth(index)
     }
 
-    /// One call, and what it gave in force.
+    /// Requests the configuration from one controller and puts it in force.
     async fn fetch(&mut self, router: &Arc<Router>) -> Result<(), FetchError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let links = router.fleet_view.links_up();
         let link = self.next_link(links, router.random()).ok_or(FetchError::NoLink)?;
-        let answer = link.call(Body::ConfigRequest(self.request()), self.limit()).await?;
-        let Body::ConfigResponse(response) = answer else {
+        let body = link.call(Body::ConfigRequest(self.request()), self.timeout()).await?;
+        let Body::ConfigResponse(response) = body else {
             return Err(FetchError::Link(LinkError::UnexpectedAnswer));
         };
         if router
@@ -139,21 +141,22 @@
         }
         let (version, bytes) = (response.version, response.encoded_len());
         let current = self.current.clone();
-        let made = tokio::task::spawn_blocking(move || make_table(&response, current.as_ref()));
-        let made = made.await.map_err(|_| FetchError::Aborted)?;
-        self.full_next = made.is_err();
-        let (current, routing_table) = made?;
+        let compiled =
+            tokio::task::spawn_blocking(move || decode_and_compile(&response, current.as_ref()));
+        let compiled = compiled.await.map_err(|_| FetchError::Aborted)?;
+        self.request_full = compiled.is_err();
+        let (current, routing_table) = compiled?;
         self.current = Some(current);
         if router.fleet_view.set_table(routing_table) {
             fleet_core::log_event!(router.log, Event::ConfigInForce, "version" => version,
-                "bytes" => bytes, "took_ms" => begun.elapsed().as_millis() as u64);
+                "bytes" => bytes, "took_ms" => started_at.elapsed().as_millis() as u64);
         }
         Ok(())
     }
 }
 
-/// Reads a body once; on a thread of its own, beside the requests.
-fn make_table(
+/// Decodes and compiles a body. Runs on a blocking thread, so as not to delay requests.
+fn decode_and_compile(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
 ) -> Result<(ConfigBody, Table), FetchError> {
@@ -162,14 +165,14 @@
     Ok((current, routing_table))
 }
 
-/// Fetches whenever a controller announced a version above the one in force.
+/// Fetches the configuration whenever a controller has announced a version newer than the one in force.
 pub async fn run_config_fetch(router: Arc<Router>) {
     let mut announced = router.fleet_view.announced_config();
     let mut fetcher = Fetcher::default();
     loop {
-        let wanted = *announced.borrow_and_update();
+        let newest = *announced.borrow_and_update();
         if router.fleet_view.routing_table().map_or(0, |routing_table| routing_table.version)
-            >= wanted
+            >= newest
         {
             if announced.changed().await.is_err() {
                 return;
@@ -180,7 +183,7 @@
             fetcher.failures = 0;
             continue;
         };
-        if fetcher.full_next {
+        if fetcher.request_full {
             fleet_core::log_event!(router.log, Event::PeerRejected, "why" => error.to_string());
         }
         let backoff_ms = 1 + router.random() % fetcher.max_backoff_ms();
--- a/crates/data-plane/src/fleet_view/config_fetch_tests.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch_tests.rs
@@ -16,55 +16,59 @@
     }
 }
 
-fn delta_form(former: &str, new: &str) -> ConfigForm {
-    let delta = delta::between(former.as_bytes(), new.as_bytes());
+fn delta_form(old: &str, new: &str) -> ConfigForm {
+    let delta = delta::between(old.as_bytes(), new.as_bytes());
     ConfigForm::Delta(packing::pack(&delta.encode_to_vec()))
 }
 
 #[test]
-fn a_body_is_rebuilt_from_the_whole_and_from_a_delta() {
-    let (former, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
+fn a_body_is_rebuilt_from_a_full_response_and_from_a_delta() {
+    let (old, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
     let full = response(new, ConfigForm::Full(packing::pack(new.as_bytes())));
     assert_eq!(rebuild(&full, None).unwrap(), current(new));
-    assert_eq!(rebuild(&full, Some(&current(former))).unwrap(), current(new));
-    let delta = response(new, delta_form(former, new));
-    assert_eq!(rebuild(&delta, Some(&current(former))).unwrap(), current(new));
+    assert_eq!(rebuild(&full, Some(&current(old))).unwrap(), current(new));
+    let delta = response(new, delta_form(old, new));
+    assert_eq!(rebuild(&delta, Some(&current(old))).unwrap(), current(new));
 }
 
 #[test]
-fn a_body_with_another_digest_is_not_taken() {
-    let (former, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
-    let damaged = response(new, ConfigForm::Full(packing::pack(former.as_bytes())));
-    assert!(matches!(rebuild(&damaged, None), Err(FetchError::OtherDigest)));
+fn a_body_that_does_not_match_its_digest_is_rejected() {
+    let (old, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
+    let damaged = response(new, ConfigForm::Full(packing::pack(old.as_bytes())));
+    assert!(matches!(rebuild(&damaged, None), Err(FetchError::DigestMismatch)));
     let (shared, next) = ("{\"routes\":[{\"name\":\"one\"}", ",{\"name\":\"two\"}]}");
-    let unfitting =
+    let mismatched =
         response(&[shared, next].concat(), delta_form(shared, &[shared, next].concat()));
     let other = current("{\"routes\":[{\"name\":\"six\"}");
-    assert!(matches!(rebuild(&unfitting, Some(&other)), Err(FetchError::OtherDigest)));
-    assert!(rebuild(&unfitting, None).is_err());
-    let garbled = response(new, ConfigForm::Delta(packing::pack(&[0xff; 20])));
-    assert!(matches!(rebuild(&garbled, Some(&other)), Err(FetchError::Undecodable)));
+    assert!(matches!(rebuild(&mismatched, Some(&other)), Err(FetchError::DigestMismatch)));
+    assert!(rebuild(&mismatched, None).is_err());
+    let undecodable = response(new, ConfigForm::Delta(packing::pack(&[0xff; 20])));
+    assert!(matches!(rebuild(&undecodable, Some(&other)), Err(FetchError::Undecodable)));
 }
 
 #[test]
-fn after_a_delta_that_does_not_fit_the_whole_is_asked_for() {
+fn the_full_body_is_requested_after_a_delta_that_does_not_apply() {
     let mut fetcher = Fetcher { current: Some(current("{}")), ..Default::default() };
     assert_eq!(fetcher.request().digest, BodyDigest::of(b"{}").as_bytes());
-    fetcher.full_next = true;
+    fetcher.request_full = true;
     assert!(fetcher.request().digest.is_empty());
 }
 
 #[test]
-fn waits_and_pauses_grow_with_failures_and_stay_bounded() {
-    assert_eq!(Fetcher::default().limit(), constants::CONFIG_FULL_FETCH_TIMEOUT);
+fn timeouts_and_backoff_grow_with_failures_up_to_a_limit() {
+    assert_eq!(Fetcher::default().timeout(), constants::CONFIG_FULL_FETCH_TIMEOUT);
     let mut fetcher = Fetcher { current: Some(current("{}")), ..Default::default() };
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for failures in 0..40 {
         fetcher.failures = failures;
-        waits.push((fetcher.limit(), fetcher.max_backoff_ms()));
+        delays.push((fetcher.timeout(), fetcher.max_backoff_ms()));
     }
-    assert!(waits.is_sorted());
-    assert_eq!(waits[2].0, constants::CONFIG_FETCH_TIMEOUT, "three controllers are asked soon");
-    assert_eq!(waits[39].0, constants::CONFIG_FETCH_TIMEOUT_MAX);
-    assert!(waits[39].1 < 2000, "ms");
+    assert!(delays.is_sorted());
+    assert_eq!(
+        delays[2].0,
+        constants::CONFIG_FETCH_TIMEOUT,
+        "three controllers are tried before the timeout grows"
+    );
+    assert_eq!(delays[39].0, constants::CONFIG_FETCH_TIMEOUT_MAX);
+    assert!(delays[39].1 < 2000, "ms");
 }
--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -1,4 +1,4 @@
-//! The engines of a service in dense rows, made anew only when something of them changes.
+//! The engines of a service as a dense array, rebuilt only when one of them changes.
 
 use super::EngineHandles;
 use crate::pool::EngineHandle;
@@ -8,45 +8,46 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One engine, with what the load balancer needs of it.
+/// One engine, with the properties that the load balancer uses.
 pub struct Endpoint {
-    /// The engine.
+    /// Handle of the engine, with its current load and health.
     pub engine: Arc<EngineHandle>,
-    /// Where the prompt index has it.
-    pub at: At,
-    /// What was known of it when the row was made.
+    /// Position of the engine in the prompt index.
+    pub index_position: At,
+    /// State that controllers had reported when the set was built.
     pub state: Engine,
-    /// Whether it stands in the router's zone.
-    pub near: bool,
-    /// heavy requests settle here: alike at all routers, and stable as engines come and go
+    /// Whether the engine is in the router's zone.
+    pub same_zone: bool,
+    /// Whether prefill-heavy requests are preferably routed to this engine. All routers make the same choice, and it is
+    /// stable as engines join and leave.
     pub prefill_heavy: bool,
-    /// How far down the own order of this router the engine stands, from 0 (first) to 1.
+    /// Position of the engine in this router's preference order, from 0 (first) to 1.
     pub distance: f64,
     rank: u64,
 }
 
-/// Who looks at the engines: what the same engines are worth differs from router to router.
+/// The router for which engines are ranked: each router ranks the same engines differently.
 #[derive(Clone, Copy)]
 pub struct Viewpoint<'a> {
-    /// The router's zone.
+    /// Zone of the router.
     pub zone: &'a str,
-    /// The router's name.
+    /// Node name of the router.
     pub router: &'a str,
 }
 
 impl Viewpoint<'_> {
-    /// Where an engine stands in the router's own order, from 0 to 1: rendezvous hashing, so that each engine comes
-    /// first for its share of the routers, and few change when a router or an engine comes or goes. Near ones come first
-    /// more often.
-    fn distance(&self, engine: &str, near: bool) -> f64 {
+    /// Position of an engine in the router's preference order, from 0 to 1. Rendezvous hashing spreads the engines evenly
+    /// over the routers, and changes few positions when a router or an engine joins or leaves. Engines in the router's
+    /// zone are scaled towards 0.
+    fn distance(&self, engine: &str, same_zone: bool) -> f64 {
         let hash = fleet_core::node::stable_hash(&[self.router.as_bytes(), engine.as_bytes()]);
-        let drawn = hash as f64 / u64::MAX as f64;
-        if near { drawn * constants::NEAR_DISTANCE } else { drawn }
+        let uniform = hash as f64 / u64::MAX as f64;
+        if same_zone { uniform * constants::NEAR_DISTANCE } else { uniform }
     }
 }
 
 impl Endpoint {
-    /// Rendezvous of a part with this engine.
+    /// Rendezvous hash of a prompt part and this engine; the engine with the highest rank is the part's affinity target.
     pub fn rank(&self, part: u64) -> u64 {
         let mixed = (self.rank ^ part).wrapping_mul(0xff51_afd7_ed55_8ccd);
         let mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -54,52 +55,54 @@
     }
 }
 
-/// Engines that heavy requests settle at: two thirds, or fewer where long streams fill the others.
-/// `interactive` is the sum of runs that people wait for.
+/// Number of engines for prefill-heavy requests: [`constants::PREFILL_HEAVY_SHARE`] of them, or fewer if interactive
+/// requests need more than the rest, but at least [`constants::PREFILL_HEAVY_MIN_SHARE`]. `interactive` is the number of
+/// interactive requests in flight at all routers.
 pub fn prefill_heavy_count(engines: usize, slots: u32, interactive: f64) -> usize {
     let all = engines as f64;
-    let light = (interactive / (f64::from(slots.max(1)) * constants::LIGHT_FILL)).ceil();
+    let interactive_engines =
+        (interactive / (f64::from(slots.max(1)) * constants::LIGHT_FILL)).ceil();
     (all * constants::PREFILL_HEAVY_SHARE)
-        .min(all - light)
+        .min(all - interactive_engines)
         .max(all * constants::PREFILL_HEAVY_MIN_SHARE)
         .ceil() as usize
 }
 
-/// No row has this number.
-const NONE: u16 = u16::MAX;
+/// Marks a holder without an endpoint; no endpoint has this index.
+const NO_ENDPOINT: u16 = u16::MAX;
 
-/// What a roll was made from: it is out of date once one of them has risen.
+/// Counters of what a set was built from: the set is stale once one of them has increased.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Key {
-    /// updates of engines
-    state: u64,
-    /// moves of the index
-    moves: u64,
+struct CacheKey {
+    /// Number of updates of engines.
+    engine_updates: u64,
+    /// Number of reassignments of positions in the prompt index.
+    index_moves: u64,
 }
 
-/// The engines of one service, one row each.
+/// The engines of one service.
 pub struct EndpointSet {
-    key: Key,
-    /// All engines that are not deregistered.
+    key: CacheKey,
+    /// All engines of the service that are not deregistered.
     pub endpoints: Vec<Endpoint>,
-    /// cell and holder's number, to the row
-    numbers: Vec<[u16; 256]>,
+    /// Maps a cell of the prompt index and the number of a holder in it to an index into `endpoints`.
+    endpoint_by_holder: Vec<[u16; 256]>,
 }
 
 impl EndpointSet {
-    /// Endpoints of these engines; `state` counts the updates that they include.
+    /// Builds the set; `engine_updates` is the number of updates that `engines` includes.
     pub fn new(
         engines: Vec<(Arc<EngineHandle>, Engine)>,
         viewpoint: Viewpoint<'_>,
         index: &Index,
         interactive: f64,
-        state: u64,
+        engine_updates: u64,
     ) -> Self {
         let mut endpoints: Vec<Endpoint> = engines
             .into_iter()
             .map(|(engine, state)| Endpoint {
-                at: index.admit(&engine.id),
-                near: state.zone == viewpoint.zone,
+                index_position: index.admit(&engine.id),
+                same_zone: state.zone == viewpoint.zone,
                 prefill_heavy: false,
                 distance: viewpoint.distance(&engine.id, state.zone == viewpoint.zone),
                 rank: fleet_core::node::stable_hash(&[engine.id.as_bytes()]),
@@ -108,83 +111,95 @@
             })
             .collect();
         Self::assign_prefill_heavy(&mut endpoints, interactive);
-        let cells = endpoints.iter().map(|endpoint| endpoint.at.cell + 1).max().unwrap_or(0);
-        let mut numbers = vec![[NONE; 256]; cells];
+        let cells =
+            endpoints.iter().map(|endpoint| endpoint.index_position.cell + 1).max().unwrap_or(0);
+        let mut endpoint_by_holder = vec![[NO_ENDPOINT; 256]; cells];
         for (i, endpoint) in endpoints.iter().enumerate() {
-            numbers[endpoint.at.cell][usize::from(endpoint.at.no.index)] = i as u16;
+            endpoint_by_holder[endpoint.index_position.cell]
+                [usize::from(endpoint.index_position.no.index)] = i as u16;
+        }
+        EndpointSet {
+            key: CacheKey { engine_updates, index_moves: index.moves() },
+            endpoints,
+            endpoint_by_holder,
         }
-        EndpointSet { key: Key { state, moves: index.moves() }, endpoints, numbers }
     }
 
-    /// Marks the engines that heavy requests settle at.
+    /// Sets `prefill_heavy` of the engines, in the order of their rank so that all routers choose the same ones.
     fn assign_prefill_heavy(endpoints: &mut [Endpoint], interactive: f64) {
-        let ready = |endpoint: &Endpoint| {
+        let is_ready = |endpoint: &Endpoint| {
             endpoint.state.state() == EngineState::Ready && !endpoint.state.heartbeat_missed
         };
         let mut order: Vec<usize> =
-            (0..endpoints.len()).filter(|i| ready(&endpoints[*i])).collect();
+            (0..endpoints.len()).filter(|i| is_ready(&endpoints[*i])).collect();
         order.sort_unstable_by_key(|i| (endpoints[*i].rank, *i));
         let slots = endpoints.iter().map(|endpoint| endpoint.state.slots).max().unwrap_or(0);
         let prefill_heavy_count = prefill_heavy_count(order.len(), slots, interactive);
-        for i in order.into_iter().take(prefill_heavy_count) {
-            endpoints[i].prefill_heavy = true;
+        for index in order.into_iter().take(prefill_heavy_count) {
+            endpoints[index].prefill_heavy = true;
         }
     }
 
-    /// The row of a holder, by its cell and its number there.
+    /// Index into [`endpoints`](Self::endpoints) of a holder, given its cell and its number there.
     pub fn endpoint(&self, cell: usize, number: u8) -> Option<usize> {
-        let endpoint = *self.numbers.get(cell)?.get(usize::from(number))?;
-        (endpoint != NONE).then_some(usize::from(endpoint))
+        let endpoint = *self.endpoint_by_holder.get(cell)?.get(usize::from(number))?;
+        (endpoint != NO_ENDPOINT).then_some(usize::from(endpoint))
     }
 }
 
-/// Sums of runs that people wait for.
+/// Number of interactive requests in flight at all routers.
 #[derive(Default)]
-struct Interactive {
-    /// as they are, smoothed
+struct InteractiveRuns {
+    /// Exponential moving average of the reported numbers.
     smoothed: f64,
-    /// as the division between engines goes by
+    /// The number by which engines are currently divided between prefill-heavy and interactive requests.
     applied: f64,
 }
 
-/// The sets in use; a count that rises with each update of engines shows when one is out of date.
+/// Caches the endpoint set of each service. A counter that increases with each update of an engine shows when a set is
+/// stale.
 #[derive(Default)]
 pub struct Endpoints {
-    state: AtomicU64,
-    interactive: parking_lot::Mutex<Interactive>,
-    made: parking_lot::Mutex<hashbrown::HashMap<String, Arc<EndpointSet>, ahash::RandomState>>,
+    engine_updates: AtomicU64,
+    interactive: parking_lot::Mutex<InteractiveRuns>,
+    cached: parking_lot::Mutex<hashbrown::HashMap<String, Arc<EndpointSet>, ahash::RandomState>>,
 }
 
 impl Endpoints {
-    /// Something of the engines has changed.
-    pub fn stale(&self) {
-        self.state.fetch_add(1, Ordering::Release);
+    /// Marks all cached sets as stale because an engine has changed.
+    pub fn invalidate(&self) {
+        self.engine_updates.fetch_add(1, Ordering::Release);
     }
 
-    /// The newest sum of runs that people wait for, at so many engines.
-    pub fn record_interactive(&self, runs: u32, engines: usize, slots: u32) {
-        let mut sums = self.interactive.lock();
-        sums.smoothed += (f64::from(runs) - sums.smoothed) * constants::DIVISION_WEIGHT;
-        let wanted = prefill_heavy_count(engines, slots, sums.smoothed);
-        let off = wanted.abs_diff(prefill_heavy_count(engines, slots, sums.applied));
-        if off as f64 >= (engines as f64 * constants::DIVISION_STEP).max(1.0) {
-            sums.applied = sums.smoothed;
-            drop(sums);
-            self.stale();
+    /// Records the number of interactive requests in flight at `engines` ready engines with `slots` slots each. The division
+    /// of the engines changes only once it is off by [`constants::DIVISION_STEP`] of them, and by at least one.
+    pub fn record_interactive(&self, in_flight: u32, engines: usize, slots: u32) {
+        let mut interactive = self.interactive.lock();
+        interactive.smoothed +=
+            (f64::from(in_flight) - interactive.smoothed) * constants::DIVISION_WEIGHT;
+        let wanted = prefill_heavy_count(engines, slots, interactive.smoothed);
+        let difference = wanted.abs_diff(prefill_heavy_count(engines, slots, interactive.applied));
+        if difference as f64 >= (engines as f64 * constants::DIVISION_STEP).max(1.0) {
+            interactive.applied = interactive.smoothed;
+            drop(interactive);
+            self.invalidate();
         }
     }
 
-    /// The roll of a service, made anew if it is out of date.
-    pub fn of(
+    /// The endpoint set of a service, rebuilt if it is stale.
+    pub fn get(
         &self,
         service: &str,
         viewpoint: Viewpoint<'_>,
         handles: &parking_lot::RwLock<EngineHandles>,
         index: &Index,
     ) -> Arc<EndpointSet> {
-        let key = Key { state: self.state.load(Ordering::Acquire), moves: index.moves() };
+        let key = CacheKey {
+            engine_updates: self.engine_updates.load(Ordering::Acquire),
+            index_moves: index.moves(),
+        };
         if let Some(endpoint_set) =
-            self.made.lock().get(service).filter(|endpoint_set| endpoint_set.key == key)
+            self.cached.lock().get(service).filter(|endpoint_set| endpoint_set.key == key)
         {
             return endpoint_set.clone();
         }
@@ -193,14 +208,15 @@
             .values()
             .filter_map(|engine| {
                 let state = engine.state();
-                let wanted = state.service == service && state.state() != EngineState::Deregistered;
-                wanted.then(|| (engine.clone(), state.clone()))
+                let included =
+                    state.service == service && state.state() != EngineState::Deregistered;
+                included.then(|| (engine.clone(), state.clone()))
             })
             .collect();
         let interactive = self.interactive.lock().applied;
         let endpoint_set =
-            Arc::new(EndpointSet::new(engines, viewpoint, index, interactive, key.state));
-        self.made.lock().insert(service.to_owned(), endpoint_set.clone());
+            Arc::new(EndpointSet::new(engines, viewpoint, index, interactive, key.engine_updates));
+        self.cached.lock().insert(service.to_owned(), endpoint_set.clone());
         endpoint_set
     }
 }
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -1,4 +1,5 @@
-//! The router's end of the ring: entries are fetched in the background, applied before a placement.
+//! Keeps the prompt index valid: fetches entries of the invalidation ring in the background, and applies them before the
+//! index is next used.
 
 use super::FleetView;
 use crate::Router;
@@ -13,10 +14,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::time::Instant;
 
-/// The index as the ring changes it: its entries are the index's Evicted and HolderGone.
-struct Indexed<'a>(&'a Index);
+/// Applies ring entries to the prompt index.
+struct IndexCache<'a>(&'a Index);
 
-impl Cache for Indexed<'_> {
+impl Cache for IndexCache<'_> {
     fn meet(&mut self, holder: &str) {
         self.0.admit(holder);
     }
@@ -42,47 +43,51 @@
     }
 }
 
-/// The index, what is to be applied to it, and what others are to hear of own sends.
+/// The prompt index, the updates to be applied to it, and this router's findings to be reported.
+///
+/// A finding says that a dispatch of this router has left parts of a prompt in the cache of a holder.
 pub struct PrefixView {
     index: Index,
-    pending: AtomicBool,
-    inbox: parking_lot::Mutex<Vec<ViewUpdate>>,
-    found: parking_lot::Mutex<Vec<CachedParts>>,
-    /// own findings, newest last, for an index owner that starts from nothing
-    again: parking_lot::Mutex<std::collections::VecDeque<CachedParts>>,
+    has_pending: AtomicBool,
+    pending_updates: parking_lot::Mutex<Vec<ViewUpdate>>,
+    /// Findings not yet reported.
+    unreported: parking_lot::Mutex<Vec<CachedParts>>,
+    /// The most recent findings, newest last, for an index owner that starts with an empty index.
+    recent_findings: parking_lot::Mutex<std::collections::VecDeque<CachedParts>>,
 }
 
 impl PrefixView {
-    /// A view that knows nothing.
+    /// A view with an empty index.
     pub fn new() -> Self {
         PrefixView {
             index: Index::new(constants::INDEX_ENTRIES),
-            pending: AtomicBool::new(false),
-            inbox: parking_lot::Mutex::default(),
-            found: parking_lot::Mutex::default(),
-            again: parking_lot::Mutex::default(),
+            has_pending: AtomicBool::new(false),
+            pending_updates: parking_lot::Mutex::default(),
+            unreported: parking_lot::Mutex::default(),
+            recent_findings: parking_lot::Mutex::default(),
         }
     }
 
-    /// Leaves a change to be applied before the next look.
+    /// Queues an update, which is applied before the index is next used.
     pub fn put(&self, update: ViewUpdate) {
-        self.inbox.lock().push(update);
-        self.pending.store(true, Ordering::Release);
+        self.pending_updates.lock().push(update);
+        self.has_pending.store(true, Ordering::Release);
     }
 
-    /// The index with all applied that has come; the flag is read without a lock.
+    /// The index, after applying all queued updates. If there are none, no lock is taken.
     pub fn current_index(&self) -> &Index {
-        if self.pending.load(Ordering::Acquire) {
-            let mut inbox = self.inbox.lock();
-            self.pending.store(false, Ordering::Relaxed);
-            for update in inbox.drain(..) {
-                update.apply(&mut Indexed(&self.index));
+        if self.has_pending.load(Ordering::Acquire) {
+            let mut pending_updates = self.pending_updates.lock();
+            self.has_pending.store(false, Ordering::Relaxed);
+            for update in pending_updates.drain(..) {
+                update.apply(&mut IndexCache(&self.index));
             }
         }
         &self.index
     }
 
-    /// An own send has left this prompt at a holder; its shared parts are reported if they are new.
+    /// Records that a dispatch of this router has left a prompt in the cache of a holder. Shared parts that the index didn't
+    /// list there are queued to be reported.
     pub fn sent(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
         let index = self.current_index();
         let position = index.admit(holder);
@@ -90,42 +95,42 @@
         let shared = &parts[..parts.len().saturating_sub(1)];
         let chain = index.chain(salt, parts.iter().copied());
         index.learn(salt, &chain);
-        let one = prompt_index::HolderBitmap::one(position.no.index);
-        let depth = cell.query(&chain, &one).of(position.no.index);
+        let holder_only = prompt_index::HolderBitmap::one(position.no.index);
+        let depth = cell.query(&chain, &holder_only).of(position.no.index);
         for (part, _) in &parts[depth.min(parts.len())..] {
             index.registered(holder, salt, *part, None);
         }
         if depth < shared.len() {
-            self.remember(holder, salt, &shared[depth..]);
+            self.queue_finding(holder, salt, &shared[depth..]);
         }
     }
 
-    /// Queues a finding to be reported, unless too many wait already.
-    fn remember(&self, holder: &str, salt: &str, new_parts: &[(u64, u64)]) {
-        let mut found = self.found.lock();
-        if found.len() >= constants::PENDING_FINDINGS_CAPACITY {
+    /// Queues a finding to be reported; drops it if [`constants::PENDING_FINDINGS_CAPACITY`] are queued already.
+    fn queue_finding(&self, holder: &str, salt: &str, new_parts: &[(u64, u64)]) {
+        let mut unreported = self.unreported.lock();
+        if unreported.len() >= constants::PENDING_FINDINGS_CAPACITY {
             return;
         }
-        let entries = CachedParts {
+        let finding = CachedParts {
             holder: holder.to_owned(),
             salt: salt.to_owned(),
             parts: new_parts.iter().map(|(part, _)| *part).collect(),
             cached_tokens: new_parts.iter().map(|(_, tokens)| *tokens).collect(),
         };
-        found.push(entries.clone());
-        let mut again = self.again.lock();
-        again.push_back(entries);
-        if again.len() > constants::REPEATED_FINDINGS_CAPACITY {
-            again.pop_front();
+        unreported.push(finding.clone());
+        let mut recent_findings = self.recent_findings.lock();
+        recent_findings.push_back(finding);
+        if recent_findings.len() > constants::REPEATED_FINDINGS_CAPACITY {
+            recent_findings.pop_front();
         }
     }
 
-    /// What own sends have left behind lately.
-    pub fn found_before(&self) -> Vec<CachedParts> {
-        self.again.lock().iter().cloned().collect()
+    /// The most recent findings of this router, at most [`constants::REPEATED_FINDINGS_CAPACITY`], oldest first.
+    pub fn recent_findings(&self) -> Vec<CachedParts> {
+        self.recent_findings.lock().iter().cloned().collect()
     }
 
-    /// Forgets a holder at once.
+    /// Removes a holder and all its entries from the index.
     pub fn remove_holder(&self, holder: &str) {
         self.index.remove(holder);
     }
@@ -137,15 +142,16 @@
     }
 }
 
-/// Reports what own sends have left behind to whoever passes the ring on to this router.
+/// Reports this router's findings to the controller from which it reads the ring.
 pub async fn run_findings_reporter(router: Arc<Router>) {
     loop {
         tokio::time::sleep(constants::FINDINGS_REPORT_INTERVAL).await;
-        let entries = std::mem::take(&mut *router.fleet_view.prefix_view.found.lock());
+        let entries = std::mem::take(&mut *router.fleet_view.prefix_view.unreported.lock());
         if entries.is_empty() {
             continue;
         }
-        // nobody can take them in now: a later index owner is sent them again
+        // If no controller can be reached, these findings are dropped here; the most recent ones are sent to the next
+        // index owner.
         let source = router.fleet_view.ring_to_read(&router.node);
         if let Some(link) = source.and_then(|source| router.fleet_view.link_to(&source)) {
             let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { entries }));
@@ -153,7 +159,7 @@
     }
 }
 
-/// Clears what gone holders have left in the index, a little at a time.
+/// Removes the entries of removed holders from the index, [`constants::SCRUB_ENTRIES`] at a time.
 pub async fn run_index_scrubber(router: Arc<Router>) {
     loop {
         let done = router.fleet_view.prefix_view.index.scrub(constants::SCRUB_ENTRIES);
@@ -166,11 +172,11 @@
     }
 }
 
-/// Fetches behind the head whenever it has moved or the index owner has notified.
+/// Fetches new entries whenever the head of the ring has advanced or the index owner has sent a notification.
 pub async fn run_invalidation_reader(router: Arc<Router>) {
     let view = &router.fleet_view;
     let mut position = RingPosition::default();
-    let mut announced = (0, 0);
+    let mut last_owner = (0, 0);
     let mut is_reading = false;
     loop {
         let pause = if is_reading {
@@ -178,9 +184,9 @@
         } else {
             constants::RING_SEARCH_INTERVAL
         };
-        let _ = tokio::time::timeout(pause, view.ring_moved.notified()).await;
+        let _ = tokio::time::timeout(pause, view.ring_changed.notified()).await;
         tokio::time::sleep(constants::RING_FETCH_DELAY).await;
-        report_findings_again(view, &mut announced);
+        resend_findings(view, &mut last_owner);
         let source = view.ring_to_read(&router.node);
         is_reading = source.is_some();
         let Some(source) = source else { continue };
@@ -195,38 +201,39 @@
     }
 }
 
-/// A new index owner starts from nothing: it is told what own sends have left behind before it came.
-fn report_findings_again(view: &FleetView, announced: &mut (u64, u64)) {
+/// Sends the most recent findings to a new index owner, which starts with an empty index.
+fn resend_findings(view: &FleetView, last_owner: &mut (u64, u64)) {
     let Some(head) = view.ring_sources.owner() else { return };
     let Some(link) = view.link_to(&head.owner) else { return };
-    if *announced == (head.fencing_token, head.incarnation) {
+    if *last_owner == (head.fencing_token, head.incarnation) {
         return;
     }
-    *announced = (head.fencing_token, head.incarnation);
-    let entries = view.prefix_view.found_before();
+    *last_owner = (head.fencing_token, head.incarnation);
+    let entries = view.prefix_view.recent_findings();
     let _ = link.notify(Body::CachedPrefixes(CachedPrefixes { entries }));
 }
 
-/// What a fetch leaves to be done.
+/// Outcome of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fetch {
-    /// There are more entries.
+    /// The ring has more entries.
     More,
-    /// Nothing more for now, or an answer that can't be used.
+    /// All entries were fetched, or the response can't be used.
     Done,
-    /// Whoever was asked doesn't answer.
+    /// The controller didn't respond in time.
     NoAnswer,
 }
 
-/// Fetches once, and leaves what came to be applied.
+/// Fetches once, and queues the entries to be applied.
 async fn fetch(router: &Router, link: &Link, position: &mut RingPosition) -> Fetch {
     let request = position.request(router.node.incarnation);
-    let limit = if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
-    let Ok(Body::RingResponse(answer)) = link.call(Body::RingRequest(request), limit).await else {
+    let timeout = if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
+    let Ok(Body::RingResponse(response)) = link.call(Body::RingRequest(request), timeout).await
+    else {
         return Fetch::NoAnswer;
     };
-    let head = answer.head.as_ref().map_or(0, |head| head.head);
-    let Some((next, update)) = step(*position, answer) else { return Fetch::Done };
+    let head = response.head.as_ref().map_or(0, |head| head.head);
+    let Some((next, update)) = step(*position, response) else { return Fetch::Done };
     *position = next;
     let Some(update) = update else { return Fetch::Done };
     if update.reset {
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -1,4 +1,4 @@
-//! Links to the controllers: updates come in, heartbeats go out.
+//! Maintains the links to the controllers: receives updates and sends heartbeats.
 
 use super::FleetView;
 use crate::Router;
@@ -14,26 +14,27 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The controllers to be linked with: the membership's, the seeds while no member is linked, and this machine's own.
-fn addresses(router: &Router) -> HashSet<Ipv4Addr> {
+/// The controllers to connect to: the members, the seeds while no link to a member is up, and the controller of this
+/// machine.
+fn controller_addresses(router: &Router) -> HashSet<Ipv4Addr> {
     let membership = router.fleet_view.membership.lock();
     let mut addresses: HashSet<Ipv4Addr> =
         membership.members.iter().filter_map(|member| member.addr()).collect();
     drop(membership);
     let settings = router.settings();
-    if !is_any_linked(&router.fleet_view, &addresses) {
-        addresses.extend(seeds(&settings));
+    if !is_any_link_up(&router.fleet_view, &addresses) {
+        addresses.extend(seed_addresses(&settings));
     }
-    addresses.extend(own_machine(&settings));
+    addresses.extend(local_controller(&settings));
     addresses
 }
 
-fn is_any_linked(view: &FleetView, addresses: &HashSet<Ipv4Addr>) -> bool {
+fn is_any_link_up(view: &FleetView, addresses: &HashSet<Ipv4Addr>) -> bool {
     let links = view.links.lock();
     links.iter().any(|(ip, link)| addresses.contains(ip) && link.is_up())
 }
 
-fn seeds(settings: &Settings) -> Vec<Ipv4Addr> {
+fn seed_addresses(settings: &Settings) -> Vec<Ipv4Addr> {
     let ipv4 = |seed: &SocketAddr| match seed.ip() {
         IpAddr::V4(ip) => Some(ip),
         IpAddr::V6(_) => None,
@@ -41,13 +42,14 @@
     settings.seeds.iter().filter_map(ipv4).collect()
 }
 
-/// The controller of this machine, if there is one: also where it is no member, it ends after this router only if it
-/// is linked with it.
-fn own_machine(settings: &Settings) -> Option<Ipv4Addr> {
+/// The controller of this machine, if there is one. It is linked even if it is not a member, because at shutdown it waits
+/// for this router only if the two are linked.
+fn local_controller(settings: &Settings) -> Option<Ipv4Addr> {
     settings.counted.then_some(settings.ip)
 }
 
-/// Keeps the links to the controllers, and sends each a heartbeat once a second.
+/// Opens and drops links as the controllers change, and sends each controller a heartbeat per
+/// [`constants::ROUTER_HEARTBEAT_INTERVAL`].
 pub async fn run_link_maintenance(router: Arc<Router>) {
     loop {
         update_links(&router);
@@ -56,9 +58,9 @@
     }
 }
 
-/// Opens the links that are missing, and drops those to controllers that are no longer wanted.
+/// Opens missing links, and drops links to controllers that are no longer in the list.
 fn update_links(router: &Arc<Router>) {
-    let addresses = addresses(router);
+    let addresses = controller_addresses(router);
     let mut links = router.fleet_view.links.lock();
     links.retain(|ip, _| addresses.contains(ip));
     for ip in addresses {
@@ -66,17 +68,18 @@
     }
 }
 
-/// A link to the controller at an address. Its updates are taken in by a task that ends with the link.
+/// Opens a link to the controller at an address. A task applies the updates that arrive on it, and ends when the link is
+/// dropped.
 fn open_link(router: &Arc<Router>, ip: Ipv4Addr) -> Arc<Link> {
-    let (pushed, updates) = mpsc::channel(constants::LINK_BACKLOG);
+    let (update_sender, updates) = mpsc::channel(constants::LINK_BACKLOG);
     let address = router.settings().peer_addr(ip.into());
-    let link = Link::keep(&router.node, address, Some(pushed));
+    let link = Link::keep(&router.node, address, Some(update_sender));
     tokio::spawn(receive_updates(router.clone(), ip, Arc::downgrade(&link), updates));
     link
 }
 
-/// Sends a heartbeat to all controllers. Each is a task of its own, which ends by its time-out: a controller that does not
-/// answer holds up no other.
+/// Sends a heartbeat to all controllers. Each is sent by a separate task with a timeout, so that a controller that doesn't
+/// respond delays no other.
 fn send_heartbeats(router: &Router) {
     let heartbeat = RouterHeartbeat {
         version: router.fleet_view.routing_table().map_or(0, |table| table.version),
@@ -86,19 +89,19 @@
     for link in links {
         let heartbeat = Body::RouterHeartbeat(heartbeat.clone());
         tokio::spawn(async move {
-            // what it shows is whether the link stands, which the link knows
+            // The result only tells whether the link is up, which the link tracks itself.
             let _ = link.call(heartbeat, constants::ROUTER_HEARTBEAT_INTERVAL).await;
         });
     }
 }
 
-/// Tells the loss of a controller from the loss of a connection to it.
+/// Distinguishes the loss of a controller from the loss of a connection to it.
 ///
-/// A connection that is reset comes up again at the next try. A controller that has ended, or that is cut off, can't be
-/// reached for longer: only that is evidence that a roll-out may be held up.
+/// A connection that was reset is re-established at the next attempt. A controller that has stopped or is partitioned
+/// stays unreachable for longer, and only that indicates that a rollout may be delayed.
 #[derive(Debug, Default)]
 struct LossDetector {
-    /// Since when the link has been down; none while it is up, or once its loss was returned.
+    /// When the link went down; none while it is up, or once the loss was returned.
     down_since: Option<Instant>,
 }
 
@@ -107,11 +110,11 @@
         self.down_since = (!is_up).then_some(now);
     }
 
-    /// Waits until the controller counts as lost; returns since when, once for each loss.
+    /// Waits until the controller is considered lost, and returns when its link went down, once for each loss.
     ///
     /// # Cancel safety
     ///
-    /// A wait that is dropped changes nothing.
+    /// Dropping the future changes nothing.
     async fn lost(&mut self) -> Instant {
         let Some(down_since) = self.down_since else { return std::future::pending().await };
         tokio::time::sleep_until(down_since + constants::CONTROLLER_LOSS_TIMEOUT).await;
@@ -120,13 +123,13 @@
     }
 }
 
-/// What a link brings, or what became of it.
+/// A message received on a link, or a change of the link's state.
 enum LinkEvent {
     /// A controller pushed a message.
     Pushed(Body),
     /// The link came up or went down.
-    Changed { is_up: bool },
-    /// The controller counts as lost since this moment.
+    StateChanged { is_up: bool },
+    /// The controller is lost; its link went down at `since`.
     Lost { since: Instant },
     /// The link was dropped.
     Dropped,
@@ -144,14 +147,14 @@
         let event = tokio::select! {
             pushed = updates.recv() => pushed.map_or(LinkEvent::Dropped, LinkEvent::Pushed),
             changed = is_up.changed() => match changed {
-                Ok(()) => LinkEvent::Changed { is_up: *is_up.borrow_and_update() },
+                Ok(()) => LinkEvent::StateChanged { is_up: *is_up.borrow_and_update() },
                 Err(_) => LinkEvent::Dropped,
             },
             since = loss.lost() => LinkEvent::Lost { since },
         };
         match event {
-            LinkEvent::Pushed(body) => apply(&router, body),
-            LinkEvent::Changed { is_up } => {
+            LinkEvent::Pushed(body) => apply_message(&router, body),
+            LinkEvent::StateChanged { is_up } => {
                 loss.link_changed(is_up, Instant::now());
                 if !is_up {
                     router.fleet_view.ring_sources.forget_relay(&controller.to_string());
@@ -159,7 +162,7 @@
                 }
             }
             LinkEvent::Lost { since } => {
-                router.fleet_view.disturb(since);
+                router.fleet_view.record_controller_loss(since);
                 router.counters.controllers_lost.fetch_add(1, Ordering::Relaxed);
             }
             LinkEvent::Dropped => return,
@@ -167,8 +170,8 @@
     }
 }
 
-/// Takes in what a controller pushed; a message of a kind that a router has no use for is ignored.
-fn apply(router: &Router, body: Body) {
+/// Applies a message that a controller pushed. Messages of kinds that are not meant for routers are ignored.
+fn apply_message(router: &Router, body: Body) {
     match body {
         Body::FleetUpdate(update) => {
             log_new_targets(&router.log, &router.fleet_view, &update);
@@ -179,7 +182,7 @@
     }
 }
 
-/// Says when this router learned of target weights that are newer than the ones it knows.
+/// Logs target versions in an update that are newer than those this router knows.
 fn log_new_targets(log: &slog::Logger, view: &FleetView, update: &FleetUpdate) {
     for weights in &update.weights {
         let known = view.target_version(&weights.model).unwrap_or(0);
--- a/crates/data-plane/src/fleet_view/load_reports.rs
+++ b/crates/data-plane/src/fleet_view/load_reports.rs
@@ -1,4 +1,5 @@
-//! What all routers have in flight at each engine: reported to one controller, received back as a sum.
+//! Exchanges the number of requests in flight at each engine: a router reports its own to one controller, and receives
+//! the sum over all routers.
 
 use super::FleetView;
 use crate::Router;
@@ -9,8 +10,9 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The controller to tell: one of the own zone before others, by rendezvous among those that are up.
-pub fn chosen<'a>(
+/// The controller that a node prefers, by rendezvous hashing among those that are up; controllers in the node's zone come
+/// first.
+pub fn preferred_controller<'a>(
     members: impl Iterator<Item = &'a Member>,
     zone: &str,
     name: &str,
@@ -22,17 +24,18 @@
 }
 
 impl FleetView {
-    fn load_link(&self, zone: &str, name: &str) -> Option<Arc<Link>> {
+    fn report_link(&self, zone: &str, name: &str) -> Option<Arc<Link>> {
         let membership = self.membership.lock().clone();
         let links = self.links.lock();
         let link = |member: &Member| links.get(&member.addr()?).cloned();
         let is_up = |member: &Member| link(member).is_some_and(|link| link.is_up());
-        link(chosen(membership.members.iter(), zone, name, is_up)?)
+        link(preferred_controller(membership.members.iter(), zone, name, is_up)?)
     }
 
-    /// The sum over all routers; the own part is counted as it is now, not as it was reported.
+    /// Applies the sum over all routers. This router's part, as it last reported it, is subtracted: its current load is
+    /// known.
     pub fn update_loads(&self, message: &LoadReport) {
-        let all: ByEngine = load::unpack(message).collect();
+        let totals: ByEngine = load::unpack(message).collect();
         let now = Instant::now();
         let (mut engines, mut slots) = (0, 0);
         for engine in self.engines.read().values() {
@@ -42,13 +45,13 @@
                 slots = state.slots.max(slots);
             }
             drop(state);
-            let total = all.get(&engine.key).copied().unwrap_or_default();
+            let total = totals.get(&engine.key).copied().unwrap_or_default();
             let mut work = engine.work();
             work.others = total.less(&work.last_published);
             work.others_at = Some(now);
         }
-        let runs = all.values().map(|load| load.interactive).sum();
-        self.endpoints.record_interactive(runs, engines, slots);
+        let interactive = totals.values().map(|load| load.interactive).sum();
+        self.endpoints.record_interactive(interactive, engines, slots);
     }
 
     fn own_loads(&self) -> ByEngine {
@@ -62,17 +65,17 @@
     }
 }
 
-/// Tells one controller the own loads whenever they are due.
+/// Reports this router's loads to one controller whenever a report is due.
 pub async fn run_load_reporter(router: Arc<Router>) {
-    let mut last = ReportSchedule::default();
+    let mut schedule = ReportSchedule::default();
     loop {
         tokio::time::sleep(constants::LOAD_REPORT_INTERVAL).await;
         let own = load::pack(&router.fleet_view.own_loads());
-        if !last.is_due(Instant::now(), &own) {
+        if !schedule.is_due(Instant::now(), &own) {
             continue;
         }
         let node = &router.node;
-        if let Some(link) = router.fleet_view.load_link(&node.zone, &node.name) {
+        if let Some(link) = router.fleet_view.report_link(&node.zone, &node.name) {
             let _ = link.notify(Body::LoadReport(own));
         }
     }
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -1,17 +1,18 @@
-//! What a router knows of the fleet: sent by controllers, and seen in its own requests.
+//! The router's view of the fleet, from updates of controllers and from its own requests.
 //!
-//! Within an incarnation of the process nothing goes back to an older state: versions, epochs and tokens only rise, and
-//! an update of an engine counts by its call number. So updates may come from several controllers, late and more than once.
+//! Within an incarnation of the process no state is replaced by an older one: versions, epochs and tokens only increase,
+//! and updates of an engine are ordered by their call number. Updates may therefore come from several controllers, late
+//! and repeatedly.
 //!
-//! | file | what it is |
+//! | module | purpose |
 //! |---|---|
-//! | [`links`] | links to controllers: heartbeats out, updates in |
-//! | [`config_fetch`], [`routing_table`] | fetches the configuration in force and compiles it |
-//! | [`endpoints`] | the engines of a service, as the load balancer weighs them |
-//! | [`load_reports`] | own requests in flight out, the sum of all routers in |
-//! | [`version_bound`] | until when a request may begin under older weights |
-//! | [`invalidations`] | the prompt index, kept valid by the ring of the index owner |
-//! | [`ring_sources`] | which copy of that ring is read |
+//! | [`links`] | links to controllers: sends heartbeats, receives updates |
+//! | [`config_fetch`], [`routing_table`] | fetch and compile the configuration in force |
+//! | [`endpoints`] | the engines of a service, prepared for the load balancer |
+//! | [`load_reports`] | reports this router's requests in flight, receives the sum over all routers |
+//! | [`version_bound`] | the time until which a request may begin under older weights |
+//! | [`invalidations`] | the prompt index, invalidated through the index owner's ring |
+//! | [`ring_sources`] | selects the copy of that ring to read from |
 
 pub mod config_fetch;
 pub mod endpoints;
@@ -34,48 +35,46 @@
 use tokio::time::Instant;
 use version_bound::VersionBound;
 
-/// All engines that are known, by instance id; deregistered ones for a while.
+/// All known engines by instance id. Deregistered engines are kept for a while.
 pub type EngineHandles = hashbrown::HashMap<String, Arc<EngineHandle>, ahash::RandomState>;
 
-/// The versions named for the weights of each model. A request shares them with the view.
+/// The target versions of each model's weights, by model. Requests hold references to them.
 type Targets = hashbrown::HashMap<String, Arc<TargetVersions>, ahash::RandomState>;
 
-/// What this router was sent of the fleet, and what it saw itself. Nothing in it goes back to an older
-/// state.
+/// State of the fleet, as controllers report it and as this router observes it. No part of it reverts to an older state.
 pub struct FleetView {
     routing_table: parking_lot::RwLock<Option<Arc<routing_table::Table>>>,
-    /// The highest version of a configuration that a controller announced.
+    /// The highest configuration version that a controller announced.
     announced_config: tokio::sync::watch::Sender<u64>,
-    /// All engines that are known.
+    /// All known engines.
     pub engines: parking_lot::RwLock<EngineHandles>,
-    /// By model.
     targets: parking_lot::RwLock<Targets>,
-    /// When a controller was lost last.
-    disturbed: parking_lot::Mutex<Option<Instant>>,
+    /// When a controller was last lost.
+    controller_lost_at: parking_lot::Mutex<Option<Instant>>,
     membership: parking_lot::Mutex<Membership>,
-    /// The ring of invalidations and its copies.
+    /// The ring of invalidations and its relayed copies.
     pub ring_sources: RingSources,
-    /// Wakes the reader of the ring.
-    pub ring_moved: tokio::sync::Notify,
+    /// Wakes the task that reads the ring.
+    pub ring_changed: tokio::sync::Notify,
     routers: AtomicUsize,
-    /// What holders have cached.
+    /// The prompt index: which holders have which prompt parts cached.
     pub prefix_view: invalidations::PrefixView,
     endpoints: endpoints::Endpoints,
     links: parking_lot::Mutex<hashbrown::HashMap<std::net::Ipv4Addr, Arc<fleet_core::link::Link>>>,
 }
 
 impl FleetView {
-    /// A view that knows nothing.
+    /// An empty view, before the first update of a controller.
     pub fn new() -> Self {
         FleetView {
             routing_table: parking_lot::RwLock::new(None),
             announced_config: tokio::sync::watch::channel(0).0,
             engines: parking_lot::RwLock::default(),
             targets: parking_lot::RwLock::default(),
-            disturbed: parking_lot::Mutex::default(),
+            controller_lost_at: parking_lot::Mutex::default(),
             membership: parking_lot::Mutex::default(),
             ring_sources: RingSources::default(),
-            ring_moved: tokio::sync::Notify::new(),
+            ring_changed: tokio::sync::Notify::new(),
             routers: AtomicUsize::new(1),
             prefix_view: invalidations::PrefixView::new(),
             endpoints: endpoints::Endpoints::default(),
@@ -83,12 +82,12 @@
         }
     }
 
-    /// The configuration in force, compiled; none before the first.
+    /// The compiled configuration in force; none before the first one was fetched.
     pub fn routing_table(&self) -> Option<Arc<routing_table::Table>> {
         self.routing_table.read().clone()
     }
 
-    /// Puts a configuration in force; false if a newer one, or the same, is.
+    /// Puts a configuration in force. Returns false, and changes nothing, if the same version or a newer one already is.
     pub fn set_table(&self, newer: routing_table::Table) -> bool {
         let mut current = self.routing_table.write();
         if current.as_ref().is_some_and(|routing_table| routing_table.version >= newer.version) {
@@ -98,48 +97,49 @@
         true
     }
 
-    /// The newest version that was named for a model's weights.
+    /// The newest target version of a model's weights; none if none was announced.
     pub fn target_version(&self, model: &str) -> Option<u64> {
         let targets = self.targets.read();
         targets.get(model)?.newest().map(|target| target.version)
     }
 
-    /// When the newest version was named for a model's weights.
+    /// When the newest target version of a model's weights was announced; none if none was.
     pub fn target_named_at(&self, model: &str) -> Option<Instant> {
         let targets = self.targets.read();
         targets.get(model)?.newest().map(|target| target.since)
     }
 
-    /// Until when requests may begin under the weights of each version of a model.
+    /// The bounds until which requests may begin under each version of a model's weights.
     pub fn version_bound(&self, model: &str, bound: Duration) -> VersionBound {
         let targets = self.targets.read().get(model).cloned().unwrap_or_default();
-        VersionBound::new(targets, *self.disturbed.lock(), bound)
+        VersionBound::new(targets, *self.controller_lost_at.lock(), bound)
     }
 
-    /// The versions named for the weights of all models, by name.
+    /// The target versions of all models' weights, by model.
     pub fn targets(&self) -> std::collections::BTreeMap<String, Arc<TargetVersions>> {
         let targets = self.targets.read();
         targets.iter().map(|(model, targets)| (model.clone(), targets.clone())).collect()
     }
 
-    /// A controller was lost at this moment: the roll-out may be held up, and all bounds count from here at the earliest.
-    pub fn disturb(&self, at: Instant) {
-        let mut disturbed = self.disturbed.lock();
-        *disturbed = disturbed.map_or(Some(at), |before| Some(before.max(at)));
+    /// Records the loss of a controller. It may delay the rollout, so all version bounds are counted from this time at the
+    /// earliest.
+    pub fn record_controller_loss(&self, at: Instant) {
+        let mut controller_lost_at = self.controller_lost_at.lock();
+        *controller_lost_at = controller_lost_at.map_or(Some(at), |before| Some(before.max(at)));
     }
 
-    /// Live routers, this one included.
+    /// Number of live routers, this one included; at least 1.
     pub fn routers(&self) -> usize {
         self.routers.load(Ordering::Relaxed).max(1)
     }
 
-    /// The link to a controller, if there is one.
+    /// The link to the controller at an IPv4 address; none if there is no link or the address is invalid.
     pub fn link_to(&self, ip: &str) -> Option<Arc<fleet_core::link::Link>> {
         let ip: std::net::Ipv4Addr = ip.parse().ok()?;
         self.links.lock().get(&ip).cloned()
     }
 
-    /// The address of the ring that this router reads; none while there is none to be read.
+    /// The address of the controller whose copy of the ring this router reads; none while no copy is available.
     fn ring_to_read(&self, node: &fleet_core::node::Node) -> Option<String> {
         let membership = self.membership.lock().clone();
         let is_up = |member: &Member| self.link_to(&member.ip).is_some_and(|link| link.is_up());
@@ -147,7 +147,7 @@
         self.ring_sources.choose(&membership.members, &reader, is_up, Instant::now())
     }
 
-    /// Frames and answers of controllers that could not be taken, over the links kept now.
+    /// Number of frames and responses of controllers that were rejected, summed over the current links.
     pub fn links_rejected(&self) -> u64 {
         self.links.lock().values().map(|link| link.rejected()).sum()
     }
@@ -156,9 +156,9 @@
         let current = self.engines.read().get(&update.id).cloned();
         match current {
             Some(engine) => {
-                // each of several controllers sends the same
+                // Several controllers send the same update; only the first one changes the engine.
                 if engine.update(update) {
-                    self.endpoints.stale();
+                    self.endpoints.invalidate();
                 }
                 if update.state() == EngineState::Deregistered {
                     self.prefix_view.remove_holder(&update.id);
@@ -167,25 +167,25 @@
             None => {
                 if let Some(engine) = EngineHandle::new(update) {
                     self.engines.write().insert(update.id.clone(), Arc::new(engine));
-                    self.endpoints.stale();
+                    self.endpoints.invalidate();
                 }
             }
         }
     }
 
-    /// The engines of a service, as the load balancer weighs them.
+    /// The engines of a service, prepared for the load balancer.
     pub fn endpoints_of(
         &self,
         service: &str,
         viewpoint: Viewpoint<'_>,
     ) -> Arc<endpoints::EndpointSet> {
-        self.endpoints.of(service, viewpoint, &self.engines, self.prefix_view.current_index())
+        self.endpoints.get(service, viewpoint, &self.engines, self.prefix_view.current_index())
     }
 
-    /// Weights seen in an answer of an engine.
+    /// Records the version of a model's weights that a response of an engine reported.
     pub fn saw_weights(&self, engine: &EngineHandle, model: &str, version: u64) {
         if engine.saw_weights(model, version) {
-            self.endpoints.stale();
+            self.endpoints.invalidate();
         }
     }
 
@@ -198,54 +198,54 @@
         Arc::make_mut(targets).learn(update.version, since);
     }
 
-    /// The highest version of a configuration that a controller announced.
+    /// Watches the highest configuration version that a controller announced; 0 before the first.
     pub fn announced_config(&self) -> tokio::sync::watch::Receiver<u64> {
         self.announced_config.subscribe()
     }
 
-    /// The links to controllers that are up, in the order of their addresses; those
-    /// that answered lately, unless there is none.
+    /// The links to controllers that are up, ordered by address. Links without a response within
+    /// [`constants::CONTROLLER_FRESH`] are left out unless there are no others.
     pub fn links_up(&self) -> Vec<Arc<fleet_core::link::Link>> {
         let links = self.links.lock();
         let mut up: Vec<_> = links.iter().filter(|(_, link)| link.is_up()).collect();
         up.sort_unstable_by_key(|(ip, _)| **ip);
-        let fresh = |link: &fleet_core::link::Link| {
+        let is_responsive = |link: &fleet_core::link::Link| {
             link.time_since_received()
-                .is_some_and(|silent_for| silent_for < constants::CONTROLLER_FRESH)
+                .is_some_and(|idle_time| idle_time < constants::CONTROLLER_FRESH)
         };
-        if up.iter().any(|(_, link)| fresh(link)) {
-            up.retain(|(_, link)| fresh(link));
+        if up.iter().any(|(_, link)| is_responsive(link)) {
+            up.retain(|(_, link)| is_responsive(link));
         }
         up.into_iter().map(|(_, link)| link.clone()).collect()
     }
 
-    /// Takes what a controller pushed.
-    pub fn apply(&self, view: &FleetUpdate) {
-        for engine in &view.engines {
+    /// Applies an update from a controller.
+    pub fn apply(&self, update: &FleetUpdate) {
+        for engine in &update.engines {
             self.update_engine(engine);
         }
-        for weights in &view.weights {
+        for weights in &update.weights {
             self.update_target(weights);
         }
-        if let Some(membership) = &view.membership {
+        if let Some(membership) = &update.membership {
             self.update_membership(membership);
         }
-        if let Some(head) = &view.ring {
+        if let Some(head) = &update.ring {
             self.ring_sources.update_owner(head, Instant::now());
         }
-        if let Some(head) = &view.ring_relay {
+        if let Some(head) = &update.ring_relay {
             self.ring_sources.update_relay(head);
         }
-        if view.routers > 0 {
-            self.routers.store(view.routers as usize, Ordering::Relaxed);
+        if update.routers > 0 {
+            self.routers.store(update.routers as usize, Ordering::Relaxed);
         }
-        if view.ring.is_some() || view.ring_relay.is_some() || view.nudge {
-            self.ring_moved.notify_one();
+        if update.ring.is_some() || update.ring_relay.is_some() || update.nudge {
+            self.ring_changed.notify_one();
         }
         self.announced_config.send_if_modified(|announced| {
-            let rises = view.config > *announced;
-            *announced = view.config.max(*announced);
-            rises
+            let is_newer = update.config > *announced;
+            *announced = update.config.max(*announced);
+            is_newer
         });
     }
 
--- a/crates/data-plane/src/fleet_view/ring_sources.rs
+++ b/crates/data-plane/src/fleet_view/ring_sources.rs
@@ -1,7 +1,8 @@
-//! Which copy of the ring this router reads: the index owner's, or that of a controller that relays it.
+//! Selects the copy of the invalidation ring to read: the index owner's, or that of a controller that relays it.
 //!
-//! A copy in the own zone costs no bytes between zones, and the owner's line is shared by all. The owner's own ring is read
-//! where it stands in the zone, where there are few routers, and where no relay can be reached.
+//! Reading from a relay in the same zone causes no traffic between zones, and takes load off the owner's link, which all
+//! readers share. The owner's ring is read if the owner is in the same zone, if there are few routers, or if no relay is
+//! reachable.
 
 use fleet_core::constants;
 use fleet_core::wire::{Member, RingHead};
@@ -9,35 +10,36 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// The index owner's ring, and since when this owner is known.
+/// State of the index owner's ring, and when this owner was first seen.
 #[derive(Clone)]
 struct OwnerRing {
     head: RingHead,
     since: Instant,
 }
 
-/// What is known of the ring and of its copies. The locks are leaves.
+/// The known state of the ring and of its relayed copies. No other lock is taken while one of these is held.
 #[derive(Default)]
 pub struct RingSources {
     owner: Mutex<Option<OwnerRing>>,
-    /// By address.
+    /// By address of the relay.
     relays: Mutex<HashMap<String, RingHead>>,
-    /// Relays that didn't answer, and until when they are left alone.
+    /// Relays that didn't respond, by address, and the time until which they are not read from.
     avoided: Mutex<HashMap<String, Instant>>,
 }
 
-/// Who looks for a ring to read.
+/// The router that selects a ring to read.
 pub struct RingReader<'a> {
-    /// Its zone.
+    /// Zone of the router.
     pub zone: &'a str,
-    /// Its name.
+    /// Node name of the router.
     pub name: &'a str,
-    /// How many routers there are.
+    /// Number of live routers.
     pub routers: usize,
 }
 
 impl RingSources {
-    /// The owner's ring has moved, or another controller owns it. What is older than the known one changes nothing.
+    /// Records that the owner's ring has advanced or that its owner has changed. Updates older than the known state are
+    /// ignored.
     pub fn update_owner(&self, head: &RingHead, now: Instant) {
         let mut owner = self.owner.lock();
         let since = match &*owner {
@@ -53,7 +55,7 @@
         *owner = Some(OwnerRing { head: head.clone(), since });
     }
 
-    /// A relay's copy has moved; one without a fencing token is relayed no longer.
+    /// Records that a relay's copy has advanced, or was withdrawn if its fencing token is 0.
     pub fn update_relay(&self, head: &RingHead) {
         let mut relays = self.relays.lock();
         if head.fencing_token == 0 {
@@ -63,23 +65,24 @@
         }
     }
 
-    /// The link to a controller has ended: whether it relays is told again when it is up.
+    /// Forgets a relay whose link went down; the controller announces its copy again once the link is back up.
     pub fn forget_relay(&self, address: &str) {
         self.relays.lock().remove(address);
     }
 
-    /// A relay didn't answer.
+    /// Excludes a relay that didn't respond; it is tried again after [`constants::RELAY_RETRY_INTERVAL`].
     pub fn avoid(&self, address: &str, now: Instant) {
         let until = now + constants::RELAY_RETRY_INTERVAL;
         self.avoided.lock().insert(address.to_owned(), until);
     }
 
-    /// Where the owner's ring stands.
+    /// The newest known head of the owner's ring; none while no owner is known.
     pub fn owner(&self) -> Option<RingHead> {
         self.owner.lock().as_ref().map(|owner| owner.head.clone())
     }
 
-    /// The address of the ring to read; none while no owner is known, or a relay may still come up.
+    /// The address of the controller to read the ring from; none while no owner is known, or while the relay that would be
+    /// preferred may still start.
     pub fn choose(
         &self,
         members: &[Member],
@@ -92,17 +95,18 @@
         if routers < constants::RELAY_ROUTERS {
             return Some(owner.head.owner);
         }
-        let preferred = |is_eligible: &dyn Fn(&Member) -> bool| {
-            super::load_reports::chosen(members.iter(), zone, name, is_eligible)
+        let preferred_among = |is_eligible: &dyn Fn(&Member) -> bool| {
+            super::load_reports::preferred_controller(members.iter(), zone, name, is_eligible)
                 .map(|member| member.ip.clone())
         };
-        let nearest = preferred(&is_up);
-        let best = preferred(&|member| is_up(member) && self.can_read(member, &owner.head, now));
-        let is_patient = now.duration_since(owner.since) < constants::RELAY_PATIENCE;
-        if is_patient && nearest.is_some() && best != nearest {
+        let preferred = preferred_among(&is_up);
+        let available =
+            preferred_among(&|member| is_up(member) && self.can_read(member, &owner.head, now));
+        let may_wait = now.duration_since(owner.since) < constants::RELAY_PATIENCE;
+        if may_wait && preferred.is_some() && available != preferred {
             return None;
         }
-        Some(best.unwrap_or(owner.head.owner))
+        Some(available.unwrap_or(owner.head.owner))
     }
 
     fn can_read(&self, member: &Member, owner: &RingHead, now: Instant) -> bool {
--- a/crates/data-plane/src/fleet_view/ring_sources_tests.rs
+++ b/crates/data-plane/src/fleet_view/ring_sources_tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 const OWNER: &str = "10.0.0.1";
-const NEAR: &str = "10.0.0.2";
-const FAR: &str = "10.0.0.3";
+const SAME_ZONE: &str = "10.0.0.2";
+const OTHER_ZONE: &str = "10.0.0.3";
 
 fn member(ip: &str, zone: &str) -> Member {
     Member { ip: ip.into(), zone: zone.into(), ..Default::default() }
 }
 
 fn members() -> Vec<Member> {
-    vec![member(OWNER, "a"), member(NEAR, "b"), member(FAR, "c")]
+    vec![member(OWNER, "a"), member(SAME_ZONE, "b"), member(OTHER_ZONE, "c")]
 }
 
 fn head(address: &str, fencing_token: u64) -> RingHead {
@@ -22,71 +22,75 @@
     RingReader { zone, name: "r", routers }
 }
 
-/// What a router of zone b reads among hundreds, so long after the owner was met.
-fn chosen(sources: &RingSources, met: Instant, is_up: impl Fn(&Member) -> bool) -> Option<String> {
-    let later = met + constants::RELAY_PATIENCE;
-    sources.choose(&members(), &reader("b", 300), is_up, later)
+/// The address that a router in zone b, one of 300, reads from once it no longer waits for a relay.
+fn choose_in_zone_b(
+    sources: &RingSources,
+    owner_since: Instant,
+    is_up: impl Fn(&Member) -> bool,
+) -> Option<String> {
+    let now = owner_since + constants::RELAY_PATIENCE;
+    sources.choose(&members(), &reader("b", 300), is_up, now)
 }
 
-fn sources(met: Instant) -> RingSources {
+fn sources(owner_since: Instant) -> RingSources {
     let sources = RingSources::default();
-    sources.update_owner(&head(OWNER, 4), met);
+    sources.update_owner(&head(OWNER, 4), owner_since);
     sources
 }
 
 #[test]
-fn a_relay_of_the_own_zone_is_read_by_one_of_many_routers() {
-    let met = Instant::now();
-    let sources = sources(met);
-    sources.update_relay(&head(NEAR, 4));
-    sources.update_relay(&head(FAR, 4));
-    assert_eq!(chosen(&sources, met, |_| true).as_deref(), Some(NEAR));
-    let few = sources.choose(&members(), &reader("b", 9), |_| true, met);
-    assert_eq!(few.as_deref(), Some(OWNER), "few routers read the owner");
-    let beside_owner = sources.choose(&members(), &reader("a", 300), |_| true, met);
-    assert_eq!(beside_owner.as_deref(), Some(OWNER));
+fn with_many_routers_the_relay_in_the_same_zone_is_read() {
+    let owner_since = Instant::now();
+    let sources = sources(owner_since);
+    sources.update_relay(&head(SAME_ZONE, 4));
+    sources.update_relay(&head(OTHER_ZONE, 4));
+    assert_eq!(choose_in_zone_b(&sources, owner_since, |_| true).as_deref(), Some(SAME_ZONE));
+    let few = sources.choose(&members(), &reader("b", 9), |_| true, owner_since);
+    assert_eq!(few.as_deref(), Some(OWNER), "few routers read from the owner");
+    let in_owner_zone = sources.choose(&members(), &reader("a", 300), |_| true, owner_since);
+    assert_eq!(in_owner_zone.as_deref(), Some(OWNER));
 }
 
 #[test]
-fn a_relay_that_is_down_or_silent_or_behind_another_owner_is_left() {
-    let met = Instant::now();
-    let sources = sources(met);
-    sources.update_relay(&head(NEAR, 4));
-    let without_near = |member: &Member| member.ip != NEAR;
-    assert_ne!(chosen(&sources, met, without_near).as_deref(), Some(NEAR));
-    sources.avoid(NEAR, met + constants::RELAY_PATIENCE);
-    assert_eq!(chosen(&sources, met, |_| true).as_deref(), Some(OWNER));
-    let retried = met + constants::RELAY_PATIENCE + constants::RELAY_RETRY_INTERVAL;
-    let choose = || sources.choose(&members(), &reader("b", 300), |_| true, retried);
-    assert_eq!(choose().as_deref(), Some(NEAR));
-    sources.update_owner(&head(OWNER, 5), met);
-    assert_eq!(choose().as_deref(), Some(OWNER), "it relays a former owner");
-    sources.update_relay(&head(NEAR, 5));
-    assert_eq!(choose().as_deref(), Some(NEAR));
-    sources.update_relay(&head(NEAR, 0));
-    assert_eq!(choose().as_deref(), Some(OWNER), "it was withdrawn");
+fn a_relay_that_is_down_or_unresponsive_or_of_a_former_owner_is_not_read() {
+    let owner_since = Instant::now();
+    let sources = sources(owner_since);
+    sources.update_relay(&head(SAME_ZONE, 4));
+    let is_up = |member: &Member| member.ip != SAME_ZONE;
+    assert_ne!(choose_in_zone_b(&sources, owner_since, is_up).as_deref(), Some(SAME_ZONE));
+    sources.avoid(SAME_ZONE, owner_since + constants::RELAY_PATIENCE);
+    assert_eq!(choose_in_zone_b(&sources, owner_since, |_| true).as_deref(), Some(OWNER));
+    let retry_at = owner_since + constants::RELAY_PATIENCE + constants::RELAY_RETRY_INTERVAL;
+    let choose = || sources.choose(&members(), &reader("b", 300), |_| true, retry_at);
+    assert_eq!(choose().as_deref(), Some(SAME_ZONE));
+    sources.update_owner(&head(OWNER, 5), owner_since);
+    assert_eq!(choose().as_deref(), Some(OWNER), "the relay has the ring of a former owner");
+    sources.update_relay(&head(SAME_ZONE, 5));
+    assert_eq!(choose().as_deref(), Some(SAME_ZONE));
+    sources.update_relay(&head(SAME_ZONE, 0));
+    assert_eq!(choose().as_deref(), Some(OWNER), "the relay was withdrawn");
 }
 
 #[test]
-fn routers_wait_for_the_relay_of_their_zone_before_they_all_read_the_owner() {
-    let met = Instant::now();
-    let sources = sources(met);
+fn routers_wait_for_the_relay_in_their_zone_before_they_read_from_the_owner() {
+    let owner_since = Instant::now();
+    let sources = sources(owner_since);
     let choose = |now| sources.choose(&members(), &reader("b", 300), |_| true, now);
-    assert_eq!(choose(met), None);
-    sources.update_relay(&head(FAR, 4));
-    assert_eq!(choose(met), None, "another zone's relay has its own routers");
-    assert!(choose(met + constants::RELAY_PATIENCE).is_some());
-    sources.update_relay(&head(NEAR, 4));
-    assert_eq!(choose(met).as_deref(), Some(NEAR));
+    assert_eq!(choose(owner_since), None);
+    sources.update_relay(&head(OTHER_ZONE, 4));
+    assert_eq!(choose(owner_since), None, "the relay of another zone serves the routers there");
+    assert!(choose(owner_since + constants::RELAY_PATIENCE).is_some());
+    sources.update_relay(&head(SAME_ZONE, 4));
+    assert_eq!(choose(owner_since).as_deref(), Some(SAME_ZONE));
 }
 
 #[test]
-fn nothing_is_read_before_an_owner_is_known_and_heads_never_go_back() {
+fn nothing_is_read_before_an_owner_is_known_and_older_heads_are_ignored() {
     let now = Instant::now();
     let sources = RingSources::default();
-    sources.update_relay(&head(NEAR, 4));
-    assert_eq!(chosen(&sources, now, |_| true), None);
-    sources.update_owner(&head(FAR, 5), now);
+    sources.update_relay(&head(SAME_ZONE, 4));
+    assert_eq!(choose_in_zone_b(&sources, now, |_| true), None);
+    sources.update_owner(&head(OTHER_ZONE, 5), now);
     sources.update_owner(&head(OWNER, 4), now);
-    assert_eq!(sources.owner().map(|head| head.owner).as_deref(), Some(FAR));
+    assert_eq!(sources.owner().map(|head| head.owner).as_deref(), Some(OTHER_ZONE));
 }
--- a/crates/data-plane/src/fleet_view/routing_table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -1,150 +1,170 @@
-//! A configuration compiled for look-ups by request.
+//! Compiles a configuration into a form that is fast to look up for each request.
 
 use fleet_core::configuration::{ConfigError, Configuration, Kind, Limits, Route, Service};
 use std::sync::Arc;
 
 /// A tenant of the configuration.
 pub struct Tenant {
-    /// its name, as engines see it
+    /// Name, as sent to engines.
     pub name: String,
-    /// rank of its requests, 0 is highest; goes before the route's
+    /// Priority of its requests; 0 is the highest. It takes precedence over the route's priority.
     pub priority: i64,
-    /// shares no prompt part with others
+    /// Whether its cached prompt parts are kept separate from those of other tenants.
     pub isolated: bool,
 }
 
-/// One configuration, compiled for look-ups.
+/// One configuration, compiled for lookups by host, API key and service name.
 pub struct Table {
-    /// number of the configuration
+    /// Version of the configuration.
     pub version: u64,
-    /// isolation generation of the shared prompt parts
+    /// Generation of the isolation key that non-isolated tenants share.
     pub isolation: u64,
-    /// what clients may send
+    /// Limits on the requests of clients.
     pub limits: Limits,
+    /// By host in lower case; the routes of a host are sorted by descending length of their path prefix.
     routes: hashbrown::HashMap<String, Vec<Arc<Route>>, ahash::RandomState>,
-    keys: hashbrown::HashMap<String, usize, ahash::RandomState>,
+    /// Maps an API key to an index into `tenants`.
+    tenant_by_key: hashbrown::HashMap<String, usize, ahash::RandomState>,
     tenants: Vec<Arc<Tenant>>,
     services: hashbrown::HashMap<String, Service, ahash::RandomState>,
     stores: Vec<Service>,
-    /// by service, rank and aim of its least urgent routes
-    least: hashbrown::HashMap<String, (i64, u64), ahash::RandomState>,
+    /// Priority and target latency in milliseconds of the least urgent route of each service.
+    least_urgent: hashbrown::HashMap<String, (i64, u64), ahash::RandomState>,
 }
 
-/// May a second engine run it too?
+/// How often a request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// as often as the route allows
+    /// Up to the maximum number of attempts of the route.
     Freely,
-    /// only behind the last event that the client got
+    /// More than once only by resuming after the last event that the client has received.
     ByResuming,
-    /// at most once
+    /// At most once.
     Never,
 }
 
 impl Table {
-    /// Reads and compiles a configuration.
+    /// Parses, validates and compiles a configuration.
     ///
     /// # Errors
-    /// What makes the body unreadable or invalid.
+    ///
+    /// The body can't be parsed, or the configuration is invalid.
     pub fn compile(body: &[u8], isolation: u64) -> Result<Table, ConfigError> {
-        let c = Configuration::read(body)?;
+        let configuration = Configuration::read(body)?;
         let mut routes: hashbrown::HashMap<String, Vec<Arc<Route>>, ahash::RandomState> =
             hashbrown::HashMap::default();
-        for r in c.routes {
-            routes.entry(r.host.to_ascii_lowercase()).or_default().push(Arc::new(r));
+        for route in configuration.routes {
+            routes.entry(route.host.to_ascii_lowercase()).or_default().push(Arc::new(route));
         }
-        let mut least: hashbrown::HashMap<String, (i64, u64), ahash::RandomState> =
+        let mut least_urgent: hashbrown::HashMap<String, (i64, u64), ahash::RandomState> =
             hashbrown::HashMap::default();
-        for r in routes.values().flatten() {
-            for (s, _) in r.shares() {
-                let l = least.entry_ref(s).or_insert((r.priority, r.target_ms));
-                *l = (*l).max((r.priority, r.target_ms));
+        for route in routes.values().flatten() {
+            for (service, _) in route.shares() {
+                let urgency =
+                    least_urgent.entry_ref(service).or_insert((route.priority, route.target_ms));
+                *urgency = (*urgency).max((route.priority, route.target_ms));
             }
         }
-        for v in routes.values_mut() {
-            v.sort_by_key(|r| std::cmp::Reverse(r.path_prefix.len()));
+        for routes_of_host in routes.values_mut() {
+            routes_of_host.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
-        let mut keys = hashbrown::HashMap::default();
+        let mut tenant_by_key = hashbrown::HashMap::default();
         let mut tenants = Vec::new();
-        for t in c.tenants {
-            for k in t.api_keys {
-                keys.insert(k, tenants.len());
+        for tenant in configuration.tenants {
+            for key in tenant.api_keys {
+                tenant_by_key.insert(key, tenants.len());
             }
-            let t = Tenant { name: t.name, priority: t.priority, isolated: t.isolated };
-            tenants.push(Arc::new(t));
+            let tenant =
+                Tenant { name: tenant.name, priority: tenant.priority, isolated: tenant.isolated };
+            tenants.push(Arc::new(tenant));
         }
-        let stores = c.services.iter().filter(|s| s.kv_store.is_some()).cloned().collect();
-        let services = c.services.into_iter().map(|s| (s.name.clone(), s)).collect();
+        let stores = configuration
+            .services
+            .iter()
+            .filter(|service| service.kv_store.is_some())
+            .cloned()
+            .collect();
+        let services = configuration
+            .services
+            .into_iter()
+            .map(|service| (service.name.clone(), service))
+            .collect();
         Ok(Table {
-            version: c.revision,
+            version: configuration.revision,
             isolation,
-            limits: c.limits,
+            limits: configuration.limits,
             routes,
-            keys,
+            tenant_by_key,
             tenants,
             services,
             stores,
-            least,
+            least_urgent,
         })
     }
 
-    /// The route of a host with the longest prefix of the path; a port in `host` is left out.
+    /// The route of a host whose path prefix is the longest that matches. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let name = host.rsplit_once(':').map_or(host, |(h, _)| h);
-        let routes = self.routes.get(host).or_else(|| self.routes.get(name));
+        let host_name = host.rsplit_once(':').map_or(host, |(host_name, _)| host_name);
+        let routes = self.routes.get(host).or_else(|| self.routes.get(host_name));
         let routes = match routes {
-            Some(r) => r,
-            None => self.routes.get(name.to_ascii_lowercase().as_str())?,
+            Some(found) => found,
+            None => self.routes.get(host_name.to_ascii_lowercase().as_str())?,
         };
-        routes.iter().find(|r| path.starts_with(&r.path_prefix))
+        routes.iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// No tenants at all: all may pass, nameless.
+    /// Whether any tenant is configured. If none is, requests are accepted without an API key and belong to no tenant.
     pub fn has_tenants(&self) -> bool {
         !self.tenants.is_empty()
     }
 
-    /// Who holds this key.
+    /// The tenant that an API key belongs to; none if the key is unknown.
     pub fn tenant(&self, key: &str) -> Option<&Arc<Tenant>> {
-        self.tenants.get(*self.keys.get(key)?)
+        self.tenants.get(*self.tenant_by_key.get(key)?)
     }
 
-    /// Somebody waits for it: not among the least urgent routes of its service, by rank and aim.
-    pub fn is_interactive(&self, r: &Route) -> bool {
-        let least = r.shares().into_iter().filter_map(|(s, _)| self.least.get(s)).max();
-        least.is_none_or(|l| (r.priority, r.target_ms) < *l)
+    /// Whether a user waits for the response: the route is more urgent, by priority and target latency, than the least urgent
+    /// route of its services.
+    pub fn is_interactive(&self, route: &Route) -> bool {
+        let least_urgent = route
+            .shares()
+            .into_iter()
+            .filter_map(|(service, _)| self.least_urgent.get(service))
+            .max();
+        least_urgent.is_none_or(|urgency| (route.priority, route.target_ms) < *urgency)
     }
 
-    /// A service by its name.
+    /// The configuration of a service; none if there is no service of this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// All stores of prompt parts.
+    /// The services that are KV stores.
     pub fn stores(&self) -> &[Service] {
         &self.stores
     }
 
-    /// Picks a service by weight; `random` is any number.
-    pub fn pick<'a>(&self, r: &'a Route, random: u64) -> Option<&'a str> {
-        let shares = r.shares();
-        let sum: u64 = shares.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut at = random.checked_rem(sum)?;
-        for (s, w) in shares {
-            if at < u64::from(w) {
-                return Some(s);
+    /// Selects a service of a route by weight, with `random` drawn uniformly from all values of `u64`; none if all weights
+    /// are 0.
+    pub fn pick<'a>(&self, route: &'a Route, random: u64) -> Option<&'a str> {
+        let shares = route.shares();
+        let total: u64 = shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
+        let mut remaining = random.checked_rem(total)?;
+        for (service, weight) in shares {
+            if remaining < u64::from(weight) {
+                return Some(service);
             }
-            at -= u64::from(w);
+            remaining -= u64::from(weight);
         }
         None
     }
 }
 
-/// How often a request of this route may run.
-pub fn repeat(r: &Route) -> Repeat {
-    match r.kind {
+/// How often a request of this route may be executed.
+pub fn repeat(route: &Route) -> Repeat {
+    match route.kind {
         Kind::Safe => Repeat::Freely,
-        Kind::Streaming if r.resumable => Repeat::ByResuming,
+        Kind::Streaming if route.resumable => Repeat::ByResuming,
         Kind::Streaming | Kind::Unsafe => Repeat::Never,
     }
 }
--- a/crates/data-plane/src/fleet_view/routing_table_tests.rs
+++ b/crates/data-plane/src/fleet_view/routing_table_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `table`.
+//! Tests of `routing_table`.
 
 use super::*;
 
-fn table() -> Table {
-    let sheet = serde_json::json!({
+fn compiled() -> Table {
+    let configuration = serde_json::json!({
         "revision": 3,
         "routes": [
             {"host": "H.example", "pathPrefix": "/a/", "kind": "streaming", "timeoutMs": 10, "service": "s"},
@@ -13,25 +13,25 @@
         "services": [{"name": "s", "maxConns": 5}, {"name": "u"}, {"name": "k", "kvStore": "10.0.0.1:80"}],
         "tenants": [{"name": "t", "apiKeys": ["k1"]}],
     });
-    Table::compile(sheet.to_string().as_bytes(), 1).unwrap()
+    Table::compile(configuration.to_string().as_bytes(), 1).unwrap()
 }
 
 #[test]
-fn longest_prefix_of_the_host_wins() {
-    let t = table();
-    assert_eq!(t.route("h.example", "/a/b/c").unwrap().path_prefix, "/a/b/");
-    assert_eq!(t.route("H.EXAMPLE:80", "/a/x").unwrap().path_prefix, "/a/");
-    assert!(t.route("h.example", "/a").is_none());
-    assert!(t.route("other", "/a/").is_none());
+fn the_longest_matching_path_prefix_of_the_host_wins() {
+    let table = compiled();
+    assert_eq!(table.route("h.example", "/a/b/c").unwrap().path_prefix, "/a/b/");
+    assert_eq!(table.route("H.EXAMPLE:80", "/a/x").unwrap().path_prefix, "/a/");
+    assert!(table.route("h.example", "/a").is_none());
+    assert!(table.route("other", "/a/").is_none());
 }
 
 #[test]
-fn picks_by_weight_and_knows_tenants_and_store() {
-    let t = table();
-    let r = t.route("h.example", "/a/b/").unwrap();
-    assert!((0..10).all(|d| t.pick(r, d) == Some("s")));
-    assert_eq!(repeat(r), Repeat::ByResuming);
-    assert_eq!(t.tenant("k1").unwrap().name, "t");
-    assert!(t.tenant("k2").is_none());
-    assert_eq!(t.stores()[0].name, "k");
+fn picks_services_by_weight_and_finds_tenants_and_stores() {
+    let table = compiled();
+    let route = table.route("h.example", "/a/b/").unwrap();
+    assert!((0..10).all(|random| table.pick(route, random) == Some("s")));
+    assert_eq!(repeat(route), Repeat::ByResuming);
+    assert_eq!(table.tenant("k1").unwrap().name, "t");
+    assert!(table.tenant("k2").is_none());
+    assert_eq!(table.stores()[0].name, "k");
 }
--- a/crates/data-plane/src/fleet_view/version_bound.rs
+++ b/crates/data-plane/src/fleet_view/version_bound.rs
@@ -1,13 +1,14 @@
-//! May a request begin under the weights that an engine has?
+//! Decides whether a request may begin under the weights that an engine has.
 //!
-//! This is the only place that decides it. First dispatches, retries and resumed streams all come through the load
-//! balancer's [`candidates`](crate::load_balancer::candidates), which asks here; `proxy::dispatch` holds a
-//! dispatch to the answer after it was sent.
+//! No other code decides this. First dispatches, retries and resumed streams all use the load balancer's
+//! [`candidates`](crate::load_balancer::candidates), which checks the bound here, and `proxy::dispatch` enforces it after a
+//! dispatch.
 //!
-//! The rule is on the beginning of a run, which is the engine's to decide. Between the dispatch and the beginning lie
-//! the way to the engine and the wait in its queue. A router knows the wait only by what engines and other routers
-//! report, so an outdated engine is given up [`constants::VERSION_MARGIN`] and the expected wait before the bound, and a
-//! request that has no response at [`constants::VERSION_CUTOFF`] before the bound is taken back.
+//! The rule applies to the time when an engine begins to run a request, which the engine decides. Between the dispatch and
+//! that time lie the network latency and the wait in the engine's queue. A router can only estimate that wait from what
+//! engines and other routers report. It therefore stops dispatching to an outdated engine [`constants::VERSION_MARGIN`]
+//! plus the expected wait before the bound, and cancels a request that still has no response
+//! [`constants::VERSION_CUTOFF`] before the bound.
 
 use fleet_core::constants;
 use fleet_core::target_versions::TargetVersions;
@@ -15,45 +16,48 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Until when requests may begin under the weights of each version of one model.
+/// The bounds until which requests may begin under each version of one model's weights.
 #[derive(Debug, Clone)]
 pub struct VersionBound {
     targets: Arc<TargetVersions>,
-    /// The bound counts from here at the earliest; none if nothing held the roll-out up.
-    disturbed: Option<Instant>,
+    /// Bounds are counted from this time at the earliest, since the loss of a controller may delay the rollout; none if no
+    /// controller was lost.
+    controller_lost_at: Option<Instant>,
     bound: Duration,
 }
 
 impl VersionBound {
-    /// The bound of a model: so long after a version was named, no request begins under an older one.
+    /// `bound` is the time after the announcement of a version from which no request may begin under an older one.
     pub fn new(
         targets: Arc<TargetVersions>,
-        disturbed: Option<Instant>,
+        controller_lost_at: Option<Instant>,
         bound: Duration,
     ) -> VersionBound {
-        VersionBound { targets, disturbed, bound }
+        VersionBound { targets, controller_lost_at, bound }
     }
 
-    /// The newest version; none if no version was named.
+    /// The newest target version; none if none was announced.
     pub fn target_version(&self) -> Option<u64> {
         self.targets.newest().map(|target| target.version)
     }
 
-    /// The moment from which no request may begin under the weights of a version; none for the newest.
+    /// The time from which no request may begin under a version of the weights; none for the newest version.
     pub fn end_of(&self, version: u64) -> Option<Instant> {
         let since = self.targets.outdated_since(version)?;
-        let since = self.disturbed.map_or(since, |disturbed| disturbed.max(since));
+        let since = self
+            .controller_lost_at
+            .map_or(since, |controller_lost_at| controller_lost_at.max(since));
         Some(since + self.bound)
     }
 
-    /// Whether a request may be dispatched to an engine with the weights of a version, if it is expected to wait so
-    /// long there before it begins.
+    /// Whether a request may be dispatched to an engine with a version of the weights, given its expected wait there before
+    /// it begins.
     pub fn allows(&self, version: u64, expected_wait: Duration, now: Instant) -> bool {
         let margin = constants::VERSION_MARGIN + expected_wait;
         self.end_of(version).is_none_or(|end| now + margin < end)
     }
 
-    /// When a dispatch under the weights of a version is taken back if no response has begun; none for the newest.
+    /// When a dispatch under a version of the weights is cancelled if no response has begun; none for the newest version.
     pub fn cutoff_of(&self, version: u64) -> Option<Instant> {
         self.end_of(version).map(|end| end - constants::VERSION_CUTOFF)
     }
--- a/crates/data-plane/src/fleet_view/version_bound_tests.rs
+++ b/crates/data-plane/src/fleet_view/version_bound_tests.rs
@@ -4,7 +4,7 @@
 
 const BOUND: Duration = Duration::from_secs(8);
 
-fn named(start: Instant, versions: &[(u64, u64)]) -> Arc<TargetVersions> {
+fn announced_targets(start: Instant, versions: &[(u64, u64)]) -> Arc<TargetVersions> {
     let mut targets = TargetVersions::default();
     for (version, ms) in versions {
         targets.learn(*version, start + Duration::from_millis(*ms));
@@ -13,22 +13,22 @@
 }
 
 #[test]
-fn old_weights_end_well_before_the_bound() {
+fn outdated_weights_are_refused_well_before_the_bound() {
     let start = Instant::now();
-    let bound = VersionBound::new(named(start, &[(3, 0)]), None, BOUND);
-    let none = Duration::ZERO;
-    assert!(bound.allows(2, none, start + Duration::from_secs(6)));
-    assert!(!bound.allows(2, none, start + Duration::from_secs(7)));
-    assert!(bound.allows(3, none, start + Duration::from_secs(60)));
-    let unnamed = VersionBound::new(Arc::default(), None, BOUND);
-    assert!(unnamed.allows(1, none, start));
-    assert_eq!(unnamed.end_of(1), None);
+    let bound = VersionBound::new(announced_targets(start, &[(3, 0)]), None, BOUND);
+    let no_wait = Duration::ZERO;
+    assert!(bound.allows(2, no_wait, start + Duration::from_secs(6)));
+    assert!(!bound.allows(2, no_wait, start + Duration::from_secs(7)));
+    assert!(bound.allows(3, no_wait, start + Duration::from_secs(60)));
+    let no_target = VersionBound::new(Arc::default(), None, BOUND);
+    assert!(no_target.allows(1, no_wait, start));
+    assert_eq!(no_target.end_of(1), None);
 }
 
 #[test]
-fn a_request_that_would_wait_past_the_bound_is_not_sent() {
+fn a_request_that_would_wait_past_the_bound_is_not_dispatched() {
     let start = Instant::now();
-    let bound = VersionBound::new(named(start, &[(3, 0)]), None, BOUND);
+    let bound = VersionBound::new(announced_targets(start, &[(3, 0)]), None, BOUND);
     let now = start + Duration::from_secs(5);
     assert!(bound.allows(2, Duration::from_millis(1000), now));
     assert!(!bound.allows(2, Duration::from_millis(2000), now));
@@ -36,15 +36,15 @@
 }
 
 #[test]
-fn each_version_ends_by_the_first_above_it_and_a_disturbance_counts_for_all() {
+fn each_bound_counts_from_the_next_version_and_at_the_earliest_from_a_controller_loss() {
     let start = Instant::now();
-    let targets = named(start, &[(2, 0), (3, 4400)]);
+    let targets = announced_targets(start, &[(2, 0), (3, 4400)]);
     let bound = VersionBound::new(targets.clone(), None, BOUND);
     assert_eq!(bound.end_of(1), Some(start + BOUND));
     assert_eq!(bound.end_of(2), Some(start + Duration::from_millis(4400) + BOUND));
     assert_eq!(bound.cutoff_of(1), Some(start + BOUND - constants::VERSION_CUTOFF));
-    let disturbed = start + Duration::from_secs(2);
-    let bound = VersionBound::new(targets, Some(disturbed), BOUND);
-    assert_eq!(bound.end_of(1), Some(disturbed + BOUND));
+    let controller_lost_at = start + Duration::from_secs(2);
+    let bound = VersionBound::new(targets, Some(controller_lost_at), BOUND);
+    assert_eq!(bound.end_of(1), Some(controller_lost_at + BOUND));
     assert_eq!(bound.end_of(2), Some(start + Duration::from_millis(4400) + BOUND));
 }
--- a/crates/data-plane/src/load_balancer/candidates.rs
+++ b/crates/data-plane/src/load_balancer/candidates.rs
@@ -1,4 +1,4 @@
-//! The engines of a service that may run a request.
+//! Filters the engines of a service down to those that may run a request.
 
 use super::cost;
 use super::prompt::Prompt;
@@ -11,105 +11,106 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An engine that may run the request, under these weights.
+/// An engine that may run the request.
 pub struct Candidate {
-    /// Its place in the endpoint set.
+    /// Index into [`EndpointSet::endpoints`].
     pub endpoint: usize,
-    /// The weights that the request would run under; none if the engine names none for the model.
+    /// Version of the weights that the request would run under; none if the engine reports none for the model.
     pub version: Option<u64>,
-    /// The roll-out is about to update it.
+    /// Whether the rollout is about to update the engine, so that new long streams should avoid it.
     pub draining_streams: bool,
     liveness: Liveness,
 }
 
-/// The evidence that an engine is alive, the weakest first.
+/// How likely an engine is to be alive, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Liveness {
-    /// Its heartbeats are missed, and it has served nothing since a connection broke.
-    Unlikely,
-    /// One of the two: a controller that is cut off misses all heartbeats, and a connection may fail once.
-    Doubtful,
-    /// Its heartbeats come, and nothing broke lately.
-    Awake,
+    /// Heartbeats are missed, and the engine has served nothing since a connection to it broke.
+    ProbablyDead,
+    /// Either heartbeats are missed or a connection broke recently. Neither alone is conclusive: a controller that is cut
+    /// off misses the heartbeats of all engines, and a connection may fail once.
+    Uncertain,
+    /// Heartbeats arrive, and no connection broke recently.
+    Alive,
 }
 
 impl Liveness {
     fn of(heartbeat_missed: bool, health: Health) -> Liveness {
         match (heartbeat_missed, health) {
-            (false, Health::Sound | Health::Unproven) => Liveness::Awake,
-            (false, Health::Ejected) | (true, Health::Sound) => Liveness::Doubtful,
-            (true, Health::Unproven | Health::Ejected) => Liveness::Unlikely,
+            (false, Health::Sound | Health::Unproven) => Liveness::Alive,
+            (false, Health::Ejected) | (true, Health::Sound) => Liveness::Uncertain,
+            (true, Health::Unproven | Health::Ejected) => Liveness::ProbablyDead,
         }
     }
 }
 
-/// Engines that may run the request; those that are likely dead only if there are no others.
+/// Returns the engines that may run the request, limited to those with the best liveness.
 pub fn candidates(
-    weights: &WantedWeights<'_>,
+    weights: &AllowedWeights<'_>,
     endpoint_set: &EndpointSet,
     attempted: &[String],
     now: Instant,
 ) -> Vec<Candidate> {
-    let mut found = Vec::with_capacity(endpoint_set.endpoints.len());
-    for (number, endpoint) in endpoint_set.endpoints.iter().enumerate() {
+    let mut candidates = Vec::with_capacity(endpoint_set.endpoints.len());
+    for (index, endpoint) in endpoint_set.endpoints.iter().enumerate() {
         if endpoint.state.state() != EngineState::Ready || attempted.contains(&endpoint.engine.id) {
             continue;
         }
-        found.extend(weights.candidate(number, endpoint, now));
+        candidates.extend(weights.candidate(index, endpoint, now));
     }
-    retain_liveliest(&mut found);
-    found
+    retain_best_liveness(&mut candidates);
+    candidates
 }
 
-/// Drops all but those with the strongest evidence of being alive.
-fn retain_liveliest(found: &mut Vec<Candidate>) {
-    if let Some(best) = found.iter().map(|candidate| candidate.liveness).max() {
-        found.retain(|candidate| candidate.liveness == best);
+/// Keeps only the candidates with the best liveness found among them.
+fn retain_best_liveness(candidates: &mut Vec<Candidate>) {
+    if let Some(best) = candidates.iter().map(|candidate| candidate.liveness).max() {
+        candidates.retain(|candidate| candidate.liveness == best);
     }
 }
 
-/// The weights that a request wants, and how long older ones may serve it.
-pub struct WantedWeights<'a> {
+/// Decides which versions of the model's weights a request may run under.
+pub struct AllowedWeights<'a> {
     model: Option<&'a str>,
-    /// Of the model; none without one.
+    /// None if the request names no model.
     bound: Option<VersionBound>,
 }
 
-impl<'a> WantedWeights<'a> {
-    /// Of the prompt's model, of which older versions serve until `version_bound` after a newer one was named.
+impl<'a> AllowedWeights<'a> {
+    /// For the prompt's model; an older version may serve until `version_bound` after a newer one was announced.
     pub fn new(view: &FleetView, prompt: &'a Prompt, version_bound: Duration) -> Self {
         let model = prompt.model.as_deref();
         let bound = model.map(|model| view.version_bound(model, version_bound));
-        WantedWeights { model, bound }
+        AllowedWeights { model, bound }
     }
 
-    /// The engine, if its weights allow it.
-    fn candidate(&self, number: usize, endpoint: &Endpoint, now: Instant) -> Option<Candidate> {
+    /// Returns the engine as a candidate if its weights allow it to run the request.
+    fn candidate(&self, index: usize, endpoint: &Endpoint, now: Instant) -> Option<Candidate> {
         let target_version = self.bound.as_ref().and_then(VersionBound::target_version);
-        let marked = endpoint.engine.has_rollout_mark(now);
+        let has_rollout_mark = endpoint.engine.has_rollout_mark(now);
         let is_updating = |model| fleet::is_updating(&endpoint.state, model, target_version);
-        if marked && self.model.is_some_and(is_updating) {
+        if has_rollout_mark && self.model.is_some_and(is_updating) {
             return None;
         }
         let version = self.model.and_then(|model| fleet::version_of(&endpoint.state, model));
         if self.model.is_some() && !endpoint.state.weights.is_empty() && version.is_none() {
             return None;
         }
-        if version.is_some_and(|version| !self.may_begin(version, endpoint, now)) {
+        if version.is_some_and(|version| !self.begins_in_time(version, endpoint, now)) {
             return None;
         }
         let is_draining_streams =
             |model| fleet::is_draining_streams(&endpoint.state, model, target_version);
         Some(Candidate {
-            endpoint: number,
+            endpoint: index,
             version,
-            draining_streams: marked && self.model.is_some_and(is_draining_streams),
+            draining_streams: has_rollout_mark && self.model.is_some_and(is_draining_streams),
             liveness: Liveness::of(endpoint.state.heartbeat_missed, endpoint.engine.health(now)),
         })
     }
 
-    /// Whether a request that is sent now begins in time at an engine with these weights.
-    fn may_begin(&self, version: u64, endpoint: &Endpoint, now: Instant) -> bool {
+    /// Whether a request dispatched now would begin before the bound of these weights at this engine.
+    fn begins_in_time(&self, version: u64, endpoint: &Endpoint, now: Instant) -> bool {
         let Some(bound) = &self.bound else { return true };
         if bound.target_version().is_none_or(|target| version >= target) {
             return true;
--- a/crates/data-plane/src/load_balancer/candidates_tests.rs
+++ b/crates/data-plane/src/load_balancer/candidates_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Rows that stay of these engines, each told as silent or not and with what its connections tell.
+/// Indices of the engines that are retained; each is given by whether its heartbeats are missed and by its health.
 fn retained(engines: &[(bool, Health)]) -> Vec<usize> {
     let candidate = |(endpoint, (heartbeat_missed, health)): (usize, &(bool, Health))| Candidate {
         endpoint,
@@ -10,13 +10,13 @@
         draining_streams: false,
         liveness: Liveness::of(*heartbeat_missed, *health),
     };
-    let mut found: Vec<Candidate> = engines.iter().enumerate().map(candidate).collect();
-    retain_liveliest(&mut found);
-    found.iter().map(|candidate| candidate.endpoint).collect()
+    let mut candidates: Vec<Candidate> = engines.iter().enumerate().map(candidate).collect();
+    retain_best_liveness(&mut candidates);
+    candidates.iter().map(|candidate| candidate.endpoint).collect()
 }
 
 #[test]
-fn where_no_engine_is_heard_those_that_broke_and_served_nothing_since_are_left_out() {
+fn if_all_engines_miss_heartbeats_those_whose_connections_broke_are_dropped() {
     use Health::{Ejected, Sound, Unproven};
     assert_eq!(retained(&[(true, Sound), (true, Ejected), (true, Sound)]), [0, 2]);
     assert_eq!(retained(&[(true, Sound), (true, Unproven)]), [0]);
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn an_engine_that_is_heard_and_does_not_rest_goes_before_all_others() {
+fn engines_with_heartbeats_that_are_not_ejected_are_preferred() {
     use Health::{Ejected, Sound, Unproven};
     assert_eq!(retained(&[(true, Sound), (false, Sound), (false, Ejected)]), [1]);
     assert_eq!(retained(&[(true, Sound), (false, Unproven), (true, Unproven)]), [1]);
 }
 
 #[test]
-fn the_likely_dead_are_tried_where_there_are_no_others() {
+fn probably_dead_engines_are_kept_if_there_are_no_others() {
     assert_eq!(retained(&[(true, Health::Ejected), (true, Health::Unproven)]), [0, 1]);
 }
--- a/crates/data-plane/src/load_balancer/cost.rs
+++ b/crates/data-plane/src/load_balancer/cost.rs
@@ -1,39 +1,39 @@
-//! What a request would cost at one engine, in milliseconds.
+//! Computes the cost of a request at one engine, in milliseconds.
 //!
-//! The cost is the time until the request could be answered there, plus what it costs other requests: the
-//! engine with the lowest sum is chosen. All parts are in milliseconds so that they can be added.
+//! The cost is the time until the request could be answered there plus the delay that it causes to other requests. The
+//! engine with the lowest total is selected. All components are in milliseconds so that they can be added.
 
-use super::request_profile::{Offer, RequestProfile};
+use super::request_profile::{RequestProfile, TransferEstimate};
 use crate::fleet_view::endpoints::Endpoint;
 use crate::pool::Work;
 use fleet_core::constants;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Share of an engine's KV memory above which a further request may preempt others.
+/// Utilization of an engine's KV memory, from 0 to 1, above which a further request may preempt others.
 const MEMORY_PRESSURE_FROM: f64 = 0.5;
-/// Cost of an engine whose KV memory would be twice as full as it may be, per share above that limit.
+/// Cost per unit of KV memory utilization above [`MEMORY_PRESSURE_FROM`].
 const MEMORY_PRESSURE_COST_MS: f64 = 1000.0;
 
-/// Tokens of the prompt that an engine has in its prefix cache.
+/// Prompt tokens in the prefix cache of an engine.
 pub struct CachedTokens {
-    /// Tokens that the prompt index knows of.
-    pub known: u64,
-    /// Tokens that it has if the shared part was routed there by affinity, which nobody has seen.
-    pub guessed: u64,
+    /// Tokens that the prompt index reports.
+    pub indexed: u64,
+    /// Tokens that the engine has if the shared part was routed there by affinity. The index doesn't confirm them.
+    pub assumed: u64,
 }
 
-/// What one engine would cost.
+/// Cost of running a request at one engine.
 pub struct Cost {
-    /// The cost in milliseconds.
+    /// Total cost in milliseconds; lower is better.
     pub ms: f64,
-    /// Tokens that it would have to read.
+    /// Number of prompt tokens that the engine would have to compute.
     pub prefill_tokens: u64,
-    /// Whether it runs and queues twice as many requests as it has slots.
+    /// Whether the engine runs and queues more than twice as many requests as it has slots.
     pub is_full: bool,
 }
 
-/// Requests at an engine, by its own report and by the loads of all routers.
+/// Requests at an engine, from the engine's own report and from the loads reported by all routers.
 struct Occupancy {
     running: u32,
     waiting: u32,
@@ -55,8 +55,8 @@
         self.slots > 0 && (self.running + self.waiting) > self.slots.saturating_mul(2)
     }
 
-    /// What waiting for a slot costs: one of the runs beyond the slots has to end first.
-    fn slot_ms(&self) -> f64 {
+    /// Expected wait for a slot: none while one is free, otherwise until enough runs have ended to free one.
+    fn slot_wait_ms(&self) -> f64 {
         if self.slots == 0 || self.running < self.slots {
             return 0.0;
         }
@@ -64,26 +64,30 @@
     }
 }
 
-/// Tokens to be read, and the time that reading them or receiving them from a source is expected to take.
+/// Prompt tokens to be computed, and the expected time to compute them or receive their KV blocks from a source.
 struct Prefill {
     tokens: u64,
     ms: f64,
 }
 
 impl Prefill {
-    fn of(request: &RequestProfile, cached: &CachedTokens, offer: Option<&Offer>) -> Prefill {
-        let tokens = request.prompt.tokens().saturating_sub(cached.known);
-        let beyond_known = cached.guessed.saturating_sub(cached.known);
-        let guessed = beyond_known as f64 * constants::RENDEZVOUS_TRUST;
-        let ms = (tokens as f64 - guessed).max(0.0) / constants::READ_RATE;
-        let Some(offer) = offer else { return Prefill { tokens, ms } };
-        let tokens = tokens.saturating_sub(offer.tokens);
-        Prefill { tokens, ms: ms.min(tokens as f64 / constants::READ_RATE + offer.ms) }
+    fn of(
+        request: &RequestProfile,
+        cached: &CachedTokens,
+        transfer: Option<&TransferEstimate>,
+    ) -> Prefill {
+        let tokens = request.prompt.tokens().saturating_sub(cached.indexed);
+        let beyond_indexed = cached.assumed.saturating_sub(cached.indexed);
+        let assumed = beyond_indexed as f64 * constants::RENDEZVOUS_TRUST;
+        let ms = (tokens as f64 - assumed).max(0.0) / constants::READ_RATE;
+        let Some(transfer) = transfer else { return Prefill { tokens, ms } };
+        let tokens = tokens.saturating_sub(transfer.tokens);
+        Prefill { tokens, ms: ms.min(tokens as f64 / constants::READ_RATE + transfer.ms) }
     }
 }
 
-/// What a crowded KV memory costs: requests are preempted and read again.
-fn memory_ms(request: &RequestProfile, work: &Work) -> f64 {
+/// Cost of a nearly full KV memory: requests are preempted, and their prompts computed again.
+fn memory_pressure_ms(request: &RequestProfile, work: &Work) -> f64 {
     if request.capacity == 0 {
         return 0.0;
     }
@@ -94,39 +98,40 @@
     (fill - MEMORY_PRESSURE_FROM) * MEMORY_PRESSURE_COST_MS
 }
 
-/// How long a request that is sent now waits at an engine before it begins: until the prompts before it are read, and
-/// one of the runs has ended for each that waits for a slot.
+/// Expected time until a request dispatched now begins at an engine: the prompts ahead of it have to be computed, and
+/// a run has to end for each request that waits for a slot.
 pub fn expected_wait(endpoint: &Endpoint, now: Instant) -> Duration {
     let work = endpoint.engine.work();
     let occupancy = Occupancy::of(&work, endpoint, now);
-    let reading_ms = work.all(now).unread as f64 / constants::READ_RATE;
-    let ms =
-        reading_ms + f64::from(occupancy.waiting) * constants::WAIT_COST_MS + occupancy.slot_ms();
+    let prefill_ms = work.all(now).unread as f64 / constants::READ_RATE;
+    let ms = prefill_ms
+        + f64::from(occupancy.waiting) * constants::WAIT_COST_MS
+        + occupancy.slot_wait_ms();
     Duration::from_secs_f64(ms / 1000.0)
 }
 
-/// The cost of one engine, with what a source of KV blocks would spare it.
+/// Computes the cost of a request at one engine, including the time saved by a KV transfer if there is one.
 pub fn evaluate(
     request: &RequestProfile,
     endpoint: &Endpoint,
     cached: &CachedTokens,
-    offer: Option<&Offer>,
+    transfer: Option<&TransferEstimate>,
     now: Instant,
 ) -> Cost {
     let work = endpoint.engine.work();
     let occupancy = Occupancy::of(&work, endpoint, now);
-    let prefill = Prefill::of(request, cached, offer);
+    let prefill = Prefill::of(request, cached, transfer);
     let mut ms = prefill.ms
         + work.all(now).unread as f64 / constants::READ_RATE
         + f64::from(occupancy.running) * constants::RUN_COST_MS
         + f64::from(occupancy.waiting) * constants::WAIT_COST_MS;
-    ms += occupancy.slot_ms();
-    if !endpoint.near {
+    ms += occupancy.slot_wait_ms();
+    if !endpoint.same_zone {
         ms += constants::ZONE_COST_MS;
     }
-    let is_connected = work.has_idle_connection(now, request.subset.longest_idle);
-    ms += request.subset.ms(endpoint.distance, is_connected);
-    ms += memory_ms(request, &work);
+    let is_connected = work.has_idle_connection(now, request.subset.max_idle);
+    ms += request.subset.cost_ms(endpoint.distance, is_connected);
+    ms += memory_pressure_ms(request, &work);
     if request.prompt.is_prefill_heavy() != endpoint.prefill_heavy {
         ms += constants::WRONG_GROUP_COST_MS;
     }
--- a/crates/data-plane/src/load_balancer/kv_transfer.rs
+++ b/crates/data-plane/src/load_balancer/kv_transfer.rs
@@ -1,6 +1,6 @@
-//! Where the parts of a prompt that an engine lacks can be had cheaper than by reading them.
+//! Finds engines and stores from which the missing KV blocks of a prompt can be fetched faster than recomputed.
 
-use super::request_profile::{Offer, RequestProfile, SelectionContext};
+use super::request_profile::{RequestProfile, SelectionContext, TransferEstimate};
 use crate::fleet_view::endpoints::Endpoint;
 use crate::pool::EngineHandle;
 use fleet_core::constants;
@@ -12,25 +12,25 @@
 /// A model and one version of its weights.
 #[derive(Clone, Copy)]
 pub struct Weights<'a> {
-    /// the model
+    /// Name of the model.
     pub model: &'a str,
-    /// the version
+    /// Version of the weights.
     pub version: u64,
 }
 
 impl Weights<'_> {
-    /// An engine that answers and has these weights, so that its parts may be taken.
-    fn usable_from(&self, endpoint: &Endpoint, now: Instant) -> bool {
+    /// Whether KV blocks may be fetched from an engine: it is alive and has these weights.
+    fn is_usable_source(&self, endpoint: &Endpoint, now: Instant) -> bool {
         let answers = !endpoint.state.heartbeat_missed && !endpoint.engine.is_ejected(now);
         answers && fleet_core::fleet::version_of(&endpoint.state, self.model) == Some(self.version)
     }
 }
 
-/// A holder that has more of the prompt cached than some engines do.
+/// An engine or KV store that has a prefix of the prompt cached and from which it can be transferred.
 pub struct Source {
-    /// where engines reach it
+    /// Address at which engines reach the source.
     pub address: String,
-    /// none for a store
+    /// The engine; none for a store.
     pub engine: Option<Arc<EngineHandle>>,
     zone: String,
     mbps: f64,
@@ -39,39 +39,40 @@
 }
 
 impl Source {
-    /// What it offers an engine that has so much of the prompt cached itself.
-    pub fn for_endpoint(
+    /// Estimates a transfer to an engine that already has `cached` tokens of the prompt. A source with transfers in
+    /// progress shares its link among them, so each one takes longer.
+    pub fn estimate_transfer(
         &self,
         request: &RequestProfile,
         endpoint: &Endpoint,
         cached: u64,
-    ) -> Offer {
+    ) -> TransferEstimate {
         let tokens = self.tokens.saturating_sub(cached);
-        let one = request.transfer_ms(tokens, self.mbps, self.zone == endpoint.state.zone);
-        Offer { tokens, ms: one * f64::from(1 + self.transfers) }
+        let single_ms = request.transfer_ms(tokens, self.mbps, self.zone == endpoint.state.zone);
+        TransferEstimate { tokens, ms: single_ms * f64::from(1 + self.transfers) }
     }
 }
 
-/// The holders found for one prompt under one version of the weights.
+/// The sources found for one prompt under one version of the weights.
 #[derive(Default)]
 pub struct Sources {
-    found: SmallVec<[Source; 8]>,
-    /// tokens of it that the store where the prompt belongs has
-    stored: u64,
+    sources: SmallVec<[Source; 8]>,
+    /// Number of prompt tokens in the preferred store.
+    stored_tokens: u64,
 }
 
 impl Sources {
-    /// Takes in the holders of one cell of the index, a few of each depth.
-    pub fn add(
+    /// Adds the holders found in one cell of the index, at most [`constants::SOURCES_WEIGHED`] engines per depth.
+    pub fn add_cell(
         &mut self,
         context: &SelectionContext,
         weights: Weights,
         cell: usize,
-        found: &Depths,
+        hits: &Depths,
         chain: &Chain,
     ) {
-        self.add_stores(&context.request, cell, found, chain);
-        for (depth, holders) in &found.groups {
+        self.add_stores(&context.request, cell, hits, chain);
+        for (depth, holders) in &hits.groups {
             let tokens = chain.tokens(*depth);
             if tokens < constants::TRANSFER_MIN_TOKENS {
                 break;
@@ -79,22 +80,25 @@
             let endpoints =
                 holders.iter().filter_map(|holder| context.endpoint_set.endpoint(cell, holder));
             let endpoints = endpoints.map(|endpoint| &context.endpoint_set.endpoints[endpoint]);
-            let usable =
-                endpoints.filter(|endpoint| weights.usable_from(endpoint, context.now)).collect();
+            let usable = endpoints
+                .filter(|endpoint| weights.is_usable_source(endpoint, context.now))
+                .collect();
             self.add_engines(&context.request, usable, tokens);
         }
     }
 
-    fn add_stores(&mut self, request: &RequestProfile, cell: usize, found: &Depths, chain: &Chain) {
-        for (rank, store) in request.stores.iter().enumerate().filter(|(_, s)| s.at.cell == cell) {
-            let tokens = chain.tokens(found.of(store.at.no.index));
+    fn add_stores(&mut self, request: &RequestProfile, cell: usize, hits: &Depths, chain: &Chain) {
+        for (rank, store) in
+            request.stores.iter().enumerate().filter(|(_, store)| store.index_position.cell == cell)
+        {
+            let tokens = chain.tokens(hits.of(store.index_position.no.index));
             if rank == 0 {
-                self.stored = tokens;
+                self.stored_tokens = tokens;
             }
             if tokens < constants::TRANSFER_MIN_TOKENS {
                 continue;
             }
-            self.found.push(Source {
+            self.sources.push(Source {
                 address: store.address.to_owned(),
                 engine: None,
                 zone: store.zone.to_owned(),
@@ -105,16 +109,17 @@
         }
     }
 
-    /// The least busy holders of one depth, near ones first.
+    /// Adds the holders of one depth that have the fewest transfers in progress; among equals, those in this router's zone
+    /// come first.
     fn add_engines(
         &mut self,
         request: &RequestProfile,
         mut endpoints: SmallVec<[&Endpoint; 16]>,
         tokens: u64,
     ) {
-        endpoints.sort_by_key(|endpoint| (endpoint.engine.work().transfers, !endpoint.near));
+        endpoints.sort_by_key(|endpoint| (endpoint.engine.work().transfers, !endpoint.same_zone));
         for endpoint in endpoints.into_iter().take(constants::SOURCES_WEIGHED) {
-            self.found.push(Source {
+            self.sources.push(Source {
                 address: endpoint.engine.address.to_string(),
                 engine: Some(endpoint.engine.clone()),
                 zone: endpoint.state.zone.clone(),
@@ -125,45 +130,51 @@
         }
     }
 
-    /// Another holder of as much, for the case that the engine has dropped what it is believed to keep.
-    pub fn second(&self, endpoint: &Endpoint) -> Option<&Source> {
-        self.found
+    /// The holder of the longest prefix other than the engine itself, in case the engine has evicted blocks that the index
+    /// still lists.
+    pub fn alternative(&self, endpoint: &Endpoint) -> Option<&Source> {
+        self.sources
             .iter()
-            .filter(|s| s.engine.as_ref().is_none_or(|x| x.id != endpoint.engine.id))
-            .max_by_key(|s| {
+            .filter(|source| {
+                source.engine.as_ref().is_none_or(|engine| engine.id != endpoint.engine.id)
+            })
+            .max_by_key(|source| {
                 (
-                    s.tokens,
-                    s.engine.is_none(),
-                    s.zone == endpoint.state.zone,
-                    u32::MAX - s.transfers,
+                    source.tokens,
+                    source.engine.is_none(),
+                    source.zone == endpoint.state.zone,
+                    u32::MAX - source.transfers,
                 )
             })
     }
 
-    /// A store has some of it.
+    /// Whether a KV store has a prefix of the prompt.
     pub fn is_stored(&self) -> bool {
-        self.found.iter().any(|s| s.engine.is_none())
+        self.sources.iter().any(|source| source.engine.is_none())
     }
 
-    /// The source worth most to an engine, if any is worth a move.
-    pub fn best(
+    /// The source that saves an engine the most time; none if no transfer is faster than recomputing and has at least
+    /// [`constants::TRANSFER_MIN_TOKENS`] tokens.
+    pub fn best_for(
         &self,
         request: &RequestProfile,
         endpoint: &Endpoint,
         cached: u64,
     ) -> Option<&Source> {
-        self.found
+        self.sources
             .iter()
-            .map(|s| (s, s.for_endpoint(request, endpoint, cached)))
-            .filter(|(_, o)| o.tokens >= constants::TRANSFER_MIN_TOKENS && o.gain() > 0.0)
-            .max_by(|a, b| a.1.gain().total_cmp(&b.1.gain()))
-            .map(|(s, _)| s)
+            .map(|source| (source, source.estimate_transfer(request, endpoint, cached)))
+            .filter(|(_, transfer)| {
+                transfer.tokens >= constants::TRANSFER_MIN_TOKENS && transfer.saved_ms() > 0.0
+            })
+            .max_by(|a, b| a.1.saved_ms().total_cmp(&b.1.saved_ms()))
+            .map(|(source, _)| source)
     }
 }
 
-/// Nobody is known to keep what is missing: the part's home may, and a miss costs little. A store is
-/// never guessed at: its one line is shared by all engines.
-pub fn guess(
+/// Returns the affinity target as a source when no holder of the missing blocks is known: it may have them, and a miss
+/// is cheap. A store is never queried speculatively, since all engines share its single link.
+pub fn guess_source(
     request: &RequestProfile,
     cached: u64,
     affinity_target: Option<&Endpoint>,
@@ -171,16 +182,17 @@
     if request.prompt.shared().saturating_sub(cached) < constants::TRANSFER_MIN_TOKENS {
         return None;
     }
-    affinity_target.map(|r| (r.engine.address.to_string(), Some(r.engine.clone())))
+    affinity_target
+        .map(|endpoint| (endpoint.engine.address.to_string(), Some(endpoint.engine.clone())))
 }
 
-/// Large shared parts that their store lacks are worth a place there, unless too much of what would
-/// go along is this request's own: that would only push others out.
-pub fn sink(request: &RequestProfile, sources: &Sources) -> Option<String> {
+/// Returns the store to which the prompt's KV blocks should be written: only if it lacks a large shared prefix, and not
+/// if too many of the blocks are specific to this request, which would evict blocks of others to no use.
+pub fn choose_sink(request: &RequestProfile, sources: &Sources) -> Option<String> {
     let shared = request.prompt.shared();
-    let own = request.prompt.tokens().saturating_sub(shared) as f64;
-    let s = request.stores.first()?;
+    let unshared = request.prompt.tokens().saturating_sub(shared) as f64;
+    let store = request.stores.first()?;
     let is_worthwhile =
-        shared >= constants::SINK_TOKENS && own <= shared as f64 * constants::SINK_OWN_SHARE;
-    (is_worthwhile && sources.stored < shared).then(|| s.address.to_owned())
+        shared >= constants::SINK_TOKENS && unshared <= shared as f64 * constants::SINK_OWN_SHARE;
+    (is_worthwhile && sources.stored_tokens < shared).then(|| store.address.to_owned())
 }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -1,8 +1,9 @@
-//! The choice of an engine for a request: the one that costs it and the others least, in milliseconds.
+//! Selects the engine for a request: the one with the lowest cost to this request and to others, in milliseconds.
 //!
-//! [`candidates`] drops engines that may not or should not get it, [`prefix_cache`] and [`kv_transfer`] say what each has
-//! cached or could receive, [`cost`] adds it up (docs/load-balancing.md). It reads the fleet view and the engines' handles,
-//! changes nothing, and never waits. Safety doesn't depend on it: a stale view costs time, never a rule.
+//! [`candidates`] filters out engines that must not or should not serve the request, [`prefix_cache`] and [`kv_transfer`]
+//! determine what each engine has cached or could receive, and [`cost`] computes the total (docs/load-balancing.md).
+//! Selection only reads the fleet view and the engine handles, and never waits. Correctness doesn't depend on it: a stale
+//! view costs time, but never breaks a rule.
 
 pub mod candidates;
 pub mod cost;
@@ -16,7 +17,7 @@
 use crate::fleet_view::routing_table::{Table, Tenant};
 use crate::pool::EngineHandle;
 use crate::{Counters, Router};
-use candidates::{Candidate, WantedWeights};
+use candidates::{AllowedWeights, Candidate};
 use cost::{CachedTokens, Cost};
 use fleet_core::constants;
 use kv_transfer::Source;
@@ -28,38 +29,39 @@
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
 
-/// One engine for one send, and under what memory it may run.
+/// The engine selected for one dispatch, and the model weights and KV cache that it uses.
 pub struct Choice {
-    /// the engine
+    /// The selected engine.
     pub engine: Arc<EngineHandle>,
-    /// the weights that it may run under
+    /// Version of the weights that the request runs under; none if the engine reports none for the model.
     pub version: Option<u64>,
-    /// The salt under which its blocks are cached.
+    /// Salt of the block hashes in the KV cache; none if no version is known.
     pub salt: Option<String>,
-    /// tokens that the engine is expected to read
+    /// Number of prompt tokens that the engine is expected to compute itself.
     pub prefill_tokens: u64,
-    /// where it may take parts from
+    /// Address from which the engine may fetch KV blocks that it lacks.
     pub source: Option<String>,
-    /// the engine there, if it is none of the stores
+    /// The engine at `source`; none if `source` is a KV store.
     pub source_engine: Option<Arc<EngineHandle>>,
-    /// the store that it sends its parts to
+    /// Address of the KV store to which the engine writes its blocks.
     pub sink: Option<String>,
 }
 
-/// Why no engine was chosen.
+/// Reason why no engine was selected.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub enum NoEndpoint {
-    /// no engine of the service is known that may run it
+    /// No known engine of the service may run the request.
     Unknown,
-    /// all are full
+    /// All candidates are full.
     Full,
 }
 
-/// Chooses an engine for a request, none of those that were tried.
+/// Selects an engine for a request, excluding the instance ids in `attempted`.
 ///
 /// # Errors
 ///
-/// No engine that may run the request is known, or all are full.
+/// Returns [`NoEndpoint::Unknown`] if no known engine may run the request, and [`NoEndpoint::Full`] if all that may are
+/// full.
 pub fn choose_engine(
     router: &Router,
     routing_table: &Table,
@@ -72,13 +74,13 @@
     let index = router.fleet_view.prefix_view.current_index();
     let viewpoint = Viewpoint { zone: &router.node.zone, router: &router.node.name };
     let endpoint_set = router.fleet_view.endpoints_of(service, viewpoint);
-    let weights = WantedWeights::new(&router.fleet_view, prompt, router.settings().bounds.version);
+    let weights = AllowedWeights::new(&router.fleet_view, prompt, router.settings().bounds.version);
     let candidates = candidates::candidates(&weights, &endpoint_set, attempted, now);
     if candidates.is_empty() {
         return Err(NoEndpoint::Unknown);
     }
-    let longest_idle = router.idle_timeouts.of(service).safe_idle_time(now);
-    let subset = Subset::among(router.fleet_view.routers(), longest_idle);
+    let max_idle = router.idle_timeouts.of(service).safe_idle_time(now);
+    let subset = Subset::new(router.fleet_view.routers(), max_idle);
     let request =
         RequestProfile::new(routing_table, service, prompt, index, viewpoint.zone, subset);
     let context = SelectionContext { request, endpoint_set: &endpoint_set, index, now };
@@ -87,30 +89,31 @@
         prefix_caches: prefix_cache::prefix_caches(&context, &candidates, &isolation),
         affinity_target: affinity_target(&context, &candidates),
         newest: candidates.iter().filter_map(|candidate| candidate.version).max(),
-        outdated_ms: outdated_ms(&router.fleet_view, prompt, now),
-        border: border(&context, &candidates),
+        outdated_cost_ms: outdated_cost_ms(&router.fleet_view, prompt, now),
+        max_distance: max_distance(&context, &candidates),
         context,
     };
     let best = selection.best(&candidates)?;
-    Ok(selection.choose(&router.counters, &best))
+    Ok(selection.build_choice(&router.counters, &best))
 }
 
-/// What older weights cost now: nothing while a version has just been named, or none was.
-fn outdated_ms(view: &FleetView, prompt: &Prompt, now: Instant) -> f64 {
+/// Cost of running under outdated weights: zero if no target version is known, or within
+/// [`constants::OUTDATED_GRACE`] of its announcement.
+fn outdated_cost_ms(view: &FleetView, prompt: &Prompt, now: Instant) -> f64 {
     let model = prompt.model.as_deref();
     let since = model.and_then(|model| view.target_named_at(model));
-    let is_priced = since.is_some_and(|since| now >= since + constants::OUTDATED_GRACE);
-    if is_priced { constants::OUTDATED_COST_MS } else { 0.0 }
+    let is_charged = since.is_some_and(|since| now >= since + constants::OUTDATED_GRACE);
+    if is_charged { constants::OUTDATED_COST_MS } else { 0.0 }
 }
 
-/// Where this router's subset of the candidates ends.
-fn border(context: &SelectionContext, candidates: &[Candidate]) -> f64 {
+/// Distance of the last candidate in this router's subset.
+fn max_distance(context: &SelectionContext, candidates: &[Candidate]) -> f64 {
     let endpoints = &context.endpoint_set.endpoints;
     let distance = |candidate: &Candidate| endpoints[candidate.endpoint].distance;
-    context.request.subset.border(candidates.iter().map(distance).collect())
+    context.request.subset.max_distance(candidates.iter().map(distance).collect())
 }
 
-/// Where the deepest shared part settles, alike at all routers.
+/// The engine to which the deepest shared prompt part is routed, by rendezvous hashing; all routers agree on it.
 fn affinity_target(context: &SelectionContext, candidates: &[Candidate]) -> Option<usize> {
     let part = context.request.prompt.deepest_shared()?;
     let prefill_heavy = context.request.prompt.is_prefill_heavy();
@@ -121,21 +124,21 @@
         .max_by_key(|endpoint| rank(&context.endpoint_set.endpoints[*endpoint]))
 }
 
-/// One placement under way.
+/// State of one engine selection.
 struct Selection<'a> {
     context: SelectionContext<'a>,
     prefix_caches: SmallVec<[PrefixCache; 2]>,
     affinity_target: Option<usize>,
-    /// the newest weights that any candidate has
+    /// The newest version of the weights among the candidates.
     newest: Option<u64>,
-    /// what weights older than those cost
-    outdated_ms: f64,
-    /// the distance at which the subset ends
-    border: f64,
+    /// Cost added to candidates with weights older than `newest`, in milliseconds.
+    outdated_cost_ms: f64,
+    /// Distance of the last engine in this router's subset.
+    max_distance: f64,
 }
 
-/// A candidate that was weighed, and the source that would spare it most.
-struct Best<'a> {
+/// An evaluated candidate, and the source of KV blocks that would save it the most time.
+struct BestCandidate<'a> {
     candidate: &'a Candidate,
     cost: Cost,
     source: Option<&'a Source>,
@@ -151,33 +154,36 @@
         self.prefix_caches.iter().find(|prefix_cache| prefix_cache.version == version)
     }
 
-    /// Tokens of the prompt that a candidate was seen to keep.
-    fn cached(&self, candidate: &Candidate) -> u64 {
+    /// Number of prompt tokens that the index reports as cached at a candidate.
+    fn cached_tokens(&self, candidate: &Candidate) -> u64 {
         self.prefix_cache(candidate)
-            .map_or(0, |prefix_cache| prefix_cache.cached(candidate.endpoint))
+            .map_or(0, |prefix_cache| prefix_cache.cached_tokens(candidate.endpoint))
     }
 
-    /// The cheapest of the subset and of those that have the prefix; of all, if these are full.
-    fn best<'b>(&'b self, candidates: &'b [Candidate]) -> Result<Best<'b>, NoEndpoint> {
-        let weighed = candidates.iter().filter(|candidate| self.is_weighed(candidate));
-        let best = match self.cheapest(weighed) {
+    /// The cheapest candidate within the subset or with the prefix cached; if these are full, the cheapest of all.
+    fn best<'b>(&'b self, candidates: &'b [Candidate]) -> Result<BestCandidate<'b>, NoEndpoint> {
+        let considered = candidates.iter().filter(|candidate| self.is_considered(candidate));
+        let best = match self.cheapest(considered) {
             Some(best) if !best.cost.is_full => return Ok(best),
             Some(_) | None => self.cheapest(candidates.iter()).ok_or(NoEndpoint::Unknown)?,
         };
         if best.cost.is_full { Err(NoEndpoint::Full) } else { Ok(best) }
     }
 
-    fn is_weighed(&self, candidate: &Candidate) -> bool {
-        self.endpoint(candidate).distance <= self.border
+    fn is_considered(&self, candidate: &Candidate) -> bool {
+        self.endpoint(candidate).distance <= self.max_distance
             || self.affinity_target == Some(candidate.endpoint)
-            || self.cached(candidate) >= constants::TRANSFER_MIN_TOKENS
+            || self.cached_tokens(candidate) >= constants::TRANSFER_MIN_TOKENS
     }
 
-    fn cheapest<'b>(&'b self, candidates: impl Iterator<Item = &'b Candidate>) -> Option<Best<'b>> {
-        let mut best: Option<Best> = None;
+    fn cheapest<'b>(
+        &'b self,
+        candidates: impl Iterator<Item = &'b Candidate>,
+    ) -> Option<BestCandidate<'b>> {
+        let mut best: Option<BestCandidate> = None;
         for candidate in candidates {
             let next = self.evaluate(candidate);
-            let key = |b: &Best| (b.cost.is_full, b.cost.ms);
+            let key = |b: &BestCandidate| (b.cost.is_full, b.cost.ms);
             if best.as_ref().is_none_or(|best| key(&next) < key(best)) {
                 best = Some(next);
             }
@@ -185,23 +191,23 @@
         best
     }
 
-    fn evaluate<'b>(&'b self, candidate: &'b Candidate) -> Best<'b> {
+    fn evaluate<'b>(&'b self, candidate: &'b Candidate) -> BestCandidate<'b> {
         let (endpoint, request, now) =
             (self.endpoint(candidate), &self.context.request, self.context.now);
-        let cached = self.cached(candidate);
+        let cached = self.cached_tokens(candidate);
         let is_affinity_target = self.affinity_target == Some(candidate.endpoint);
         let source = self
             .prefix_cache(candidate)
-            .and_then(|prefix_cache| prefix_cache.sources.best(request, endpoint, cached));
-        let settled = is_affinity_target && !endpoint.engine.is_warming(now);
+            .and_then(|prefix_cache| prefix_cache.sources.best_for(request, endpoint, cached));
+        let assume_cached = is_affinity_target && !endpoint.engine.is_warming(now);
         let tokens = CachedTokens {
-            known: cached,
-            guessed: if settled { request.prompt.shared() } else { 0 },
+            indexed: cached,
+            assumed: if assume_cached { request.prompt.shared() } else { 0 },
         };
-        let offer = source.map(|source| source.for_endpoint(request, endpoint, cached));
-        let mut cost = cost::evaluate(request, endpoint, &tokens, offer.as_ref(), now);
+        let transfer = source.map(|source| source.estimate_transfer(request, endpoint, cached));
+        let mut cost = cost::evaluate(request, endpoint, &tokens, transfer.as_ref(), now);
         if candidate.version < self.newest {
-            cost.ms += self.outdated_ms;
+            cost.ms += self.outdated_cost_ms;
         }
         if candidate.draining_streams && !request.prompt.is_prefill_heavy() {
             cost.ms += constants::STREAM_DRAIN_COST_MS;
@@ -209,17 +215,17 @@
         if is_affinity_target && source.is_some() && endpoint.engine.is_warming(now) {
             cost.ms -= constants::WARM_UP_BONUS_MS;
         }
-        Best { candidate, cost, source }
+        BestCandidate { candidate, cost, source }
     }
 
-    fn choose(&self, counters: &Counters, best: &Best) -> Choice {
+    fn build_choice(&self, counters: &Counters, best: &BestCandidate) -> Choice {
         let prefix_cache = self.prefix_cache(best.candidate);
-        let chosen = self.choose_source(best);
+        let chosen_source = self.choose_source(best);
         let sink = prefix_cache.and_then(|prefix_cache| {
-            kv_transfer::sink(&self.context.request, &prefix_cache.sources)
+            kv_transfer::choose_sink(&self.context.request, &prefix_cache.sources)
         });
-        self.count(counters, best, chosen.is_some(), sink.is_some());
-        let (source, source_engine) = chosen.unzip();
+        self.record_counters(counters, best, chosen_source.is_some(), sink.is_some());
+        let (source, source_engine) = chosen_source.unzip();
         Choice {
             engine: self.endpoint(best.candidate).engine.clone(),
             version: best.candidate.version,
@@ -231,13 +237,14 @@
         }
     }
 
-    /// Where to fetch what is missing from: the best source, another holder, or the affinity target.
-    fn choose_source(&self, best: &Best) -> Option<(String, Option<Arc<EngineHandle>>)> {
+    /// Where the engine fetches missing KV blocks from: the best source, else another known holder, else the affinity
+    /// target, which may have them.
+    fn choose_source(&self, best: &BestCandidate) -> Option<(String, Option<Arc<EngineHandle>>)> {
         if let Some(source) = best.source {
             return Some((source.address.clone(), source.engine.clone()));
         }
         let prefix_cache = self.prefix_cache(best.candidate)?;
-        if let Some(holder) = prefix_cache.sources.second(self.endpoint(best.candidate)) {
+        if let Some(holder) = prefix_cache.sources.alternative(self.endpoint(best.candidate)) {
             return Some((holder.address.clone(), holder.engine.clone()));
         }
         let affinity_target = self
@@ -245,23 +252,33 @@
             .filter(|affinity_target| *affinity_target != best.candidate.endpoint);
         let affinity_target = affinity_target
             .map(|affinity_target| &self.context.endpoint_set.endpoints[affinity_target]);
-        kv_transfer::guess(&self.context.request, self.cached(best.candidate), affinity_target)
+        kv_transfer::guess_source(
+            &self.context.request,
+            self.cached_tokens(best.candidate),
+            affinity_target,
+        )
     }
 
-    fn count(&self, counters: &Counters, best: &Best, asks: bool, sinks: bool) {
+    fn record_counters(
+        &self,
+        counters: &Counters,
+        best: &BestCandidate,
+        has_source: bool,
+        has_sink: bool,
+    ) {
         let prompt = self.context.request.prompt;
         let prefill_tokens = best.cost.prefill_tokens;
         let cached = prompt.tokens().saturating_sub(prefill_tokens);
-        let stored = self
+        let is_stored = self
             .prefix_cache(best.candidate)
             .is_some_and(|prefix_cache| prefix_cache.sources.is_stored());
         counters.missing_tokens.fetch_add(prefill_tokens, Ordering::Relaxed);
         counters.cached_tokens.fetch_add(cached, Ordering::Relaxed);
         counters.transfers.fetch_add(u64::from(best.source.is_some()), Ordering::Relaxed);
-        counters.stored.fetch_add(u64::from(stored), Ordering::Relaxed);
-        counters.sinks.fetch_add(u64::from(sinks), Ordering::Relaxed);
-        if asks && best.source.is_none() {
-            let shared = prompt.shared().saturating_sub(self.cached(best.candidate));
+        counters.stored.fetch_add(u64::from(is_stored), Ordering::Relaxed);
+        counters.sinks.fetch_add(u64::from(has_sink), Ordering::Relaxed);
+        if has_source && best.source.is_none() {
+            let shared = prompt.shared().saturating_sub(self.cached_tokens(best.candidate));
             counters.guesses.fetch_add(1, Ordering::Relaxed);
             counters.shared_missing.fetch_add(shared, Ordering::Relaxed);
         }
--- a/crates/data-plane/src/load_balancer/prefix_cache.rs
+++ b/crates/data-plane/src/load_balancer/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! What engines and stores keep of a prompt, under each version of the weights in use.
+//! Looks up which engines and stores have a prompt cached, for each version of the weights in use.
 
 use super::candidates::Candidate;
 use super::kv_transfer::{Sources, Weights};
@@ -7,27 +7,27 @@
 use prompt_index::{Chain, HolderBitmap};
 use smallvec::SmallVec;
 
-/// What the index knows of a prompt under one version of the weights.
+/// Cached prefixes of one prompt under one version of the weights, as the index lists them.
 pub struct PrefixCache {
-    /// the version
+    /// Version of the weights.
     pub version: u64,
-    /// The salt under which its blocks are cached.
+    /// Salt of the block hashes: depends on the model, the version and the isolation.
     pub salt: String,
-    /// Who else has some of it.
+    /// Holders from which cached blocks can be transferred.
     pub sources: Sources,
     chain: Chain,
-    /// Cached blocks, by endpoint.
+    /// Number of cached prompt parts, by index of the endpoint.
     depths: Vec<u16>,
 }
 
 impl PrefixCache {
-    /// Tokens of the prompt that the engine of a row was seen to keep.
-    pub fn cached(&self, endpoint: usize) -> u64 {
+    /// Number of prompt tokens cached at an endpoint, given by its index.
+    pub fn cached_tokens(&self, endpoint: usize) -> u64 {
         self.chain.tokens(usize::from(self.depths[endpoint]))
     }
 }
 
-/// The isolation of a tenant: its own if isolated, else the generation of the shared one.
+/// The isolation key of a tenant: its own if the tenant is isolated, otherwise the shared key of this generation.
 pub fn isolation(tenant: Option<&Tenant>, generation: u64) -> String {
     match tenant.filter(|tenant| tenant.isolated) {
         Some(tenant) => format!("t/{}", tenant.name),
@@ -35,20 +35,20 @@
     }
 }
 
-/// What each version of the weights that candidates have means for this prompt.
+/// Looks up the prompt once for each version of the weights among the candidates.
 pub fn prefix_caches(
     context: &SelectionContext,
     candidates: &[Candidate],
     isolation: &str,
 ) -> SmallVec<[PrefixCache; 2]> {
-    let mut out: SmallVec<[PrefixCache; 2]> = SmallVec::new();
-    let Some(model) = &context.request.prompt.model else { return out };
+    let mut caches: SmallVec<[PrefixCache; 2]> = SmallVec::new();
+    let Some(model) = &context.request.prompt.model else { return caches };
     for version in candidates.iter().filter_map(|candidate| candidate.version) {
-        if !out.iter().any(|prefix_cache| prefix_cache.version == version) {
-            out.push(prefix_cache(context, Weights { model, version }, isolation));
+        if !caches.iter().any(|prefix_cache| prefix_cache.version == version) {
+            caches.push(prefix_cache(context, Weights { model, version }, isolation));
         }
     }
-    out
+    caches
 }
 
 fn prefix_cache(context: &SelectionContext, weights: Weights, isolation: &str) -> PrefixCache {
@@ -61,14 +61,15 @@
     }
     let mut depths = vec![0u16; context.endpoint_set.endpoints.len()];
     let mut sources = Sources::default();
-    for (number, cell) in context.index.cells().iter().enumerate() {
-        let found = cell.query(&chain, &HolderBitmap::ALL);
-        for (depth, holders) in &found.groups {
-            let endpoints =
-                holders.iter().filter_map(|holder| context.endpoint_set.endpoint(number, holder));
+    for (cell_index, cell) in context.index.cells().iter().enumerate() {
+        let hits = cell.query(&chain, &HolderBitmap::ALL);
+        for (depth, holders) in &hits.groups {
+            let endpoints = holders
+                .iter()
+                .filter_map(|holder| context.endpoint_set.endpoint(cell_index, holder));
             endpoints.for_each(|endpoint| depths[endpoint] = *depth as u16);
         }
-        sources.add(context, weights, number, &found, &chain);
+        sources.add_cell(context, weights, cell_index, &hits, &chain);
     }
     PrefixCache { version: weights.version, salt, sources, chain, depths }
 }
--- a/crates/data-plane/src/load_balancer/prompt.rs
+++ b/crates/data-plane/src/load_balancer/prompt.rs
@@ -1,90 +1,93 @@
-//! What a request says of its prompt; malformed parts are served without affinity.
+//! Parses the request headers that describe the prompt. If they are malformed, the request is routed without prefix
+//! affinity.
 
-/// A part of a prompt, which several may share.
+/// A part of a prompt; several prompts may share it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
-    /// names it
+    /// Identifies the content of the part.
     pub id: u64,
-    /// its size
+    /// Size in tokens.
     pub tokens: u64,
 }
 
-/// What is known of a request's prompt and its answer.
+/// The prompt of a request and the size of its output, as the client declares them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// the model that it is for
+    /// Name of the model; none if the request names none.
     pub model: Option<String>,
-    /// its parts, in their order
+    /// Parts in order; empty if none were declared, or they were malformed.
     pub parts: Vec<PromptPart>,
-    /// tokens to read
-    pub read: u64,
-    /// tokens put out at the most
+    /// Number of prompt tokens; 0 if unknown.
+    pub prompt_tokens: u64,
+    /// Maximum number of output tokens; 0 if unknown.
     pub put_out: u64,
 }
 
-fn text<'a>(h: &'a http::HeaderMap, name: &str) -> Option<&'a str> {
-    h.get(name)?.to_str().ok().map(str::trim).filter(|t| !t.is_empty())
+fn header_text<'a>(headers: &'a http::HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name)?.to_str().ok().map(str::trim).filter(|text| !text.is_empty())
 }
 
 impl Prompt {
-    /// Reads what the headers say.
-    pub fn read(h: &http::HeaderMap) -> Prompt {
-        let parts = text(h, "x-prompt-prefix").and_then(read_parts).unwrap_or_default();
-        let count = text(h, "x-token-count").and_then(|t| {
-            let (a, b) = t.split_once(',')?;
-            Some((a.trim().parse::<u64>().ok()?, b.trim().parse::<u64>().ok()?))
+    /// Parses the headers; a header that is missing or malformed leaves its fields at their defaults.
+    pub fn read(headers: &http::HeaderMap) -> Prompt {
+        let parts =
+            header_text(headers, "x-prompt-prefix").and_then(parse_parts).unwrap_or_default();
+        let token_counts = header_text(headers, "x-token-count").and_then(|text| {
+            let (input, output) = text.split_once(',')?;
+            Some((input.trim().parse::<u64>().ok()?, output.trim().parse::<u64>().ok()?))
         });
-        let (read, put_out) = count.unwrap_or((0, 0));
-        const MOST: u64 = 1 << 32;
+        let (prompt_tokens, put_out) = token_counts.unwrap_or((0, 0));
+        const MAX_TOKENS: u64 = 1 << 32;
         Prompt {
-            model: text(h, "x-model").map(str::to_owned),
+            model: header_text(headers, "x-model").map(str::to_owned),
             parts,
-            read: read.min(MOST),
-            put_out: put_out.min(MOST),
+            prompt_tokens: prompt_tokens.min(MAX_TOKENS),
+            put_out: put_out.min(MAX_TOKENS),
         }
     }
 
-    /// The last part is the request's own; the one before it is the deepest that others share.
+    /// Id of the last part that other requests may share: the second to last, since the last is the request's own.
     pub fn deepest_shared(&self) -> Option<u64> {
-        let n = self.parts.len().checked_sub(2)?;
-        self.parts.get(n).map(|p| p.id)
+        let index = self.parts.len().checked_sub(2)?;
+        self.parts.get(index).map(|part| part.id)
     }
 
-    /// Its parts as the index takes them.
+    /// The id and the size in tokens of each part, in the form that the prompt index takes.
     pub fn pairs(&self) -> smallvec::SmallVec<[(u64, u64); 8]> {
-        self.parts.iter().map(|p| (p.id, p.tokens)).collect()
+        self.parts.iter().map(|part| (part.id, part.tokens)).collect()
     }
 
-    /// Tokens of all parts.
+    /// Total size of all parts in tokens.
     pub fn tokens(&self) -> u64 {
-        self.parts.iter().map(|p| p.tokens).sum()
+        self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Tokens of all parts but the last.
+    /// Total size in tokens of the parts that other requests may share: all but the last.
     pub fn shared(&self) -> u64 {
-        let n = self.parts.len().saturating_sub(1);
-        self.parts[..n].iter().map(|p| p.tokens).sum()
+        let shared_parts = self.parts.len().saturating_sub(1);
+        self.parts[..shared_parts].iter().map(|part| part.tokens).sum()
     }
 
-    /// More prefill than decode: kept apart from the long streams, which prefill slows.
+    /// Whether prefill dominates over decode. Such requests are kept apart from long streams, which prefill slows down.
     pub fn is_prefill_heavy(&self) -> bool {
-        self.read.max(self.tokens()) > self.put_out * fleet_core::constants::PREFILL_HEAVY_RATIO
+        self.prompt_tokens.max(self.tokens())
+            > self.put_out * fleet_core::constants::PREFILL_HEAVY_RATIO
     }
 
-    /// Tokens read and put out.
+    /// Number of prompt and output tokens.
     pub fn load(&self) -> u64 {
-        self.read.max(self.tokens()) + self.put_out
+        self.prompt_tokens.max(self.tokens()) + self.put_out
     }
 }
 
-fn read_parts(t: &str) -> Option<Vec<PromptPart>> {
-    let mut out = Vec::new();
-    for p in t.split(',') {
-        let (id, tokens) = p.trim().split_once(':')?;
-        let tokens: u64 = tokens.parse().ok().filter(|n| *n < 1 << 32)?;
-        out.push(PromptPart { id: u64::from_str_radix(id, 16).ok()?, tokens });
+fn parse_parts(text: &str) -> Option<Vec<PromptPart>> {
+    let mut parts = Vec::new();
+    for part in text.split(',') {
+        let (id, tokens) = part.trim().split_once(':')?;
+        let tokens: u64 = tokens.parse().ok().filter(|tokens| *tokens < 1 << 32)?;
+        parts.push(PromptPart { id: u64::from_str_radix(id, 16).ok()?, tokens });
     }
-    Some(out)
+    Some(parts)
 }
 
 #[cfg(test)]
--- a/crates/data-plane/src/load_balancer/request_profile.rs
+++ b/crates/data-plane/src/load_balancer/request_profile.rs
@@ -1,4 +1,4 @@
-//! What a request needs of engines, stores and KV transfers: the load balancer's view of it.
+//! The properties of a request by which the load balancer evaluates engines, stores and KV transfers.
 
 use super::prompt::Prompt;
 use crate::fleet_view::endpoints::EndpointSet;
@@ -10,72 +10,73 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the engines are weighed for.
+/// Properties of a request that are the same for all candidate engines.
 pub struct RequestProfile<'a> {
-    /// the prompt to be read
+    /// The prompt of the request.
     pub prompt: &'a Prompt,
-    /// this router's zone
+    /// Zone of this router.
     pub zone: &'a str,
-    /// tokens that an engine of the service has room for
+    /// Capacity of an engine's KV memory, in tokens; 0 if not configured.
     pub capacity: u64,
-    /// bits that a token of a prompt is moved with
+    /// Size of the KV blocks of one prompt token, in bits.
     pub token_bits: f64,
-    /// what an engine's link carries
+    /// Bandwidth of an engine's link, in Mbit/s.
     pub link_mbps: f64,
-    /// stores that answer, the one where this prompt belongs first
+    /// KV stores that are reachable; the preferred one for this prompt comes first.
     pub stores: SmallVec<[Store<'a>; 4]>,
-    /// what this router's own order of the engines weighs
+    /// The subset of the engines that this router prefers.
     pub subset: Subset,
 }
 
-/// The engines that a router keeps to, among many routers.
+/// The subset of the engines that a router prefers when there are many routers.
 ///
-/// Each router has an order of its own ([`Endpoint::distance`](crate::fleet_view::endpoints::Endpoint::distance)), and
-/// works with the first so many candidates in it: so many that each engine is in the subsets of
-/// [`SUBSET_ROUTERS`](constants::SUBSET_ROUTERS) routers, whatever the number of either. It meets the same engines again, so
-/// that their connections stay warm, and an engine that looks idle is chosen by a few routers before they hear of each
-/// other, not by hundreds. Since the subset is drawn from the candidates, one that can't serve is replaced by the next.
-/// Engines that have the prefix are weighed whether they are in it or not.
+/// Each router orders the engines differently ([`Endpoint::distance`](crate::fleet_view::endpoints::Endpoint::distance))
+/// and uses the first candidates in its order. The size of the subset is chosen so that each engine is in the subsets of
+/// about [`SUBSET_ROUTERS`](constants::SUBSET_ROUTERS) routers, whatever the numbers of routers and engines. A router then
+/// reuses its connections to the same engines, and an engine that looks idle is selected by a few routers before their
+/// load reports reach each other, not by hundreds. The subset is taken from the candidates, so an engine that can't serve
+/// is replaced by the next one. Engines with the prefix cached are considered whether they are in the subset or not.
 #[derive(Debug, Clone, Copy)]
 pub struct Subset {
     routers: usize,
-    /// ms; what the last engine of the own order costs more than the first
-    spread_ms: f64,
-    /// a connection that idled for longer is not used again
-    pub longest_idle: Duration,
+    /// Cost of the engine at distance 1 compared to the engine at distance 0, in milliseconds.
+    distance_cost_ms: f64,
+    /// A connection that was idle for longer is not reused.
+    pub max_idle: Duration,
 }
 
 impl Subset {
-    /// Among so many routers: alone there is nobody to keep apart from, and the more there are, the less each knows of
-    /// what the others have just sent.
-    pub fn among(routers: usize, longest_idle: Duration) -> Subset {
+    /// For a number of live routers, this one included. A single router has no need to avoid others; the more routers
+    /// there are, the less each of them knows about what the others have just dispatched.
+    pub fn new(routers: usize, max_idle: Duration) -> Subset {
         let others = routers.saturating_sub(1) as f64;
-        let crowd = others / (others + constants::SUBSET_HALF_ROUTERS);
-        Subset { routers, spread_ms: constants::SUBSET_SPREAD_MS * crowd, longest_idle }
+        let weight = others / (others + constants::SUBSET_HALF_ROUTERS);
+        Subset { routers, distance_cost_ms: constants::SUBSET_SPREAD_MS * weight, max_idle }
     }
 
-    /// How many of so many candidates are in it.
+    /// Number of engines in the subset, given the number of candidates.
     pub fn size(&self, candidates: usize) -> usize {
         let share = candidates * constants::SUBSET_ROUTERS;
         share.div_ceil(self.routers.max(1)).max(constants::SUBSET_ENGINES_LEAST).min(candidates)
     }
 
-    /// The distance of the last candidate that is in it.
-    pub fn border(&self, mut distances: Vec<f64>) -> f64 {
+    /// Distance of the last candidate in the subset, given the distances of all candidates; 0 if there are none.
+    pub fn max_distance(&self, mut distances: Vec<f64>) -> f64 {
         let Some(last) = self.size(distances.len()).checked_sub(1) else { return 0.0 };
-        let (_, border, _) = distances.select_nth_unstable_by(last, f64::total_cmp);
-        *border
+        let (_, max_distance, _) = distances.select_nth_unstable_by(last, f64::total_cmp);
+        *max_distance
     }
 
-    /// What an engine at this distance costs, with or without an idle connection that is fit.
-    pub fn ms(&self, distance: f64, is_connected: bool) -> f64 {
+    /// Cost of an engine at this distance, in milliseconds; `is_connected` says whether there is a reusable idle
+    /// connection to it.
+    pub fn cost_ms(&self, distance: f64, is_connected: bool) -> f64 {
         let connect_ms = if is_connected { 0.0 } else { constants::NEW_CONNECTION_COST_MS };
-        distance * self.spread_ms + connect_ms
+        distance * self.distance_cost_ms + connect_ms
     }
 }
 
 impl<'a> RequestProfile<'a> {
-    /// For a prompt at a service, with the stores that the index knows.
+    /// For a prompt at a service. Stores that don't respond, and are therefore not in the index, are left out.
     pub fn new(
         routing_table: &'a Table,
         service: &str,
@@ -84,82 +85,88 @@
         zone: &'a str,
         subset: Subset,
     ) -> RequestProfile<'a> {
-        let facts = routing_table.service(service).and_then(|s| s.engine.as_ref());
+        let engine_config =
+            routing_table.service(service).and_then(|configured| configured.engine.as_ref());
         let part = prompt.deepest_shared().unwrap_or(0);
-        let mut stores: SmallVec<[Store; 4]> =
-            routing_table.stores().iter().filter_map(|s| Store::new(s, index, part)).collect();
-        stores.sort_by_key(|s| std::cmp::Reverse(s.rank));
+        let mut stores: SmallVec<[Store; 4]> = routing_table
+            .stores()
+            .iter()
+            .filter_map(|store| Store::new(store, index, part))
+            .collect();
+        stores.sort_by_key(|store| std::cmp::Reverse(store.rank));
         RequestProfile {
             prompt,
             zone,
-            capacity: facts.map_or(0, |f| f.kv_capacity),
-            token_bits: facts.map_or(0.0, |f| f.kv_token_bytes * 8.0),
-            link_mbps: facts.map_or(0.0, |f| f.link_mbps),
+            capacity: engine_config.map_or(0, |engine| engine.kv_capacity),
+            token_bits: engine_config.map_or(0.0, |engine| engine.kv_token_bytes * 8.0),
+            link_mbps: engine_config.map_or(0.0, |engine| engine.link_mbps),
             stores,
             subset,
         }
     }
 
-    /// ms that a move of so many tokens takes.
-    pub fn transfer_ms(&self, tokens: u64, mbps: f64, near: bool) -> f64 {
-        let far = if near { 1.0 } else { 2.0 };
-        constants::TRANSFER_COST_MS + tokens as f64 * self.token_bits / (mbps.max(1.0) * 1e3) * far
+    /// Duration of the KV transfer of `tokens` tokens at `mbps` Mbit/s, in milliseconds; twice as long between zones.
+    pub fn transfer_ms(&self, tokens: u64, mbps: f64, same_zone: bool) -> f64 {
+        let zone_factor = if same_zone { 1.0 } else { 2.0 };
+        constants::TRANSFER_COST_MS
+            + tokens as f64 * self.token_bits / (mbps.max(1.0) * 1e3) * zone_factor
     }
 }
 
-/// A store that answers, as the configuration has it.
+/// A KV store of the configuration that responds: the index lists only those.
 pub struct Store<'a> {
-    /// where engines reach it
+    /// Address at which engines reach the store.
     pub address: &'a str,
-    /// its zone
+    /// Zone of the store; empty if not configured.
     pub zone: &'a str,
-    /// what its link carries
+    /// Bandwidth of its link, in Mbit/s.
     pub mbps: f64,
-    /// its place in the index
-    pub at: At,
-    /// by which a part of a prompt belongs to one store, alike at all routers
+    /// Position of the store in the prompt index.
+    pub index_position: At,
+    /// Rendezvous hash of the store and a prompt part; the store with the highest rank is preferred. All routers compute
+    /// the same rank.
     pub rank: u64,
 }
 
 impl<'a> Store<'a> {
-    /// The service, if it is a store that the index knows.
-    pub fn new(s: &'a Service, index: &Index, part: u64) -> Option<Store<'a>> {
-        let address = s.kv_store.as_deref()?;
+    /// None if the service is not a store, or the index doesn't list it.
+    pub fn new(service: &'a Service, index: &Index, part: u64) -> Option<Store<'a>> {
+        let address = service.kv_store.as_deref()?;
         Some(Store {
             address,
-            zone: s.zone.as_deref().unwrap_or_default(),
-            mbps: s.link_mbps,
-            at: index.at(address)?,
+            zone: service.zone.as_deref().unwrap_or_default(),
+            mbps: service.link_mbps,
+            index_position: index.at(address)?,
             rank: fleet_core::node::stable_hash(&[address.as_bytes(), &part.to_be_bytes()]),
         })
     }
 }
 
-/// What a source offers one engine.
+/// Estimate of a KV transfer from a source to one engine.
 #[derive(Clone, Copy)]
-pub struct Offer {
-    /// Tokens of the prompt beyond what the engine has cached.
+pub struct TransferEstimate {
+    /// Number of prompt tokens that the source has beyond those cached at the engine.
     pub tokens: u64,
-    /// how long the move takes
+    /// Duration of the transfer in milliseconds.
     pub ms: f64,
 }
 
-impl Offer {
-    /// ms that the move saves over reading.
-    pub fn gain(&self) -> f64 {
+impl TransferEstimate {
+    /// Time saved by the transfer compared to computing the tokens, in milliseconds; negative if the transfer is slower.
+    pub fn saved_ms(&self) -> f64 {
         self.tokens as f64 / constants::READ_RATE - self.ms
     }
 }
 
-/// What one placement goes by: a request, the engines of its service, and what the index knows.
+/// Inputs of one engine selection.
 pub struct SelectionContext<'a> {
-    /// What the request needs.
+    /// Properties of the request.
     pub request: RequestProfile<'a>,
-    /// the engines of the service
+    /// The engines of the service.
     pub endpoint_set: &'a EndpointSet,
-    /// Who has which blocks.
+    /// The prompt index: which holders have which blocks cached.
     pub index: &'a Index,
-    /// one time for all that is weighed
+    /// The time at which all candidates are evaluated.
     pub now: Instant,
 }
 
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -1,33 +1,33 @@
-//! The retry budget, common to all routers: each uses its own share.
+//! Limits retries by a budget per service. All routers together keep within the budget: each uses only its own share.
 
 use fleet_core::constants;
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a budget is reckoned from.
+/// The parameters of a budget.
 #[derive(Debug, Clone, Copy)]
 pub struct BudgetPolicy {
-    /// Second sends allowed for each arrival within the window.
+    /// Retries allowed per client request within the window.
     pub ratio: f64,
-    /// The sliding window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// Second sends allowed besides, by all routers together.
+    /// Retries allowed within the window in addition, summed over all routers.
     pub slack: f64,
-    /// Live routers.
+    /// Number of live routers.
     pub routers: usize,
     /// Time since this router started.
-    pub up: Duration,
+    pub uptime: Duration,
 }
 
 impl BudgetPolicy {
-    /// The own part of the slack; none for who started less than a window ago.
+    /// This router's share of the slack; 0 until it has run for a full window.
     fn slack_share(&self) -> f64 {
-        if self.up < self.window {
+        if self.uptime < self.window {
             return 0.0;
         }
-        let sharers = (self.routers + constants::BUDGET_SPARES).max(1) as f64;
-        (self.slack * constants::BUDGET_SHARE / sharers).floor()
+        let shares = (self.routers + constants::BUDGET_SPARES).max(1) as f64;
+        (self.slack * constants::BUDGET_SHARE / shares).floor()
     }
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl Budget {
-    fn age(&mut self, now: Instant, window: Duration) {
+    /// Removes events that are older than the window.
+    fn expire(&mut self, now: Instant, window: Duration) {
         for queue in [&mut self.arrivals, &mut self.retries] {
             while queue.front().is_some_and(|at| now.duration_since(*at) >= window) {
                 queue.pop_front();
@@ -47,15 +48,15 @@
         }
     }
 
-    /// Counts a request of a client.
-    pub fn arrived(&mut self, now: Instant, policy: &BudgetPolicy) {
-        self.age(now, policy.window);
+    /// Records a request of a client.
+    pub fn record_request(&mut self, now: Instant, policy: &BudgetPolicy) {
+        self.expire(now, policy.window);
         self.arrivals.push_back(now);
     }
 
-    /// Charges one retry; false, and nothing is charged, if the budget is used up.
-    pub fn spend(&mut self, now: Instant, policy: &BudgetPolicy) -> bool {
-        self.age(now, policy.window);
+    /// Charges one retry. Returns false, and charges nothing, if the budget is exhausted.
+    pub fn try_spend(&mut self, now: Instant, policy: &BudgetPolicy) -> bool {
+        self.expire(now, policy.window);
         let earned = self.arrivals.len() as f64 * policy.ratio * constants::BUDGET_SHARE;
         let allowed = earned + policy.slack_share();
         if (self.retries.len() + 1) as f64 > allowed {
@@ -66,36 +67,36 @@
     }
 }
 
-/// Budgets of all services.
+/// The budgets of all services, created on first use.
 #[derive(Default)]
 pub struct Budgets {
-    table: parking_lot::Mutex<hashbrown::HashMap<String, Budget, ahash::RandomState>>,
+    by_service: parking_lot::Mutex<hashbrown::HashMap<String, Budget, ahash::RandomState>>,
 }
 
 impl crate::Router {
-    fn policy(&self) -> BudgetPolicy {
+    fn retry_budget_policy(&self) -> BudgetPolicy {
         let settings = self.settings();
         BudgetPolicy {
             ratio: settings.bounds.retry_ratio,
             window: settings.bounds.retry_window,
             slack: settings.bounds.retry_slack,
             routers: self.fleet_view.routers(),
-            up: self.started.elapsed(),
+            uptime: self.started.elapsed(),
         }
     }
 
-    /// Counts a request of a client for this service.
+    /// Records a request of a client for this service.
     pub fn arrived(&self, service: &str) {
-        let policy = self.policy();
-        let mut budgets = self.budgets.table.lock();
-        budgets.entry_ref(service).or_default().arrived(Instant::now(), &policy);
+        let policy = self.retry_budget_policy();
+        let mut budgets = self.budgets.by_service.lock();
+        budgets.entry_ref(service).or_default().record_request(Instant::now(), &policy);
     }
 
-    /// Charges one retry to the budget of this service; false if it is used up.
+    /// Charges one retry to the budget of this service. Returns false, and charges nothing, if the budget is exhausted.
     pub fn spend(&self, service: &str) -> bool {
-        let policy = self.policy();
-        let mut budgets = self.budgets.table.lock();
-        budgets.entry_ref(service).or_default().spend(Instant::now(), &policy)
+        let policy = self.retry_budget_policy();
+        let mut budgets = self.budgets.by_service.lock();
+        budgets.entry_ref(service).or_default().try_spend(Instant::now(), &policy)
     }
 }
 
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -1,4 +1,4 @@
-//! How a router gets its configuration from controllers that are played here.
+//! Tests how a router fetches its configuration, against mock controllers.
 
 use data_plane::Router;
 use data_plane::fleet_view::{config_fetch, links};
@@ -12,21 +12,21 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// A call for the configuration that waits for its answer.
+/// A configuration request that waits for its response.
 struct PendingRequest {
-    at: Ipv4Addr,
+    controller_ip: Ipv4Addr,
     request: ConfigRequest,
-    answer: oneshot::Sender<Body>,
+    response: oneshot::Sender<Body>,
 }
 
-/// A controller that gives each call for the configuration to the test.
-struct PlayedController {
+/// A controller that forwards each configuration request to the test.
+struct MockController {
     ip: Ipv4Addr,
     connected: mpsc::UnboundedSender<Peer>,
     pending: mpsc::UnboundedSender<PendingRequest>,
 }
 
-impl fleet_core::link::PeerHandler for PlayedController {
+impl fleet_core::link::PeerHandler for MockController {
     fn connected(self: &Arc<Self>, peer: &Peer) {
         let _ = self.connected.send(peer.clone());
     }
@@ -35,9 +35,9 @@
 
     async fn answer(self: &Arc<Self>, _: &Peer, body: Body) -> Option<Body> {
         let Body::ConfigRequest(request) = body else { return Some(Body::Acknowledged(Empty {})) };
-        let (answer, answered) = oneshot::channel();
-        self.pending.send(PendingRequest { at: self.ip, request, answer }).ok()?;
-        answered.await.ok()
+        let (response, response_receiver) = oneshot::channel();
+        self.pending.send(PendingRequest { controller_ip: self.ip, request, response }).ok()?;
+        response_receiver.await.ok()
     }
 
     fn message_rejected(self: &Arc<Self>, error: &LinkError) {
@@ -62,12 +62,12 @@
             listeners
                 .push(tokio::net::TcpListener::bind(SocketAddr::from((*ip, port))).await.unwrap());
         }
-        let (connected, mut joins) = mpsc::unbounded_channel();
+        let (connected, mut connections) = mpsc::unbounded_channel();
         let (pending_tx, pending) = mpsc::unbounded_channel();
         for (ip, listener) in ips.into_iter().zip(listeners) {
-            let host =
-                PlayedController { ip, connected: connected.clone(), pending: pending_tx.clone() };
-            tokio::spawn(fleet_core::link::serve_peers(Box::new(listener), Arc::new(host)));
+            let controller =
+                MockController { ip, connected: connected.clone(), pending: pending_tx.clone() };
+            tokio::spawn(fleet_core::link::serve_peers(Box::new(listener), Arc::new(controller)));
         }
         let text = format!("nodeName=c1\nip=127.0.0.1\nzone=z\nportRange={port},{}\n", port + 1);
         let settings = fleet_core::settings::Settings::parse(&text).unwrap();
@@ -79,19 +79,19 @@
         tokio::spawn(config_fetch::run_config_fetch(router.clone()));
         let mut peers = Vec::new();
         while peers.len() < ips.len() {
-            peers.push(joins.recv().await.unwrap());
+            peers.push(connections.recv().await.unwrap());
         }
         Harness { router, peers, pending }
     }
 
-    /// All controllers tell of a version.
+    /// Announces a version from all controllers.
     fn announce(&self, config: u64) {
         for peer in &self.peers {
             peer.push(Body::FleetUpdate(FleetUpdate { config, ..Default::default() })).unwrap();
         }
     }
 
-    /// Waits until the router has heard of a version from one of them.
+    /// Waits until the router has received the announcement of a version from one of them.
     async fn wait_for_announcement(&self, config: u64) {
         self.router
             .fleet_view
@@ -101,11 +101,11 @@
             .unwrap();
     }
 
-    async fn next(&mut self) -> PendingRequest {
+    async fn next_request(&mut self) -> PendingRequest {
         self.pending.recv().await.unwrap()
     }
 
-    /// The version in force; while a call is held here, that is the one before it.
+    /// The version in force.
     fn in_force(&self) -> u64 {
         self.router.fleet_view.routing_table().map_or(0, |routing_table| routing_table.version)
     }
@@ -125,54 +125,57 @@
 }
 
 fn respond(pending: PendingRequest, response: ConfigResponse) {
-    pending.answer.send(Body::ConfigResponse(response)).unwrap();
+    pending.response.send(Body::ConfigResponse(response)).unwrap();
 }
 
 #[tokio::test]
-async fn one_fetch_is_under_way_at_a_time_and_then_one_for_the_newest() {
+async fn one_fetch_is_in_progress_at_a_time_and_the_next_one_is_for_the_newest() {
     let mut harness = Harness::start().await;
     harness.announce(1);
-    let first = harness.next().await;
-    assert!(first.request.digest.is_empty(), "it has none as yet");
+    let first = harness.next_request().await;
+    assert!(first.request.digest.is_empty(), "the router has no configuration yet");
     for version in 2..6 {
         harness.announce(version);
     }
     harness.wait_for_announcement(5).await;
-    assert!(harness.pending.try_recv().is_err(), "one fetch is under way");
+    assert!(harness.pending.try_recv().is_err(), "one fetch is already in progress");
     respond(first, full(1));
-    let second = harness.next().await;
+    let second = harness.next_request().await;
     assert_eq!(harness.in_force(), 1);
-    assert_eq!(second.request.digest, digest(1), "it tells what it has");
+    assert_eq!(second.request.digest, digest(1), "the request has the digest of the current body");
     respond(second, full(5));
     harness.announce(6);
-    let third = harness.next().await;
+    let third = harness.next_request().await;
     assert_eq!(harness.in_force(), 5);
-    assert_eq!(third.request.digest, digest(5), "nothing was asked for versions in between");
+    assert_eq!(third.request.digest, digest(5), "the versions in between were not requested");
 }
 
 #[tokio::test]
-async fn answers_that_bring_nothing_are_made_up_for_by_another_controller() {
+async fn after_an_unusable_response_another_controller_is_asked() {
     let mut harness = Harness::start().await;
     harness.announce(1);
-    let first = harness.next().await;
+    let first = harness.next_request().await;
     respond(first, full(1));
     harness.announce(2);
-    let old = harness.next().await;
-    let mut pending_at = vec![old.at];
-    respond(old, full(1));
-    let damaged = harness.next().await;
-    pending_at.push(damaged.at);
+    let outdated = harness.next_request().await;
+    let mut controllers = vec![outdated.controller_ip];
+    respond(outdated, full(1));
+    let damaged = harness.next_request().await;
+    controllers.push(damaged.controller_ip);
     respond(damaged, ConfigResponse { digest: digest(7), ..full(2) });
-    let unfitting = harness.next().await;
-    pending_at.push(unfitting.at);
-    assert!(unfitting.request.digest.is_empty(), "the whole is asked for after a wrong digest");
-    unfitting.answer.send(Body::Acknowledged(Empty {})).unwrap();
-    let last = harness.next().await;
-    pending_at.sort_unstable();
-    pending_at.dedup();
-    assert_eq!(pending_at.len(), 3, "three controllers in turn");
-    assert_eq!(harness.in_force(), 1, "what was in force stays");
+    let after_damaged = harness.next_request().await;
+    controllers.push(after_damaged.controller_ip);
+    assert!(
+        after_damaged.request.digest.is_empty(),
+        "the full body is requested after a digest mismatch"
+    );
+    after_damaged.response.send(Body::Acknowledged(Empty {})).unwrap();
+    let last = harness.next_request().await;
+    controllers.sort_unstable();
+    controllers.dedup();
+    assert_eq!(controllers.len(), 3, "the three controllers are asked in turn");
+    assert_eq!(harness.in_force(), 1, "the former configuration stays in force");
     respond(last, full(2));
     harness.announce(3);
-    assert_eq!(harness.next().await.request.digest, digest(2));
+    assert_eq!(harness.next_request().await.request.digest, digest(2));
 }
--- a/crates/data-plane/tests/invalidations.rs
+++ b/crates/data-plane/tests/invalidations.rs
@@ -1,4 +1,5 @@
-//! A reader of the ring: what it keeps after lost answers, overruns and new incarnations of the keeper.
+//! Tests what a reader of the invalidation ring holds after lost responses, overruns, and new incarnations of the index
+//! owner.
 
 use data_plane::fleet_view::invalidations::{PrefixView, RingPosition, ViewUpdate, step};
 use fleet_core::wire::{
@@ -12,28 +13,28 @@
 }
 
 #[test]
-fn another_incarnation_counts_only_with_a_reset() {
-    let at = RingPosition::new(2, 7, 5, 0);
-    let g = RingResponse { head: head(2, 8, 9), cursor: 9, ..Default::default() };
-    assert!(step(at, g.clone()).is_none());
-    let (next, change) = step(at, RingResponse { reset: true, ..g }).unwrap();
+fn another_incarnation_is_accepted_only_with_a_reset() {
+    let position = RingPosition::new(2, 7, 5, 0);
+    let response = RingResponse { head: head(2, 8, 9), cursor: 9, ..Default::default() };
+    assert!(step(position, response.clone()).is_none());
+    let (next, update) = step(position, RingResponse { reset: true, ..response }).unwrap();
     assert_eq!(next, RingPosition::new(2, 8, 9, 0));
-    assert!(change.is_some_and(|c| c.reset));
-    let old = RingResponse { head: head(1, 3, 9), reset: true, ..Default::default() };
-    assert!(step(at, old).is_none());
+    assert!(update.is_some_and(|update| update.reset));
+    let outdated = RingResponse { head: head(1, 3, 9), reset: true, ..Default::default() };
+    assert!(step(position, outdated).is_none());
 }
 
 #[test]
-fn entries_are_applied_before_the_view_is_looked_at() {
-    let s = PrefixView::new();
-    let holds = |s: &PrefixView| {
-        let index = s.current_index();
+fn queued_updates_are_applied_before_the_index_is_used() {
+    let prefix_view = PrefixView::new();
+    let holds = |prefix_view: &PrefixView| {
+        let index = prefix_view.current_index();
         let chain = index.chain("m|1|#1", [(4, 10)]);
         index.learn("m|1|#1", &chain);
-        index.cells().iter().any(|c| !c.query(&chain, &HolderBitmap::ALL).groups.is_empty())
+        index.cells().iter().any(|cell| !cell.query(&chain, &HolderBitmap::ALL).groups.is_empty())
     };
-    assert!(!holds(&s));
-    s.put(ViewUpdate {
+    assert!(!holds(&prefix_view));
+    prefix_view.put(ViewUpdate {
         reset: true,
         snapshot: vec![CachedParts {
             holder: "e".into(),
@@ -43,69 +44,69 @@
         }],
         entries: Vec::new(),
     });
-    assert!(holds(&s));
-    let gone = Invalidation::Part(PartLocation {
+    assert!(holds(&prefix_view));
+    let eviction = Invalidation::Part(PartLocation {
         holder: "e".into(),
         salt: "m|1|#1".into(),
         part: 4,
         cached_tokens: 0,
     });
-    s.put(ViewUpdate {
+    prefix_view.put(ViewUpdate {
         reset: false,
         snapshot: Vec::new(),
-        entries: vec![RingEntry { scope: 0, what: Some(gone) }],
+        entries: vec![RingEntry { scope: 0, what: Some(eviction) }],
     });
-    assert!(!holds(&s));
+    assert!(!holds(&prefix_view));
 }
 
 proptest::proptest! {
-    /// A reader's view never holds what a published entry before its cursor removed,
-    /// over lost answers, overruns and new incarnations of the keeper.
+    /// A reader's view never holds what an entry before its cursor removed, even after lost responses, overruns, and new
+    /// incarnations of the index owner.
     #[test]
-    fn view_never_holds_what_was_purged(steps in proptest::collection::vec((0u8..6, 0u64..6), 1..120)) {
+    fn a_view_never_holds_purged_parts(steps in proptest::collection::vec((0u8..6, 0u64..6), 1..120)) {
         use invalidation::ring::{Read, Ring};
-        let entry = |p: u64| RingEntry {
+        let entry = |part_id: u64| RingEntry {
             scope: 0,
-            what: Some(Invalidation::Part(PartLocation { holder: "e".into(), salt: "m|1|#1".into(), part: p, cached_tokens: 0 })),
+            what: Some(Invalidation::Part(PartLocation { holder: "e".into(), salt: "m|1|#1".into(), part: part_id, cached_tokens: 0 })),
         };
         let (mut ring, mut incarnation) = (Ring::<RingEntry>::new(8, 2, 4), 1u64);
-        let mut truth = std::collections::HashSet::<u64>::new();
+        let mut cached = std::collections::HashSet::<u64>::new();
         let mut view = View::new(100);
-        let mut at = RingPosition::default();
-        for (what, p) in steps {
-            match what {
-                0 => { truth.insert(p); }
+        let mut position = RingPosition::default();
+        for (action, part) in steps {
+            match action {
+                0 => { cached.insert(part); }
                 1 | 2 => {
-                    truth.remove(&p);
-                    ring.publish(&[entry(p)]);
+                    cached.remove(&part);
+                    ring.publish(&[entry(part)]);
                 }
                 3 => {
                     ring = Ring::new(8, 2, 4);
                     incarnation += 1;
                 }
                 _ => {
-                    let lost = what == 5;
-                    let same = at.incarnation() == incarnation && at.fencing_token() == 1;
-                    let cursor = if same { ring.cursor(1).filter(|c| c.next() == at.cursor()) } else { None };
-                    let mut g = RingResponse { head: head(1, incarnation, ring.head()), ..Default::default() };
-                    match cursor.as_ref().map(|c| (c, ring.read(c, 3))) {
-                        Some((c, Read::Entries(e))) => { g.entries = e; g.cursor = c.next(); }
-                        Some((c, Read::Nothing)) => g.cursor = c.next(),
+                    let is_lost = action == 5;
+                    let is_same_ring = position.incarnation() == incarnation && position.fencing_token() == 1;
+                    let cursor = if is_same_ring { ring.cursor(1).filter(|cursor| cursor.next() == position.cursor()) } else { None };
+                    let mut response = RingResponse { head: head(1, incarnation, ring.head()), ..Default::default() };
+                    match cursor.as_ref().map(|at| (at, ring.read(at, 3))) {
+                        Some((at, Read::Entries(entries))) => { response.entries = entries; response.cursor = at.next(); }
+                        Some((at, Read::Nothing)) => response.cursor = at.next(),
                         _ => {
-                            let (_, cur) = ring.enter(1);
-                            g.reset = true;
-                            g.cursor = cur;
-                            g.snapshot = vec![CachedParts { holder: "e".into(), salt: "m|1|#1".into(), parts: truth.iter().copied().collect(), cached_tokens: Vec::new() }];
+                            let (_, new_cursor) = ring.enter(1);
+                            response.reset = true;
+                            response.cursor = new_cursor;
+                            response.snapshot = vec![CachedParts { holder: "e".into(), salt: "m|1|#1".into(), parts: cached.iter().copied().collect(), cached_tokens: Vec::new() }];
                         }
                     }
-                    if lost { continue; }
-                    let Some((next, change)) = step(at, g) else { continue };
-                    at = next;
-                    if let Some(c) = change { c.apply(&mut view); }
-                    if at.cursor() == ring.head() && at.incarnation() == incarnation {
-                        for q in 0..6 {
-                            let held = view.holds("e", invalidation::view::part_of("m|1|#1", q));
-                            proptest::prop_assert!(!held || truth.contains(&q));
+                    if is_lost { continue; }
+                    let Some((next, update)) = step(position, response) else { continue };
+                    position = next;
+                    if let Some(update) = update { update.apply(&mut view); }
+                    if position.cursor() == ring.head() && position.incarnation() == incarnation {
+                        for other_part in 0..6 {
+                            let is_held = view.holds("e", invalidation::view::part_of("m|1|#1", other_part));
+                            proptest::prop_assert!(!is_held || cached.contains(&other_part));
                         }
                     }
                 }
--- a/crates/data-plane/tests/version_bound.rs
+++ b/crates/data-plane/tests/version_bound.rs
@@ -1,5 +1,5 @@
-//! Until when a request may go to an engine with older weights: `versionMs` after the acknowledgement of the first
-//! version that the engine lacks, whatever is named or restarted since.
+//! Tests how long a request may be dispatched to an engine with older weights: until `versionMs` after the
+//! acknowledgement of the first version that the engine lacks, whatever is announced or restarted since.
 
 use data_plane::Router;
 use data_plane::fleet_view::routing_table::Table;
@@ -17,7 +17,7 @@
     Duration::from_millis(ms)
 }
 
-/// A router that knows one engine with version 1 of the model, and a configuration whose service it serves.
+/// A router that knows one engine with version 1 of the model, and a configuration with the engine's service.
 fn router() -> (Arc<Router>, Arc<Table>) {
     let text = "nodeName=r1\nip=127.0.0.1\nzone=z\nportRange=1,9\nbounds.versionMs=8000\n";
     let log = slog::Logger::root(slog::Discard, slog::o!());
@@ -50,7 +50,7 @@
     }
 }
 
-fn name(router: &Router, version: u64, age_ms: u64) {
+fn announce_target(router: &Router, version: u64, age_ms: u64) {
     let weights = vec![TargetWeights { model: "m".into(), version, age_ms }];
     router.fleet_view.apply(&FleetUpdate { weights, ..Default::default() });
 }
@@ -62,48 +62,57 @@
     Prompt::read(&headers)
 }
 
-fn serves((router, table): &(Arc<Router>, Arc<Table>)) -> bool {
+fn can_dispatch((router, table): &(Arc<Router>, Arc<Table>)) -> bool {
     choose_engine(router, table, "s", None, &prompt(), &[]).is_ok()
 }
 
 #[tokio::test(start_paused = true)]
-async fn naming_a_newer_version_does_not_extend_the_bound_of_the_one_before() {
-    let fleet = router();
-    name(&fleet.0, 2, 0);
+async fn a_newer_version_does_not_extend_the_bound_of_an_earlier_one() {
+    let fixture = router();
+    announce_target(&fixture.0, 2, 0);
     tokio::time::advance(ms(4400)).await;
-    assert!(serves(&fleet), "well before the bound older weights serve");
-    name(&fleet.0, 3, 0);
+    assert!(
+        can_dispatch(&fixture),
+        "requests may run under older weights until shortly before the bound"
+    );
+    announce_target(&fixture.0, 3, 0);
     tokio::time::advance(BOUND - ms(4400)).await;
-    assert!(!serves(&fleet), "version 1 may not begin: 8 s after version 2 was acknowledged");
+    assert!(
+        !can_dispatch(&fixture),
+        "nothing may begin under version 1 from 8 s after version 2 was acknowledged"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_counts_from_the_first_version_that_it_lacks() {
-    let fleet = router();
-    name(&fleet.0, 2, 0);
+async fn the_bound_of_an_engine_counts_from_the_first_version_that_it_lacks() {
+    let fixture = router();
+    announce_target(&fixture.0, 2, 0);
     tokio::time::advance(ms(4400)).await;
-    name(&fleet.0, 3, 0);
-    fleet.0.fleet_view.apply(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
+    announce_target(&fixture.0, 3, 0);
+    fixture.0.fleet_view.apply(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
     tokio::time::advance(BOUND - ms(4400)).await;
-    assert!(serves(&fleet), "version 2 may serve until the bound of version 3");
+    assert!(
+        can_dispatch(&fixture),
+        "requests may run under version 2 until the bound set by version 3"
+    );
     tokio::time::advance(ms(4400)).await;
-    assert!(!serves(&fleet));
+    assert!(!can_dispatch(&fixture));
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_oldest_age_that_any_controller_tells_counts() {
-    let fleet = router();
-    name(&fleet.0, 2, 0);
-    name(&fleet.0, 2, 5000);
+async fn the_bound_counts_from_the_earliest_announcement_that_any_controller_reports() {
+    let fixture = router();
+    announce_target(&fixture.0, 2, 0);
+    announce_target(&fixture.0, 2, 5000);
     tokio::time::advance(BOUND - ms(5000)).await;
-    assert!(!serves(&fleet), "a controller has known the version for 8 s");
+    assert!(!can_dispatch(&fixture), "a controller has known the version for 8 s");
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_newest_weights_serve_at_any_age() {
-    let fleet = router();
-    name(&fleet.0, 2, 0);
-    fleet.0.fleet_view.apply(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
+async fn the_newest_weights_have_no_bound() {
+    let fixture = router();
+    announce_target(&fixture.0, 2, 0);
+    fixture.0.fleet_view.apply(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
     tokio::time::advance(BOUND * 10).await;
-    assert!(serves(&fleet));
+    assert!(can_dispatch(&fixture));
 }
