--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -47,7 +47,7 @@
 }
 
 impl Endpoint {
-    /// Rendezvous hash of a prompt part and this engine; the engine with the highest rank is the part's affinity target.
+    /// Rendezvous hash of a prompt part and this engine; the part is preferably routed to the engine with the highest rank.
     pub fn rank(&self, part: u64) -> u64 {
         let mixed = (self.rank ^ part).wrapping_mul(0xff51_afd7_ed55_8ccd);
         let mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -177,8 +177,9 @@
         let mut interactive = self.interactive.lock();
         interactive.smoothed +=
             (f64::from(in_flight) - interactive.smoothed) * constants::DIVISION_WEIGHT;
-        let wanted = prefill_heavy_count(engines, slots, interactive.smoothed);
-        let difference = wanted.abs_diff(prefill_heavy_count(engines, slots, interactive.applied));
+        let target_count = prefill_heavy_count(engines, slots, interactive.smoothed);
+        let difference =
+            target_count.abs_diff(prefill_heavy_count(engines, slots, interactive.applied));
         if difference as f64 >= (engines as f64 * constants::DIVISION_STEP).max(1.0) {
             interactive.applied = interactive.smoothed;
             drop(interactive);
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::time::Instant;
 
-/// Applies ring entries to the prompt index.
+/// Applies ring entries to the prompt index, as evictions of parts and removals of holders.
 struct IndexCache<'a>(&'a Index);
 
 impl Cache for IndexCache<'_> {
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -104,7 +104,7 @@
     }
 
     /// When the newest target version of a model's weights was announced; none if none was.
-    pub fn target_named_at(&self, model: &str) -> Option<Instant> {
+    pub fn target_announced_at(&self, model: &str) -> Option<Instant> {
         let targets = self.targets.read();
         targets.get(model)?.newest().map(|target| target.since)
     }
@@ -193,8 +193,8 @@
         let since = Instant::now()
             .checked_sub(Duration::from_millis(update.age_ms))
             .unwrap_or_else(Instant::now);
-        let mut all = self.targets.write();
-        let targets = all.entry_ref(update.model.as_str()).or_default();
+        let mut targets_by_model = self.targets.write();
+        let targets = targets_by_model.entry_ref(update.model.as_str()).or_default();
         Arc::make_mut(targets).learn(update.version, since);
     }
 
--- a/crates/data-plane/src/load_balancer/cost.rs
+++ b/crates/data-plane/src/load_balancer/cost.rs
@@ -91,11 +91,11 @@
     if request.capacity == 0 {
         return 0.0;
     }
-    let fill = (work.tokens + request.prompt.load()) as f64 / request.capacity as f64;
-    if fill <= MEMORY_PRESSURE_FROM {
+    let utilization = (work.tokens + request.prompt.load()) as f64 / request.capacity as f64;
+    if utilization <= MEMORY_PRESSURE_FROM {
         return 0.0;
     }
-    (fill - MEMORY_PRESSURE_FROM) * MEMORY_PRESSURE_COST_MS
+    (utilization - MEMORY_PRESSURE_FROM) * MEMORY_PRESSURE_COST_MS
 }
 
 /// Expected time until a request dispatched now begins at an engine: the prompts ahead of it have to be computed, and
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -101,7 +101,7 @@
 /// [`constants::OUTDATED_GRACE`] of its announcement.
 fn outdated_cost_ms(view: &FleetView, prompt: &Prompt, now: Instant) -> f64 {
     let model = prompt.model.as_deref();
-    let since = model.and_then(|model| view.target_named_at(model));
+    let since = model.and_then(|model| view.target_announced_at(model));
     let is_charged = since.is_some_and(|since| now >= since + constants::OUTDATED_GRACE);
     if is_charged { constants::OUTDATED_COST_MS } else { 0.0 }
 }
@@ -113,7 +113,8 @@
     context.request.subset.max_distance(candidates.iter().map(distance).collect())
 }
 
-/// The engine to which the deepest shared prompt part is routed, by rendezvous hashing; all routers agree on it.
+/// The engine to which the deepest shared prompt part is routed, by rendezvous hashing; all routers agree on it. Engines
+/// that prefer requests of this kind, prefill-heavy or not, come first.
 fn affinity_target(context: &SelectionContext, candidates: &[Candidate]) -> Option<usize> {
     let part = context.request.prompt.deepest_shared()?;
     let prefill_heavy = context.request.prompt.is_prefill_heavy();
@@ -183,7 +184,7 @@
         let mut best: Option<BestCandidate> = None;
         for candidate in candidates {
             let next = self.evaluate(candidate);
-            let key = |b: &BestCandidate| (b.cost.is_full, b.cost.ms);
+            let key = |evaluated: &BestCandidate| (evaluated.cost.is_full, evaluated.cost.ms);
             if best.as_ref().is_none_or(|best| key(&next) < key(best)) {
                 best = Some(next);
             }
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -105,7 +105,7 @@
         self.pending.recv().await.unwrap()
     }
 
-    /// The version in force.
+    /// The version in force. While a request is pending, this is the version before the requested one.
     fn in_force(&self) -> u64 {
         self.router.fleet_view.routing_table().map_or(0, |routing_table| routing_table.version)
     }
