--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -1,63 +1,64 @@
-//! What a router counts, from its start on: written to the log now and then, and shown as metrics.
+//! Event counters of a router: written to the log periodically and exported as metrics.
 
 use crate::Router;
 use fleet_core::log::Event;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts since the start of the process.
+/// Counts since the process started. They only grow.
 #[derive(Default)]
 pub struct Counters {
-    /// Requests with a route and a service.
+    /// Requests that were matched to a route and a service.
     pub requests: AtomicU64,
-    /// Answers of engines that have begun.
+    /// Engine responses whose head was accepted.
     pub responses: AtomicU64,
-    /// Requests rejected unsent.
+    /// Requests rejected without an engine having run them.
     pub rejected: AtomicU64,
-    /// Requests that came after SIGTERM and would not have been complete before this router ends.
+    /// Requests rejected because this router shuts down: they are not expected to complete in time, or found no
+    /// engine before it had to answer.
     pub rejected_at_end: AtomicU64,
-    /// Requests that were sent and got no answer of an engine.
+    /// Requests that may have run at an engine and got no usable response.
     pub failed: AtomicU64,
-    /// Those of them that waited at an engine when this router had to end.
+    /// Requests of `failed` that were still waiting for an engine when this router shut down.
     pub failed_at_end: AtomicU64,
-    /// Dispatches to engines with older weights than the target.
+    /// Dispatches to engines whose weights are older than the target version.
     pub outdated_dispatches: AtomicU64,
-    /// Dispatches to engines with older weights that were taken back before the bound.
+    /// Dispatches to engines with outdated weights that were cancelled before the version bound.
     pub version_cutoffs: AtomicU64,
-    /// Dispatches that an engine rejected with 421.
+    /// Dispatches that an engine rejected with status 421 (wrong instance or weight version).
     pub version_mismatches: AtomicU64,
-    /// Responses that an engine broke off.
-    pub broken: AtomicU64,
-    /// Responses cut at their deadline.
-    pub past_deadline: AtomicU64,
-    /// Responses that the client left.
-    pub abandoned: AtomicU64,
-    /// Controllers that were lost.
+    /// Responses truncated by the engine.
+    pub responses_broken_by_engine: AtomicU64,
+    /// Responses truncated at their deadline.
+    pub responses_past_deadline: AtomicU64,
+    /// Responses whose client disconnected before the end.
+    pub responses_abandoned: AtomicU64,
+    /// Times that the last link to a controller was lost.
     pub controllers_lost: AtomicU64,
-    /// Streams that went on at another engine.
+    /// Streams resumed at another engine after a break.
     pub resumed: AtomicU64,
-    /// Retries.
+    /// Requests dispatched again within the retry budget.
     pub retries: AtomicU64,
-    /// New connections to engines.
-    pub connections: AtomicU64,
-    /// Sends on an idle connection that was reset: the engine had perhaps closed it already.
+    /// Connections opened to engines.
+    pub engine_connections: AtomicU64,
+    /// Dispatches on a reused idle connection that was reset, perhaps because the engine had already closed it.
     pub idle_resets: AtomicU64,
-    /// Tokens of prompts that the chosen engine was known to have cached.
+    /// Prompt tokens that the chosen engine was known to have cached.
     pub cached_tokens: AtomicU64,
-    /// Tokens of prompts that it was not known to have cached.
+    /// Prompt tokens that the chosen engine was not known to have cached.
     pub missing_tokens: AtomicU64,
-    /// Sends with a source that is known to have cached what is missing.
+    /// Dispatches that name a KV source which is known to hold the missing prefix.
     pub transfers: AtomicU64,
-    /// Sends with a source that is only guessed.
+    /// Dispatches that name a KV source which is only presumed to hold the missing prefix.
     pub guesses: AtomicU64,
-    /// Sends with a sink.
+    /// Dispatches that name a store for the engine to send KV blocks to.
     pub sinks: AtomicU64,
-    /// Sends whose prompt a store is known to have some of.
+    /// Dispatches whose prompt is known to be at least partly in a KV store.
     pub stored: AtomicU64,
-    /// Tokens of shared parts that were missing and had no known source.
+    /// Tokens of shared prefix parts that were missing at the engine and had no known source.
     pub shared_missing: AtomicU64,
-    /// Responses to requests that need much prefill.
-    pub prefill_heavy_answers: AtomicU64,
-    /// Their waits for a first event, added up, in microseconds.
+    /// Responses to prefill-heavy requests.
+    pub prefill_heavy_responses: AtomicU64,
+    /// Sum of the times to the head of these responses, in microseconds.
     pub prefill_heavy_wait_us: AtomicU64,
 }
 
@@ -69,7 +70,7 @@
         fleet_core::log_event!(self.log, Event::Counters,
             "taken" => get(&counters.requests), "begun" => get(&counters.responses), "refused" => get(&counters.rejected),
             "failed" => get(&counters.failed), "resumed" => get(&counters.resumed), "again" => get(&counters.retries),
-            "connections" => get(&counters.connections), "forgotten" => get(&counters.idle_resets),
+            "connections" => get(&counters.engine_connections), "forgotten" => get(&counters.idle_resets),
             "links_rejected" => self.fleet_view.links_rejected(),
             "parts_held" => get(&counters.cached_tokens),
             "parts_missing" => get(&counters.missing_tokens), "moves" => get(&counters.transfers),
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,18 +1,20 @@
 //! The data plane: the library that the `router` program runs.
 //!
-//! A router takes requests of clients, chooses an engine for each, relays the response, and retries where that is
-//! allowed. It decides by what controllers sent it and what its own requests showed; it asks nobody on the way of a request.
+//! A router accepts client requests, chooses an engine for each, relays the response, and retries where that is
+//! allowed. Routing decisions use only what controllers have sent and what the router's own requests have shown; no
+//! other process is queried while a request is handled.
 //!
 //! Read the modules in this order:
 //!
-//! 1. [`proxy`]: the way of a request, from the client's connection to the last byte of the response
+//! 1. [`proxy`]: the path of a request, from the client's connection to the last byte of the response
 //! 2. [`load_balancer`]: which engine a request goes to
-//! 3. [`pool`]: connections to engines, and what is known of each engine
-//! 4. [`retry_budget`]: how many requests may go to a second engine
+//! 3. [`pool`]: connections to engines, and the state that is kept for each engine
+//! 4. [`retry_budget`]: limits how many requests may be sent to a second engine
 //! 5. [`fleet_view`]: what controllers send, and the configuration in force
-//! 6. [`runtime`]: start and end; [`shutdown`]: the phases of the end; [`counters`] and `metrics`: what it shows of itself
+//! 6. [`runtime`]: start-up and shutdown; [`shutdown`]: the phases of a shutdown; [`counters`] and `metrics`: what the
+//!    router reports about itself
 
-// A process that carries traffic does not panic for a value that is not there; tests may.
+// A process that carries traffic must not panic on a missing value; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
 
 pub mod counters;
@@ -34,40 +36,41 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// All state of a router.
+/// The complete state of a router.
 ///
-/// Lock order: routing table, engines, one engine's work, inbox of invalidations, prompt index; never two engines.
+/// Lock order: routing table, engine map, the `Work` of one engine, queue of invalidations, prompt index. Locks of
+/// two engines are never held together.
 pub struct Router {
-    /// Who this process is.
+    /// Identity of this process: role, address, zone and incarnation.
     pub node: fleet_core::node::Node,
     /// The root logger.
     pub log: slog::Logger,
     settings: parking_lot::RwLock<Arc<fleet_core::settings::Settings>>,
-    /// What is known of the fleet.
+    /// Configuration, engines and routers as last reported by the controllers.
     pub fleet_view: fleet_view::FleetView,
-    /// Budgets of retries, by service.
+    /// Retry budgets by service.
     pub budgets: retry_budget::Budgets,
-    /// How long engines keep idle connections.
+    /// Estimates of how long engines keep idle connections, by service.
     pub idle_timeouts: pool::idle_timeout::IdleTimeouts,
-    /// Counters.
+    /// Event counts that are logged and exported as metrics.
     pub counters: Counters,
-    /// When it was assembled.
+    /// When this state was created.
     pub started: tokio::time::Instant,
-    /// The readiness that was logged last.
-    ready: AtomicBool,
-    /// How far its end has come.
+    /// The readiness that was last written to the log.
+    logged_ready: AtomicBool,
+    /// The shutdown phase.
     pub shutdown: shutdown::Shutdown,
-    /// How long responses take.
-    pub stream_paces: proxy::stream_pace::StreamPaces,
-    /// Open connections of clients.
-    pub open: AtomicUsize,
-    /// Requests accepted and not yet answered completely.
+    /// Mean response time per output token, by service.
+    pub response_times: proxy::stream_pace::ResponseTimes,
+    /// Number of open client connections.
+    pub open_connections: AtomicUsize,
+    /// Requests accepted whose response is not yet complete.
     pub in_flight: Arc<proxy::in_flight::InFlight>,
     random: RandomSource,
 }
 
 impl Router {
-    /// A router that as yet listens nowhere and sees nothing.
+    /// Creates a router that does not listen on any address and knows nothing of the fleet yet.
     pub fn assemble(settings: fleet_core::settings::Settings, log: slog::Logger) -> Arc<Router> {
         let node = fleet_core::node::Node::start(&settings, fleet_core::node::Role::Router);
         Arc::new(Router {
@@ -77,10 +80,10 @@
             idle_timeouts: pool::idle_timeout::IdleTimeouts::default(),
             counters: Counters::default(),
             started: tokio::time::Instant::now(),
-            ready: AtomicBool::new(false),
+            logged_ready: AtomicBool::new(false),
             shutdown: shutdown::Shutdown::default(),
-            stream_paces: proxy::stream_pace::StreamPaces::default(),
-            open: AtomicUsize::new(0),
+            response_times: proxy::stream_pace::ResponseTimes::default(),
+            open_connections: AtomicUsize::new(0),
             in_flight: Arc::default(),
             settings: parking_lot::RwLock::new(Arc::new(settings)),
             node,
@@ -93,28 +96,29 @@
         self.settings.read().clone()
     }
 
-    /// A random number; not for secrets.
+    /// A random number; not suitable for cryptography.
     pub fn random(&self) -> u64 {
         self.random.next()
     }
 
-    /// Whether this router was asked to end.
+    /// Whether shutdown has begun.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown.phase() > Phase::Serving
     }
 
-    /// Whether a request that puts out so many tokens is expected to be complete before this router ends. True while
-    /// it is not known when that is, or how long responses take, unless the router closes its connections already.
-    pub fn can_finish(&self, service: &str, tokens: u64) -> bool {
+    /// Whether a request with this many output tokens is expected to complete before this router exits. Also true
+    /// while no shutdown has begun or no response time is known; false once the router closes its connections.
+    pub fn can_complete(&self, service: &str, output_tokens: u64) -> bool {
         let Some(ends_at) = self.shutdown.ends_at() else { return true };
-        let expected = self.stream_paces.expected(service, tokens).unwrap_or_default();
+        let expected = self.response_times.estimate(service, output_tokens).unwrap_or_default();
         self.shutdown.phase() < Phase::Closing && tokio::time::Instant::now() + expected <= ends_at
     }
 
-    /// Whether clients may come: a configuration is in force, and the router is not shutting down.
+    /// Whether the router can serve clients: a configuration is in force and shutdown has not begun. Logs each
+    /// change.
     pub fn is_ready(&self) -> bool {
         let now = !self.is_shutting_down() && self.fleet_view.routing_table().is_some();
-        if self.ready.swap(now, Ordering::Relaxed) != now {
+        if self.logged_ready.swap(now, Ordering::Relaxed) != now {
             fleet_core::log_event!(self.log, if now { Event::Ready } else { Event::Unready });
         }
         now
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a router shows of itself as metrics: its counters, and the state that explains them.
+//! Metrics of a router: its counters, and gauges of its state.
 
 use crate::fleet_view::FleetView;
 use crate::{Counters, Router};
@@ -18,7 +18,7 @@
 }
 
 fn write_counters(counters: &Counters, exposition: &mut Exposition<'_>) -> fmt::Result {
-    let all: [(&str, &str, &AtomicU64); 17] = [
+    let counters: [(&str, &str, &AtomicU64); 17] = [
         ("requests", "Requests with a route and a service", &counters.requests),
         ("responses", "Responses of engines that have begun", &counters.responses),
         ("rejected", "Requests rejected before any engine ran them", &counters.rejected),
@@ -35,7 +35,7 @@
         ),
         ("resumed", "Streams that went on at another engine", &counters.resumed),
         ("retries", "Retries", &counters.retries),
-        ("engine_connections", "New connections to engines", &counters.connections),
+        ("engine_connections", "New connections to engines", &counters.engine_connections),
         ("idle_resets", "Dispatches on an idle connection that was reset", &counters.idle_resets),
         (
             "outdated_dispatches",
@@ -52,12 +52,20 @@
             "Dispatches that an engine rejected with 421",
             &counters.version_mismatches,
         ),
-        ("responses_broken_by_engine", "Responses that an engine broke off", &counters.broken),
-        ("responses_past_deadline", "Responses cut at their deadline", &counters.past_deadline),
-        ("responses_abandoned", "Responses that the client left", &counters.abandoned),
+        (
+            "responses_broken_by_engine",
+            "Responses that an engine broke off",
+            &counters.responses_broken_by_engine,
+        ),
+        (
+            "responses_past_deadline",
+            "Responses cut at their deadline",
+            &counters.responses_past_deadline,
+        ),
+        ("responses_abandoned", "Responses that the client left", &counters.responses_abandoned),
         ("clock_restarts", "Controllers that were lost", &counters.controllers_lost),
     ];
-    for (name, help, counter) in all {
+    for (name, help, counter) in counters {
         exposition.counter(name, help, counter.load(Ordering::Relaxed))?;
     }
     Ok(())
@@ -65,11 +73,15 @@
 
 fn write_requests(router: &Router, exposition: &mut Exposition<'_>) -> fmt::Result {
     let shutting_down = router.is_shutting_down();
-    let late = router.in_flight.accepted_late() as f64;
-    let open = router.open.load(Ordering::Relaxed) as f64;
+    let during_shutdown = router.in_flight.accepted_during_shutdown() as f64;
+    let open = router.open_connections.load(Ordering::Relaxed) as f64;
     exposition.gauge("shutting_down", "1 from SIGTERM on", f64::from(u8::from(shutting_down)))?;
-    exposition.gauge("requests_in_flight", "Requests in flight", router.in_flight.all() as f64)?;
-    exposition.gauge("requests_in_flight_late", "Those accepted after SIGTERM", late)?;
+    exposition.gauge(
+        "requests_in_flight",
+        "Requests in flight",
+        router.in_flight.total() as f64,
+    )?;
+    exposition.gauge("requests_in_flight_late", "Those accepted after SIGTERM", during_shutdown)?;
     exposition.gauge("client_connections", "Open connections of clients", open)
 }
 
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 /// The body of a request as it goes out: whole.
-pub type Sent = http_body_util::Full<bytes::Bytes>;
+pub type RequestBody = http_body_util::Full<bytes::Bytes>;
 
 /// Why there is no connection to an engine.
 #[derive(Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
@@ -43,60 +43,60 @@
 }
 
 /// Counts an open connection until dropped.
-struct Open(Arc<EngineHandle>);
+struct ConnectionPermit(Arc<EngineHandle>);
 
-impl Drop for Open {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// Since when a connection is idle; none while it is used, and once we close it ourselves.
 #[derive(Default)]
-struct Resting(parking_lot::Mutex<Option<Instant>>);
+struct IdleSince(parking_lot::Mutex<Option<Instant>>);
 
-struct Wire {
-    sender: SendRequest<Sent>,
-    open: Open,
-    resting: Arc<Resting>,
+struct EngineConnection {
+    sender: SendRequest<RequestBody>,
+    permit: ConnectionPermit,
+    idle_since: Arc<IdleSince>,
     idle_timeout: Arc<IdleTimeout>,
 }
 
-impl Drop for Wire {
+impl Drop for EngineConnection {
     fn drop(&mut self) {
-        self.resting.0.lock().take();
+        self.idle_since.0.lock().take();
     }
 }
 
 /// A connection that nobody uses.
-pub struct Idle {
-    wire: Wire,
+pub struct IdleConnection {
+    inner: EngineConnection,
     since: Instant,
     until: Instant,
 }
 
 /// A connection for one request.
 pub struct PooledConnection {
-    wire: Wire,
+    inner: EngineConnection,
     /// how long it was idle before; none for a new one
     idle_time: Option<Duration>,
 }
 
 /// A connection that an answer has begun on.
-pub struct Streaming {
-    wire: Wire,
-    keep: Option<Duration>,
+pub struct RespondingConnection {
+    inner: EngineConnection,
+    idle_limit: Option<Duration>,
 }
 
-impl Idle {
+impl IdleConnection {
     /// Neither closed by the engine nor idle for as long as it was to be kept.
     pub fn is_open(&self, now: Instant) -> bool {
-        now < self.until && !self.wire.sender.is_closed()
+        now < self.until && !self.inner.sender.is_closed()
     }
 
     /// Whatever went over it before is over.
     pub fn is_ready(&self) -> bool {
-        self.wire.sender.is_ready()
+        self.inner.sender.is_ready()
     }
 
     /// How long it has been idle.
@@ -105,17 +105,17 @@
     }
 
     fn checkout(self, now: Instant) -> PooledConnection {
-        self.wire.resting.0.lock().take();
-        PooledConnection { idle_time: Some(self.idle_time(now)), wire: self.wire }
+        self.inner.idle_since.0.lock().take();
+        PooledConnection { idle_time: Some(self.idle_time(now)), inner: self.inner }
     }
 }
 
 /// What a connection is wanted for.
-pub struct Checkout<'a> {
+pub struct CheckoutOptions<'a> {
     /// the service that the engine belongs to
     pub service: &'a str,
     /// connections to the engine that this router may have open
-    pub share: u32,
+    pub max_connections: u32,
     /// whether the request may run twice
     pub repeatable: bool,
 }
@@ -128,49 +128,52 @@
 pub async fn checkout(
     router: &Router,
     engine: &Arc<EngineHandle>,
-    checkout: Checkout<'_>,
+    options: CheckoutOptions<'_>,
 ) -> Result<PooledConnection, ConnectionError> {
     let now = Instant::now();
-    let idle_timeout = router.idle_timeouts.of(checkout.service);
-    let longest =
-        if checkout.repeatable { Duration::MAX } else { idle_timeout.safe_idle_time(now) };
-    if let Some(idle) = engine.checkout_idle(now, longest) {
+    let idle_timeout = router.idle_timeouts.of(options.service);
+    let max_idle_time =
+        if options.repeatable { Duration::MAX } else { idle_timeout.safe_idle_time(now) };
+    if let Some(idle) = engine.checkout_idle(now, max_idle_time) {
         return Ok(idle.checkout(now));
     }
-    connect(router, engine, idle_timeout, checkout.share).await
+    connect(router, engine, idle_timeout, options.max_connections).await
 }
 
 async fn connect(
     router: &Router,
     engine: &Arc<EngineHandle>,
     idle_timeout: Arc<IdleTimeout>,
-    share: u32,
+    max_connections: u32,
 ) -> Result<PooledConnection, ConnectionError> {
-    let open = open_within(engine, share).ok_or(ConnectionError::Full)?;
+    let permit = acquire_permit(engine, max_connections).ok_or(ConnectionError::Full)?;
     let io = fleet_core::link::connect(router.node.ip, engine.address, constants::CONNECT_TIMEOUT)
         .await
         .map_err(ConnectionError::Connect)?;
-    router.counters.connections.fetch_add(1, Ordering::Relaxed);
+    router.counters.engine_connections.fetch_add(1, Ordering::Relaxed);
     let (mut sender, connection) = hyper::client::conn::http1::Builder::new()
         .max_buf_size(constants::ENGINE_READ_BUFFER)
         .handshake(TokioIo::new(io))
         .await
         .map_err(|_| ConnectionError::Closed)?;
-    let resting = Arc::<Resting>::default();
-    tokio::spawn(drive(connection, resting.clone(), engine.clone()));
+    let idle_since = Arc::<IdleSince>::default();
+    tokio::spawn(drive_connection(connection, idle_since.clone(), engine.clone()));
     sender.ready().await.map_err(|_| ConnectionError::Closed)?;
-    Ok(PooledConnection { wire: Wire { sender, open, resting, idle_timeout }, idle_time: None })
+    Ok(PooledConnection {
+        inner: EngineConnection { sender, permit, idle_since, idle_timeout },
+        idle_time: None,
+    })
 }
 
 /// Counts one more connection; an idle one that is not fit gives way where there is no room.
-fn open_within(engine: &Arc<EngineHandle>, share: u32) -> Option<Open> {
+fn acquire_permit(engine: &Arc<EngineHandle>, max_connections: u32) -> Option<ConnectionPermit> {
     loop {
-        let before = engine.open.fetch_add(1, Ordering::Relaxed);
-        let open = Open(engine.clone());
-        if before < share {
-            return Some(open);
+        let before = engine.open_connections.fetch_add(1, Ordering::Relaxed);
+        let permit = ConnectionPermit(engine.clone());
+        if before < max_connections {
+            return Some(permit);
         }
-        drop(open);
+        drop(permit);
         if !engine.drop_oldest_idle() {
             return None;
         }
@@ -178,13 +181,13 @@
 }
 
 /// Moves the bytes, and notes an end that the engine made while nobody used the connection.
-async fn drive(
-    connection: Connection<TokioIo<TcpStream>, Sent>,
-    resting: Arc<Resting>,
+async fn drive_connection(
+    connection: Connection<TokioIo<TcpStream>, RequestBody>,
+    idle_since: Arc<IdleSince>,
     engine: Arc<EngineHandle>,
 ) {
     let _ = connection.await;
-    let since = resting.0.lock().take();
+    let since = idle_since.0.lock().take();
     if let Some(since) = since {
         engine.suspect_idle_close(since.elapsed());
     }
@@ -203,34 +206,34 @@
     /// Says whether the engine may have read the request.
     pub async fn send(
         mut self,
-        request: http::Request<Sent>,
-    ) -> Result<(Streaming, http::Response<Incoming>), SendError> {
-        if self.wire.sender.ready().await.is_err() {
+        request: http::Request<RequestBody>,
+    ) -> Result<(RespondingConnection, http::Response<Incoming>), SendError> {
+        if self.inner.sender.ready().await.is_err() {
             return Err(SendError::NotSent(NotSent(())));
         }
-        match self.wire.sender.try_send_request(request).await {
+        match self.inner.sender.try_send_request(request).await {
             Ok(response) => {
                 if let Some(idle_time) = self.idle_time {
-                    self.wire.idle_timeout.record_reuse(idle_time, Instant::now());
+                    self.inner.idle_timeout.record_reuse(idle_time, Instant::now());
                 }
-                let keep = keep_for(response.headers());
-                Ok((Streaming { wire: self.wire, keep }, response))
+                let idle_limit = keep_alive_limit(response.headers());
+                Ok((RespondingConnection { inner: self.inner, idle_limit }, response))
             }
             Err(mut error) => match error.take_message() {
                 Some(_unsent) => Err(SendError::NotSent(NotSent(()))),
-                None => Err(self.uncertain_end()),
+                None => Err(self.uncertain_send_error()),
             },
         }
     }
 
     /// A break after an idle time is blamed on that time; all that were idle for longer are then dropped too.
-    fn uncertain_end(self) -> SendError {
+    fn uncertain_send_error(self) -> SendError {
         let Some(idle_time) =
             self.idle_time.filter(|idle_time| *idle_time >= constants::IDLE_TIMEOUT_MIN)
         else {
             return SendError::Uncertain;
         };
-        let engine = &self.wire.open.0;
+        let engine = &self.inner.permit.0;
         engine.suspect_idle_close(idle_time);
         engine.drop_all_idle();
         SendError::IdleReset
@@ -238,7 +241,7 @@
 }
 
 /// How long the engine lets it idle; none if it closes.
-fn keep_for(h: &http::HeaderMap) -> Option<Duration> {
+fn keep_alive_limit(h: &http::HeaderMap) -> Option<Duration> {
     let text = |n: http::HeaderName| h.get(n).and_then(|v| v.to_str().ok()).unwrap_or("");
     let closes =
         text(http::header::CONNECTION).split(',').any(|t| t.trim().eq_ignore_ascii_case("close"));
@@ -249,21 +252,21 @@
         v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
     });
     let Some(s) = reported else { return Some(constants::IDLE_CONNECTION_TIMEOUT) };
-    let keep = Duration::from_secs(s).mul_f64(0.6).min(constants::IDLE_CONNECTION_TIMEOUT);
-    (!keep.is_zero()).then_some(keep)
+    let idle_limit = Duration::from_secs(s).mul_f64(0.6).min(constants::IDLE_CONNECTION_TIMEOUT);
+    (!idle_limit.is_zero()).then_some(idle_limit)
 }
 
-impl Streaming {
+impl RespondingConnection {
     /// The answer ended exactly: the connection may serve again. Dropping it instead spends it.
-    pub fn end(self) {
-        let Some(keep) = self.keep else { return };
-        if self.wire.sender.is_closed() {
+    pub fn release(self) {
+        let Some(idle_limit) = self.idle_limit else { return };
+        if self.inner.sender.is_closed() {
             return;
         }
         let now = Instant::now();
-        *self.wire.resting.0.lock() = Some(now);
-        let engine = self.wire.open.0.clone();
-        engine.put_idle(Idle { wire: self.wire, since: now, until: now + keep });
+        *self.inner.idle_since.0.lock() = Some(now);
+        let engine = self.inner.permit.0.clone();
+        engine.put_idle(IdleConnection { inner: self.inner, since: now, until: now + idle_limit });
     }
 }
 
--- a/crates/data-plane/src/pool/connection_tests.rs
+++ b/crates/data-plane/src/pool/connection_tests.rs
@@ -9,7 +9,7 @@
         for (n, v) in pairs {
             m.insert(*n, http::HeaderValue::from_static(v));
         }
-        keep_for(&m)
+        keep_alive_limit(&m)
     };
     assert_eq!(h(&[]), Some(constants::IDLE_CONNECTION_TIMEOUT));
     assert_eq!(h(&[("connection", "x, Close")]), None);
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -1,6 +1,6 @@
 //! One engine as this router sees it.
 
-use super::connection::Idle;
+use super::connection::IdleConnection;
 use fleet_core::constants;
 use fleet_core::load::Load;
 use fleet_core::wire::{Engine, EngineState};
@@ -25,7 +25,7 @@
 
 impl ReportedLoad {
     /// Reads the header; none if it is malformed.
-    pub fn read(text: &str, at: Instant) -> Option<ReportedLoad> {
+    pub fn parse(text: &str, at: Instant) -> Option<ReportedLoad> {
         let mut it = text.split(',').map(|x| x.trim().parse::<u32>());
         let (Some(Ok(running)), Some(Ok(waiting)), Some(Ok(slots))) =
             (it.next(), it.next(), it.next())
@@ -56,9 +56,9 @@
     /// when that was reported
     pub others_at: Option<Instant>,
     /// the one used last is the last
-    idle: VecDeque<Idle>,
+    idle: VecDeque<IdleConnection>,
     /// shortest rest after which it dropped a connection, as long as it has not answered since
-    suspected: Option<Duration>,
+    suspected_idle_close: Option<Duration>,
     /// what the engine reported last
     pub reported: Option<ReportedLoad>,
     /// left alone until then
@@ -66,7 +66,7 @@
     /// how long it was left alone last
     ejection_time: Duration,
     /// heavy answers of a newcomer, and their waits
-    firsts: (u64, Duration),
+    warm_up_waits: (u64, Duration),
 }
 
 impl Work {
@@ -85,8 +85,10 @@
     }
 
     /// Whether a connection is there that idled for no longer than this.
-    pub fn has_idle_connection(&self, now: Instant, longest: Duration) -> bool {
-        self.idle.back().is_some_and(|idle| idle.is_open(now) && idle.idle_time(now) <= longest)
+    pub fn has_idle_connection(&self, now: Instant, max_idle_time: Duration) -> bool {
+        self.idle
+            .back()
+            .is_some_and(|idle| idle.is_open(now) && idle.idle_time(now) <= max_idle_time)
     }
 }
 
@@ -98,14 +100,14 @@
     pub key: u32,
     /// where it listens
     pub address: SocketAddr,
-    met: Instant,
+    first_seen: Instant,
     is_new: bool,
     state: parking_lot::RwLock<Engine>,
     /// when the roll-out last said something new of it
-    marked_at: parking_lot::Mutex<Instant>,
+    rollout_state_changed_at: parking_lot::Mutex<Instant>,
     work: parking_lot::Mutex<Work>,
     /// connections open, used or not; outside the lock, for they also end under it
-    pub(super) open: AtomicU32,
+    pub(super) open_connections: AtomicU32,
 }
 
 /// What the connections of this router tell of an engine.
@@ -126,12 +128,12 @@
             id: e.id.clone(),
             key: fleet_core::load::key_of(&e.id),
             address: e.address.parse().ok()?,
-            met: Instant::now(),
+            first_seen: Instant::now(),
             is_new: e.call <= constants::NEW_ENGINE_CALLS,
             state: parking_lot::RwLock::new(e.clone()),
-            marked_at: parking_lot::Mutex::new(Instant::now()),
+            rollout_state_changed_at: parking_lot::Mutex::new(Instant::now()),
             work: parking_lot::Mutex::default(),
-            open: AtomicU32::new(0),
+            open_connections: AtomicU32::new(0),
         })
     }
 
@@ -141,7 +143,7 @@
         let before = (known.drain_seq, known.update_seq);
         let is_changed = fleet_core::fleet::merge(&mut known, state);
         if (known.drain_seq, known.update_seq) != before {
-            *self.marked_at.lock() = Instant::now();
+            *self.rollout_state_changed_at.lock() = Instant::now();
         }
         drop(known);
         if state.state() == EngineState::Deregistered {
@@ -152,7 +154,7 @@
 
     /// States of the roll-out count only so long: who set them may have failed.
     pub fn has_rollout_mark(&self, now: Instant) -> bool {
-        now.duration_since(*self.marked_at.lock()) < constants::ROLLOUT_STATE_TIMEOUT
+        now.duration_since(*self.rollout_state_changed_at.lock()) < constants::ROLLOUT_STATE_TIMEOUT
     }
 
     /// What the controllers know of it.
@@ -168,22 +170,22 @@
 
     /// Just started: what it was not seen to keep, it does not keep.
     pub fn is_warming(&self, now: Instant) -> bool {
-        self.is_new && now < self.met + constants::WARM_UP_PERIOD
+        self.is_new && now < self.first_seen + constants::WARM_UP_PERIOD
     }
 
     /// Counts the wait of a heavy answer; gives the mean once the first few have come.
-    pub fn first_waits(&self, wait: Duration) -> Option<Duration> {
+    pub fn record_warm_up_wait(&self, wait: Duration) -> Option<Duration> {
         if !self.is_new {
             return None;
         }
         let mut w = self.work();
-        if w.firsts.0 >= constants::WARM_UP_ANSWERS {
+        if w.warm_up_waits.0 >= constants::WARM_UP_ANSWERS {
             return None;
         }
-        w.firsts.0 += 1;
-        w.firsts.1 += wait;
-        (w.firsts.0 == constants::WARM_UP_ANSWERS)
-            .then(|| w.firsts.1 / constants::WARM_UP_ANSWERS as u32)
+        w.warm_up_waits.0 += 1;
+        w.warm_up_waits.1 += wait;
+        (w.warm_up_waits.0 == constants::WARM_UP_ANSWERS)
+            .then(|| w.warm_up_waits.1 / constants::WARM_UP_ANSWERS as u32)
     }
 
     /// What goes on there.
@@ -223,7 +225,7 @@
         let mut w = self.work();
         w.ejection_time = Duration::ZERO;
         w.ejected_until = None;
-        w.suspected.take()
+        w.suspected_idle_close.take()
     }
 
     /// Dropped a connection after this rest: forgotten, unless the engine ended.
@@ -233,21 +235,26 @@
             return;
         }
         let mut w = self.work();
-        w.suspected = Some(w.suspected.map_or(ejection_time, |known| known.min(ejection_time)));
+        w.suspected_idle_close =
+            Some(w.suspected_idle_close.map_or(ejection_time, |known| known.min(ejection_time)));
     }
 
     /// The connection that was used last, unless it has been idle for too long.
-    pub(super) fn checkout_idle(&self, now: Instant, longest: Duration) -> Option<Idle> {
+    pub(super) fn checkout_idle(
+        &self,
+        now: Instant,
+        max_idle_time: Duration,
+    ) -> Option<IdleConnection> {
         let mut w = self.work();
         w.idle.retain(|i| i.is_open(now));
-        let newest = w.idle.iter().rposition(Idle::is_ready)?;
-        if w.idle[newest].idle_time(now) > longest {
+        let newest = w.idle.iter().rposition(IdleConnection::is_ready)?;
+        if w.idle[newest].idle_time(now) > max_idle_time {
             return None;
         }
         w.idle.remove(newest)
     }
 
-    pub(super) fn put_idle(&self, i: Idle) {
+    pub(super) fn put_idle(&self, i: IdleConnection) {
         let mut w = self.work();
         if w.idle.len() >= constants::IDLE_CONNECTIONS {
             w.idle.pop_front();
@@ -264,7 +271,7 @@
         self.work().idle.clear();
     }
 
-    pub(super) fn sweep(&self, now: Instant) {
+    pub(super) fn drop_expired_idle(&self, now: Instant) {
         self.work().idle.retain(|i| i.is_open(now));
     }
 }
--- a/crates/data-plane/src/pool/engine_tests.rs
+++ b/crates/data-plane/src/pool/engine_tests.rs
@@ -45,7 +45,7 @@
     assert!(!s.is_warming(Instant::now()));
     let ms = Duration::from_millis;
     let means: Vec<_> = (0..constants::WARM_UP_ANSWERS * 2)
-        .filter_map(|i| s.first_waits(ms(10 * (i % 2) + 5)))
+        .filter_map(|i| s.record_warm_up_wait(ms(10 * (i % 2) + 5)))
         .collect();
     assert_eq!(means, vec![ms(10)]);
     let old = Engine { call: 99, address: "10.0.0.1:80".into(), ..Default::default() };
@@ -55,8 +55,8 @@
 #[test]
 fn malformed_burdens_tell_nothing() {
     let t = Instant::now();
-    assert_eq!(ReportedLoad::read("3, 1,8", t).unwrap().waiting, 1);
+    assert_eq!(ReportedLoad::parse("3, 1,8", t).unwrap().waiting, 1);
     for bad in ["", "3,1", "a,b,c", "-1,0,8", "3;1;8"] {
-        assert!(ReportedLoad::read(bad, t).is_none(), "{bad}");
+        assert!(ReportedLoad::parse(bad, t).is_none(), "{bad}");
     }
 }
--- a/crates/data-plane/src/pool/idle_timeout.rs
+++ b/crates/data-plane/src/pool/idle_timeout.rs
@@ -19,12 +19,12 @@
 
 struct Estimate {
     safe: Duration,
-    lowered: Option<Instant>,
+    lowered_at: Option<Instant>,
 }
 
 impl Default for IdleTimeout {
     fn default() -> Self {
-        let estimate = Estimate { safe: constants::IDLE_TIMEOUT_DEFAULT, lowered: None };
+        let estimate = Estimate { safe: constants::IDLE_TIMEOUT_DEFAULT, lowered_at: None };
         IdleTimeout { estimate: Mutex::new(estimate) }
     }
 }
@@ -41,7 +41,7 @@
         let safe = estimate.safe_idle_time(now);
         if idle_time > safe {
             estimate.safe = safe + (idle_time - safe).mul_f64(constants::IDLE_TIMEOUT_GAIN);
-            estimate.lowered = None;
+            estimate.lowered_at = None;
         }
     }
 
@@ -51,11 +51,11 @@
             return;
         }
         let mut estimate = self.estimate.lock();
-        let shorter =
+        let lowered =
             idle_time.mul_f64(constants::IDLE_TIMEOUT_MARGIN).max(constants::IDLE_TIMEOUT_MIN);
-        if shorter < estimate.safe_idle_time(now) {
-            estimate.safe = shorter;
-            estimate.lowered = Some(now);
+        if lowered < estimate.safe_idle_time(now) {
+            estimate.safe = lowered;
+            estimate.lowered_at = Some(now);
         }
     }
 }
@@ -63,10 +63,11 @@
 impl Estimate {
     /// What was learnt to be short is tried longer again as time passes.
     fn safe_idle_time(&self, now: Instant) -> Duration {
-        let Some(lowered) = self.lowered else { return self.safe };
-        let spans =
-            now.duration_since(lowered).div_duration_f64(constants::IDLE_TIMEOUT_DOUBLING_PERIOD);
-        let doublings = spans.floor().min(constants::IDLE_TIMEOUT_MAX_DOUBLINGS);
+        let Some(lowered_at) = self.lowered_at else { return self.safe };
+        let periods = now
+            .duration_since(lowered_at)
+            .div_duration_f64(constants::IDLE_TIMEOUT_DOUBLING_PERIOD);
+        let doublings = periods.floor().min(constants::IDLE_TIMEOUT_MAX_DOUBLINGS);
         let recovered = self.safe.mul_f64(doublings.exp2()).min(constants::IDLE_TIMEOUT_DEFAULT);
         self.safe.max(recovered)
     }
--- a/crates/data-plane/src/pool/mod.rs
+++ b/crates/data-plane/src/pool/mod.rs
@@ -21,18 +21,18 @@
         tokio::time::sleep(constants::IDLE_CONNECTION_TIMEOUT / 4).await;
         let now = Instant::now();
         let handles: Vec<_> = router.fleet_view.engines.read().values().cloned().collect();
-        for s in handles {
-            s.sweep(now);
-            if s.state().state() == EngineState::Deregistered {
-                deregistered.entry_ref(s.id.as_str()).or_insert(now);
+        for handle in handles {
+            handle.drop_expired_idle(now);
+            if handle.state().state() == EngineState::Deregistered {
+                deregistered.entry_ref(handle.id.as_str()).or_insert(now);
             }
         }
-        let old: Vec<String> = deregistered
+        let expired: Vec<String> = deregistered
             .extract_if(|_, at| now.duration_since(*at) > constants::DEPARTURE_RETENTION)
             .map(|(id, _)| id)
             .collect();
         let mut handles = router.fleet_view.engines.write();
-        for id in old {
+        for id in expired {
             handles.remove(&id);
         }
     }
--- a/crates/data-plane/src/proxy/answer.rs
+++ b/crates/data-plane/src/proxy/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: those of our own, and the bodies that an engine sends through us.
+//! Responses to clients: those that the router itself makes, and the bodies relayed from engines.
 
 use bytes::Bytes;
 use fleet_core::constants;
@@ -7,111 +7,113 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// Why the body of an answer ends before its end.
+/// Why a response body ends early.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub enum AnswerError {
-    /// the engine broke off; the answer must not look complete
-    BrokenOff,
+pub enum ResponseBodyError {
+    /// response body truncated: it must not look complete to the client
+    Truncated,
 }
 
-/// A piece of an engine's body on its way to the client.
+/// A chunk of an engine's response body on its way to the client.
 #[derive(Debug)]
 pub enum BodyChunk {
-    /// bytes to pass on
+    /// Bytes to relay.
     Data(Bytes),
-    /// the body is whole; a channel that closes without this was broken off
+    /// The body is complete. A channel that closes without this marks a truncated body.
     End,
 }
 
-/// The body of an answer.
-pub enum Out {
-    /// one of our own, which has none
+/// The body of a response to a client.
+pub enum ResponseBody {
+    /// A response made by the router, which has no body.
     Empty,
-    /// an engine's, as it comes
+    /// An engine's body, relayed as it arrives.
     Relayed(mpsc::Receiver<BodyChunk>),
 }
 
-impl http_body::Body for Out {
+impl http_body::Body for ResponseBody {
     type Data = Bytes;
-    type Error = AnswerError;
+    type Error = ResponseBodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<http_body::Frame<Bytes>, AnswerError>>> {
-        let Out::Relayed(chunks) = self.get_mut() else { return Poll::Ready(None) };
+    ) -> Poll<Option<Result<http_body::Frame<Bytes>, ResponseBodyError>>> {
+        let ResponseBody::Relayed(chunks) = self.get_mut() else { return Poll::Ready(None) };
         chunks.poll_recv(cx).map(|chunk| match chunk {
             Some(BodyChunk::Data(data)) => Some(Ok(http_body::Frame::data(data))),
             Some(BodyChunk::End) => None,
-            None => Some(Err(AnswerError::BrokenOff)),
+            None => Some(Err(ResponseBodyError::Truncated)),
         })
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Out::Empty)
+        matches!(self, ResponseBody::Empty)
     }
 
     fn size_hint(&self) -> http_body::SizeHint {
         match self {
-            Out::Empty => http_body::SizeHint::with_exact(0),
-            Out::Relayed(_) => http_body::SizeHint::default(),
+            ResponseBody::Empty => http_body::SizeHint::with_exact(0),
+            ResponseBody::Relayed(_) => http_body::SizeHint::default(),
         }
     }
 }
 
-/// Why a request ends before any engine was given it.
+/// Why a request is rejected before any engine has received it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rejection {
-    /// no configuration, or a route that leads nowhere
+    /// No configuration is in force, or the route has no service.
     NotReady,
-    /// This router ends before the response could be complete; another one may take the request at once.
+    /// This router exits before the response could be complete; another router may take the request at once.
     ShuttingDown,
-    /// no route for this host and path
+    /// No route matches the host and path.
     NoRoute,
-    /// a key is needed, and this is none
+    /// The route requires an API key, and the request has no known one.
     Unauthorized,
-    /// a header that is needed is missing or malformed
+    /// A required header is missing or malformed.
     BadRequest,
-    /// where the request ends can't be told, or it broke off
+    /// The request has ambiguous framing, or its body is malformed or truncated.
     Unreadable,
-    /// an older protocol, whose client could not tell a break from an end
-    OldProtocol,
-    /// the body is over the limit
+    /// A version before HTTP/1.1, whose clients could not tell a truncated stream from a complete one.
+    UnsupportedVersion,
+    /// The body exceeds the configured limit.
     BodyTooLarge,
-    /// the body did not come in time
-    BodyLate,
+    /// The body did not arrive before the deadline.
+    BodyTimeout,
 }
 
 impl Rejection {
-    /// The answer to the client; what was not read whole closes the connection.
-    pub fn write(self) -> Response<Out> {
+    /// The response to the client. Closes the connection where the request was not read completely.
+    pub fn into_response(self) -> Response<ResponseBody> {
         match self {
-            Rejection::NotReady => refusal(),
-            Rejection::ShuttingDown => elsewhere(),
+            Rejection::NotReady => retry_later(),
+            Rejection::ShuttingDown => retry_elsewhere(),
             Rejection::NoRoute => empty(StatusCode::NOT_FOUND),
             Rejection::Unauthorized => empty(StatusCode::UNAUTHORIZED),
             Rejection::BadRequest => empty(StatusCode::BAD_REQUEST),
-            Rejection::Unreadable => closing(StatusCode::BAD_REQUEST),
-            Rejection::OldProtocol => closing(StatusCode::HTTP_VERSION_NOT_SUPPORTED),
-            Rejection::BodyTooLarge => closing(StatusCode::PAYLOAD_TOO_LARGE),
-            Rejection::BodyLate => closing(StatusCode::REQUEST_TIMEOUT),
+            Rejection::Unreadable => empty_and_close(StatusCode::BAD_REQUEST),
+            Rejection::UnsupportedVersion => {
+                empty_and_close(StatusCode::HTTP_VERSION_NOT_SUPPORTED)
+            }
+            Rejection::BodyTooLarge => empty_and_close(StatusCode::PAYLOAD_TOO_LARGE),
+            Rejection::BodyTimeout => empty_and_close(StatusCode::REQUEST_TIMEOUT),
         }
     }
 }
 
-/// How a request ends that an engine may have run. None of these promises anything.
+/// Why a request failed that an engine may have run. These responses promise nothing about whether it ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// the engine gave no answer that could be passed on
+    /// The engine sent no response that could be relayed.
     BadGateway,
-    /// no answer before the deadline
+    /// The engine sent no response before the deadline.
     GatewayTimeout,
-    /// no answer before this router ends
+    /// The engine sent no response before this router had to shut down.
     ShuttingDown,
 }
 
 impl Failure {
-    /// The status that the client gets.
+    /// The status of the response to the client.
     pub fn status(self) -> StatusCode {
         match self {
             Failure::BadGateway | Failure::ShuttingDown => StatusCode::BAD_GATEWAY,
@@ -119,38 +121,39 @@
         }
     }
 
-    /// The answer to the client.
-    pub fn write(self) -> Response<Out> {
+    /// The response to the client.
+    pub fn into_response(self) -> Response<ResponseBody> {
         match self {
             Failure::BadGateway | Failure::GatewayTimeout => empty(self.status()),
-            Failure::ShuttingDown => closing(self.status()),
+            Failure::ShuttingDown => empty_and_close(self.status()),
         }
     }
 }
 
-/// An answer of our own, with no body.
-pub fn empty(status: StatusCode) -> Response<Out> {
-    let mut response = Response::new(Out::Empty);
+/// A response made by the router, without a body.
+pub fn empty(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Empty);
     *response.status_mut() = status;
     response
 }
 
-/// The promise that the request has not run and never will, and when to come back.
-pub(super) fn refusal() -> Response<Out> {
+/// A 503 that promises that the request has not run and never will, with the time after which to retry.
+pub(super) fn retry_later() -> Response<ResponseBody> {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     let retry_after = HeaderValue::from_static(constants::RETRY_AFTER);
     response.headers_mut().insert(header::RETRY_AFTER, retry_after);
     response
 }
 
-/// The promise that the request has not run and never will here, and that it may be sent elsewhere now.
-fn elsewhere() -> Response<Out> {
-    let mut response = closing(StatusCode::SERVICE_UNAVAILABLE);
+/// A 503 that promises that the request has not run and never will at this router, and may be sent to another one at
+/// once.
+fn retry_elsewhere() -> Response<ResponseBody> {
+    let mut response = empty_and_close(StatusCode::SERVICE_UNAVAILABLE);
     response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static("0"));
     response
 }
 
-fn closing(status: StatusCode) -> Response<Out> {
+fn empty_and_close(status: StatusCode) -> Response<ResponseBody> {
     let mut response = empty(status);
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -1,16 +1,17 @@
-//! Dispatching a request to one engine, and the outcome.
+//! Dispatch of a request to one engine, and its outcome.
 
 use super::headers;
 use super::passive_health;
 use super::response_check::{self, SentRequest, Verdict};
-use super::send_load::SendLoad;
+use super::send_load::DispatchLoad;
 use super::stage::{Accepted, ClientRequest, Dispatched, Responding};
 use crate::Router;
 use crate::fleet_view::FleetView;
 use crate::fleet_view::routing_table::Repeat;
 use crate::load_balancer::{self, Choice};
 use crate::pool::connection::{
-    self, Checkout, ConnectionError, PooledConnection, SendError, Sent, Streaming,
+    self, CheckoutOptions, ConnectionError, PooledConnection, RequestBody, RespondingConnection,
+    SendError,
 };
 use crate::shutdown::Phase;
 use fleet_core::constants;
@@ -23,7 +24,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An engine, and a connection to it.
+/// The engine chosen for a request, and a connection to it.
 pub struct SelectedEngine {
     choice: Choice,
     connection: PooledConnection,
@@ -31,31 +32,32 @@
 
 /// The outcome of a dispatch.
 pub enum Outcome {
-    /// A response for the client has begun.
+    /// The engine sent a response head that may be relayed.
     Responding(Box<Responding>),
-    /// The engine proves that it has not run the request.
+    /// The engine stated that it has not run the request and never will.
     NotExecuted(Accepted),
     /// No byte of the request was sent.
     NotSent(Accepted),
-    /// The engine may have run the request, and no response of use came.
+    /// The engine may have run the request, and sent no usable response.
     Uncertain(Dispatched),
     /// The engine may have run the request, and the deadline has passed.
     DeadlineExceeded(Dispatched),
-    /// The engine may have run the request, and this router ends before there is a response.
-    RouterEnding(Dispatched),
+    /// The engine may have run the request, and this router shuts down before there is a response.
+    RouterShutdown(Dispatched),
 }
 
-/// Finds an engine and a connection to it.
+/// Chooses an engine and obtains a connection to it.
 ///
 /// # Errors
 ///
-/// Gives the request back where the deadline or the end of this router came first; no further byte of it was sent.
+/// Returns the request if no engine is available, the deadline is too close, or this router has to answer pending
+/// requests because it shuts down. Nothing was sent.
 pub async fn find_engine(
     router: &Router,
     mut accepted: Accepted,
 ) -> Result<(SelectedEngine, Accepted), Accepted> {
-    while Instant::now() < latest_send(accepted.request())
-        && router.shutdown.phase() < Phase::Answering
+    while Instant::now() < send_deadline(accepted.request())
+        && router.shutdown.phase() < Phase::Terminating
     {
         let request = accepted.request();
         let Ok(choice) = load_balancer::choose_engine(
@@ -64,17 +66,17 @@
             &request.service,
             request.tenant.as_deref(),
             &request.prompt,
-            &request.attempted,
+            &request.excluded_engines,
         ) else {
             return Err(accepted);
         };
-        let checkout = Checkout {
+        let options = CheckoutOptions {
             service: &request.service,
-            share: connection_share(&router.fleet_view, request),
+            max_connections: connection_share(&router.fleet_view, request),
             repeatable: request.repeat != Repeat::Never,
         };
-        let checking_out = connection::checkout(router, &choice.engine, checkout);
-        match until_due(router, latest_send(request), checking_out).await {
+        let checking_out = connection::checkout(router, &choice.engine, options);
+        match run_until(router, send_deadline(request), checking_out).await {
             Ok(Ok(connection)) => return Ok((SelectedEngine { choice, connection }, accepted)),
             Ok(Err(error)) => {
                 if error != ConnectionError::Full {
@@ -84,7 +86,7 @@
                         &error.to_string(),
                     );
                 }
-                accepted.avoid(&choice.engine.id);
+                accepted.exclude(&choice.engine.id);
             }
             Err(_) => return Err(accepted),
         }
@@ -92,44 +94,46 @@
     Err(accepted)
 }
 
-/// Why a step was given up.
-enum Overdue {
-    /// Its time is over.
+/// Why [`run_until`] stopped a step.
+enum Interrupted {
+    /// The deadline has passed.
     TimedOut,
-    /// This router ends, and has to answer what it has.
-    RouterEnding,
+    /// The router shuts down, and has to answer pending requests.
+    RouterShutdown,
 }
 
-/// Runs a step until its time is over or this router has to answer; a step that is complete by then counts.
-async fn until_due<F: Future>(
+/// Runs a step until `deadline`, or until this router has to answer pending requests. A step that completes at the
+/// same moment counts as completed.
+async fn run_until<F: Future>(
     router: &Router,
-    latest: Instant,
+    deadline: Instant,
     step: F,
-) -> Result<F::Output, Overdue> {
+) -> Result<F::Output, Interrupted> {
     tokio::select! {
         biased;
-        result = tokio::time::timeout_at(latest, step) => result.map_err(|_| Overdue::TimedOut),
-        () = router.shutdown.reached(Phase::Answering) => Err(Overdue::RouterEnding),
+        result = tokio::time::timeout_at(deadline, step) => result.map_err(|_| Interrupted::TimedOut),
+        () = router.shutdown.reached(Phase::Terminating) => Err(Interrupted::RouterShutdown),
     }
 }
 
-/// After this no response could reach the client in time.
-fn latest_send(request: &ClientRequest) -> Instant {
+/// The last time at which a response could still reach the client before its deadline.
+fn send_deadline(request: &ClientRequest) -> Instant {
     request.deadline - constants::DEADLINE_MARGIN
 }
 
-/// This router's share of the connections that an engine accepts from all callers.
+/// This router's share of the connections that an engine accepts from all routers.
 fn connection_share(view: &FleetView, request: &ClientRequest) -> u32 {
-    let most = request.routing_table.service(&request.service).map_or(0, |s| s.max_conns) as usize;
+    let engine_limit =
+        request.routing_table.service(&request.service).map_or(0, |s| s.max_conns) as usize;
     let routers = view.routers() + constants::BUDGET_SPARES;
-    (most / routers).max(constants::CONNECTIONS_LEAST) as u32
+    (engine_limit / routers).max(constants::CONNECTIONS_LEAST) as u32
 }
 
-/// Sends the request, and waits for the head of a response.
+/// Sends the request, and waits for the response head.
 ///
 /// # Cancel safety
 ///
-/// A dispatch that is dropped closes its connection; the engine may have run the request.
+/// Dropping the future closes the connection; the engine may have run the request.
 pub async fn dispatch(
     router: &Router,
     accepted: Accepted,
@@ -139,35 +143,43 @@
     let SelectedEngine { choice, connection } = selected;
     let Some(outgoing) = outgoing_request(accepted.request(), &choice, resume_after) else {
         let mut accepted = accepted;
-        accepted.avoid(&choice.engine.id);
+        accepted.exclude(&choice.engine.id);
         return Outcome::NotSent(accepted);
     };
     let request = accepted.request();
     let interactive = request.routing_table.is_interactive(&request.route);
-    let load = SendLoad::start(&choice, request.prompt.load(), interactive);
+    let load = DispatchLoad::start(&choice, request.prompt.load(), interactive);
     let version_bound = router.settings().bounds.version;
     let cutoff = version_cutoff(&router.fleet_view, request, &choice, version_bound);
     if cutoff.is_some() {
         router.counters.outdated_dispatches.fetch_add(1, Ordering::Relaxed);
     }
     let dispatched = accepted.dispatch(&choice.engine.id);
-    let send = Send { choice, load, at: Instant::now(), first: connection.is_new() };
-    let latest = latest_send(dispatched.request());
-    let cutoff = cutoff.filter(|cutoff| *cutoff < latest);
-    // the connection of a send that is given up is closed, and with it goes what still waits at the engine
-    match until_due(router, cutoff.unwrap_or(latest), connection.send(outgoing)).await {
-        Ok(Ok((connection, response))) => send.answered(router, dispatched, connection, response),
-        Ok(Err(error)) => send.failed(router, dispatched, error),
-        Err(Overdue::RouterEnding) => Outcome::RouterEnding(dispatched),
-        Err(Overdue::TimedOut) if cutoff.is_some() => {
+    let send = InFlightDispatch {
+        choice,
+        load,
+        sent_at: Instant::now(),
+        on_new_connection: connection.is_new(),
+    };
+    let deadline = send_deadline(dispatched.request());
+    let cutoff = cutoff.filter(|cutoff| *cutoff < deadline);
+    // Closing the connection of an abandoned dispatch also removes the request from the engine's queue.
+    match run_until(router, cutoff.unwrap_or(deadline), connection.send(outgoing)).await {
+        Ok(Ok((connection, response))) => {
+            send.on_response(router, dispatched, connection, response)
+        }
+        Ok(Err(error)) => send.on_error(router, dispatched, error),
+        Err(Interrupted::RouterShutdown) => Outcome::RouterShutdown(dispatched),
+        Err(Interrupted::TimedOut) if cutoff.is_some() => {
             router.counters.version_cutoffs.fetch_add(1, Ordering::Relaxed);
             Outcome::Uncertain(dispatched)
         }
-        Err(Overdue::TimedOut) => Outcome::DeadlineExceeded(dispatched),
+        Err(Interrupted::TimedOut) => Outcome::DeadlineExceeded(dispatched),
     }
 }
 
-/// When a dispatch to an engine with older weights is taken back if it has no response; none for the newest ones.
+/// When a dispatch to an engine with outdated weights is cancelled if it has no response; `None` for the newest
+/// weights.
 fn version_cutoff(
     view: &FleetView,
     request: &ClientRequest,
@@ -178,32 +190,35 @@
     view.version_bound(model, version_bound).cutoff_of(choice.version?)
 }
 
-/// A dispatch in flight.
-struct Send {
+/// A dispatch whose response head is pending.
+struct InFlightDispatch {
     choice: Choice,
-    load: SendLoad,
-    at: Instant,
-    /// No request went out on its connection before.
-    first: bool,
+    load: DispatchLoad,
+    sent_at: Instant,
+    /// The connection was new: no earlier request was sent on it.
+    on_new_connection: bool,
 }
 
-impl Send {
-    fn record_connection_failure(&self, router: &Router, why: &str) {
-        passive_health::record_connection_failure(&router.log, &self.choice.engine, why);
+impl InFlightDispatch {
+    fn record_connection_failure(&self, router: &Router, reason: &str) {
+        passive_health::record_connection_failure(&router.log, &self.choice.engine, reason);
     }
 
-    fn failed(self, router: &Router, dispatched: Dispatched, error: SendError) -> Outcome {
+    fn on_error(self, router: &Router, dispatched: Dispatched, error: SendError) -> Outcome {
         match error {
             SendError::NotSent(proof) => {
                 let mut accepted = dispatched.not_sent(proof);
-                if self.first {
-                    self.record_connection_failure(router, "closed a new connection");
-                    accepted.avoid(&self.choice.engine.id);
+                if self.on_new_connection {
+                    self.record_connection_failure(
+                        router,
+                        "closed a new connection before the request was sent",
+                    );
+                    accepted.exclude(&self.choice.engine.id);
                 }
                 Outcome::NotSent(accepted)
             }
             SendError::Uncertain => {
-                self.record_connection_failure(router, "no answer");
+                self.record_connection_failure(router, "connection closed without a response");
                 Outcome::Uncertain(dispatched)
             }
             SendError::IdleReset => {
@@ -213,12 +228,12 @@
         }
     }
 
-    /// Decides by what the head of a response proves.
-    fn answered(
+    /// Chooses the outcome by the response head.
+    fn on_response(
         mut self,
         router: &Router,
         dispatched: Dispatched,
-        connection: Streaming,
+        connection: RespondingConnection,
         response: Response<Incoming>,
     ) -> Outcome {
         let (head, body) = response.into_parts();
@@ -232,29 +247,29 @@
             attempt: &request.attempt,
             method: &request.method,
             repeat: request.repeat,
-            first_on_connection: self.first,
+            first_on_connection: self.on_new_connection,
         };
         match response_check::check(head, &sent) {
             Verdict::NotExecuted(proof) => {
                 if status == StatusCode::MISDIRECTED_REQUEST {
                     router.counters.version_mismatches.fetch_add(1, Ordering::Relaxed);
                 }
-                keep_after_refusal(connection, body);
+                drain_rejection_body(connection, body);
                 Outcome::NotExecuted(dispatched.not_executed(proof))
             }
-            Verdict::Invalid(why) => {
+            Verdict::Invalid(error) => {
                 fleet_core::log_event!(router.log, Event::ResponseRejected, "id" => &engine.id,
-                    "status" => status.as_u16(), "why" => why.to_string());
+                    "status" => status.as_u16(), "why" => error.to_string());
                 Outcome::Uncertain(dispatched)
             }
             Verdict::Relay(head) => {
-                self.load.prompt_read();
-                passive_health::count_answer(
+                self.load.finish_prefill();
+                passive_health::record_response(
                     router,
                     request,
                     &self.choice,
                     status,
-                    self.at.elapsed(),
+                    self.sent_at.elapsed(),
                 );
                 let responding = dispatched.responding(self.load, connection, head, body);
                 Outcome::Responding(Box::new(responding))
@@ -263,17 +278,17 @@
     }
 }
 
-/// The request as the engine gets it; none if a name in it fits no header.
+/// The request with the headers that the engine receives; `None` if a name does not fit into a header.
 fn outgoing_request(
     request: &ClientRequest,
     choice: &Choice,
     resume_after: Option<&str>,
-) -> Option<Request<Sent>> {
+) -> Option<Request<RequestBody>> {
     let remaining_ms =
         request.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
     let urgency = headers::urgency(&request.route, request.tenant.as_deref());
     let tenant = request.tenant.as_ref().map(|t| t.name.as_str());
-    let mut outgoing = Request::new(Sent::new(request.body.clone()));
+    let mut outgoing = Request::new(RequestBody::new(request.body.clone()));
     *outgoing.method_mut() = request.method.clone();
     *outgoing.uri_mut() = request.uri.clone();
     let head = outgoing.headers_mut();
@@ -283,7 +298,7 @@
     if let Some(version) = choice.version {
         head.insert(headers::EXPECTED_VERSION, HeaderValue::from(version));
     }
-    let texts = [
+    let optional_headers = [
         (headers::TARGET_INSTANCE, Some(choice.engine.id.as_str())),
         (headers::TENANT, tenant),
         (headers::CACHE_SALT, choice.salt.as_deref()),
@@ -291,22 +306,23 @@
         (headers::KV_SINK, choice.sink.as_deref()),
         (headers::LAST_EVENT_ID, resume_after),
     ];
-    for (name, text) in texts {
+    for (name, text) in optional_headers {
         let Some(text) = text else { continue };
         head.insert(name, HeaderValue::from_str(text).ok()?);
     }
     Some(outgoing)
 }
 
-/// Reads the body of a rejection in a task of its own, which ends by its time-out: it matters only to the connection.
-fn keep_after_refusal(connection: Streaming, body: Incoming) {
+/// Reads the body of a rejection in a task of its own, limited by a time-out, only so that the connection can be
+/// reused.
+fn drain_rejection_body(connection: RespondingConnection, body: Incoming) {
     if body.is_end_stream() {
-        return connection.end();
+        return connection.release();
     }
     tokio::spawn(async move {
-        let remainder = tokio::time::timeout(constants::REJECTION_BODY_TIMEOUT, body.collect());
-        if matches!(remainder.await, Ok(Ok(_))) {
-            connection.end();
+        let body = tokio::time::timeout(constants::REJECTION_BODY_TIMEOUT, body.collect());
+        if matches!(body.await, Ok(Ok(_))) {
+            connection.release();
         }
     });
 }
--- a/crates/data-plane/src/proxy/events.rs
+++ b/crates/data-plane/src/proxy/events.rs
@@ -1,8 +1,8 @@
-//! The events of a stream, parsed just enough to go on at the last whole one.
+//! Splits a server-sent event stream at event boundaries, so that it can be resumed after the last complete event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Parts a stream into whole events, and knows the id of the last one.
+/// Splits a stream into complete events, and keeps the id of the last one.
 #[derive(Default)]
 pub struct EventSplitter {
     buffered: BytesMut,
@@ -10,16 +10,18 @@
 }
 
 impl EventSplitter {
-    /// For a stream that goes on behind this event.
+    /// Starts with a stream that is resumed after the event `last_id`.
     pub fn starting_after(last_id: Option<String>) -> Self {
         EventSplitter { buffered: BytesMut::new(), last_id }
     }
 
-    /// Takes bytes as they come and gives the whole events among them.
-    pub fn push(&mut self, b: &[u8]) -> Option<Bytes> {
-        let from = self.buffered.len().saturating_sub(1);
-        self.buffered.extend_from_slice(b);
-        let end = self.buffered[from..].windows(2).rposition(|w| w == b"\n\n")? + from + 2;
+    /// Adds received bytes and returns all events that are complete now.
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
+        let search_start = self.buffered.len().saturating_sub(1);
+        self.buffered.extend_from_slice(bytes);
+        let end = self.buffered[search_start..].windows(2).rposition(|w| w == b"\n\n")?
+            + search_start
+            + 2;
         let complete = self.buffered.split_to(end).freeze();
         for line in complete.split(|c| *c == b'\n') {
             if let Some(id) = line.strip_prefix(b"id:")
@@ -31,17 +33,17 @@
         Some(complete)
     }
 
-    /// Half an event, as when an answer breaks off: it counts as not come.
-    pub fn drop_half(&mut self) {
+    /// Discards a partial event, as after a truncated response; it is received again when the stream is resumed.
+    pub fn discard_partial(&mut self) {
         self.buffered.clear();
     }
 
-    /// What the stream ended with behind its last whole event.
+    /// The bytes after the last complete event, at the end of a stream.
     pub fn remainder(&mut self) -> Option<Bytes> {
         (!self.buffered.is_empty()).then(|| self.buffered.split().freeze())
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event; `None` before the first id.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
--- a/crates/data-plane/src/proxy/events_tests.rs
+++ b/crates/data-plane/src/proxy/events_tests.rs
@@ -1,14 +1,12 @@
-//! Tests of `events`.
-
 use super::*;
 
 #[test]
-fn half_an_event_is_held_back() {
+fn partial_event_is_withheld_until_complete() {
     let mut c = EventSplitter::default();
     assert_eq!(c.push(b"id: 1\ndata: a\n").as_deref(), None);
     assert_eq!(c.push(b"\nid: 2\nda").as_deref(), Some(&b"id: 1\ndata: a\n\n"[..]));
     assert_eq!(c.last_id(), Some("1"));
-    c.drop_half();
+    c.discard_partial();
     assert_eq!(c.push(b"id:2\ndata: b\n\n").as_deref(), Some(&b"id:2\ndata: b\n\n"[..]));
     assert_eq!(c.last_id(), Some("2"));
     assert!(c.remainder().is_none());
@@ -16,7 +14,7 @@
 
 proptest::proptest! {
     #[test]
-    fn cutting_anywhere_loses_and_repeats_nothing(cuts in proptest::collection::vec(1usize..9, 1..40)) {
+    fn splitting_anywhere_neither_loses_nor_repeats_events(cuts in proptest::collection::vec(1usize..9, 1..40)) {
         let text: String = (1..20).map(|i| format!("id: {i}\ndata: x{i}\n\n")).collect();
         let (mut c, mut out, mut at) = (EventSplitter::default(), Vec::new(), 0);
         for n in cuts {
--- a/crates/data-plane/src/proxy/headers.rs
+++ b/crates/data-plane/src/proxy/headers.rs
@@ -1,4 +1,4 @@
-//! Names of headers on the way through, and what they hold.
+//! Names of the headers that a router reads or sets, and how their values are read.
 
 use crate::fleet_view::routing_table::Tenant;
 use fleet_core::configuration::Route;
@@ -7,40 +7,40 @@
 use smallvec::SmallVec;
 use std::time::Duration;
 
-/// The client's id of this try; engines repeat it.
+/// The client's id of this attempt; engines repeat it in their responses.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
-/// The event after which a stream goes on.
+/// The event after which a stream is to be resumed.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// An engine's stamp on its answer.
+/// Set by an engine on every response that it made itself.
 pub const SERVER_SEAL: HeaderName = HeaderName::from_static("x-server-seal");
-/// ms that the caller waits.
+/// Milliseconds until the caller's deadline.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// A tenant's key; no engine sees it.
+/// A tenant's API key; not forwarded to engines.
 pub const KEY: HeaderName = HeaderName::from_static("x-key");
-/// The name of the key's tenant.
+/// The name of the tenant to which the API key belongs.
 pub const TENANT: HeaderName = HeaderName::from_static("x-tenant");
-/// The only engine that may run the request.
+/// The id of the only engine instance that may run the request.
 pub const TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
-/// The version of the weights that the request may run under.
+/// The version of the weights with which the request is to run.
 pub const EXPECTED_VERSION: HeaderName = HeaderName::from_static("x-expected-version");
-/// The salt under which blocks of the prompt are cached.
+/// The salt under which KV blocks of the prompt are cached.
 pub const CACHE_SALT: HeaderName = HeaderName::from_static("x-cache-salt");
-/// How soon the engine admits the request.
+/// Scheduling priority at the engine, 0 to 9; 0 is admitted first.
 pub const URGENCY: HeaderName = HeaderName::from_static("x-urgency");
-/// Where the engine may take parts of the prompt from.
+/// The address from which the engine may fetch KV blocks of the prompt.
 pub const KV_SOURCE: HeaderName = HeaderName::from_static("x-kv-source");
-/// The store that the engine sends its parts to.
+/// The address of the store to which the engine sends its KV blocks.
 pub const KV_SINK: HeaderName = HeaderName::from_static("x-kv-sink");
-/// An engine's proof that it has not run the request.
+/// Set by an engine that has not run the request and never will.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// An engine's running and waiting requests, and its slots.
+/// An engine's running requests, waiting requests and slots, separated by commas.
 pub const INSTANCE_LOAD: HeaderName = HeaderName::from_static("x-instance-load");
-/// The version of the weights that an answer was made with.
+/// The version of the weights with which a response was made.
 pub const WEIGHT_VERSIONS: HeaderName = HeaderName::from_static("x-weight-versions");
-/// How long the peer keeps an idle connection.
+/// How long the peer keeps an idle connection (`timeout=` in seconds).
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// Headers of a client that are not sent on: those of one connection, and those that only we set.
+/// Request headers that are not forwarded: hop-by-hop headers, and those that only the router may set.
 static STRIPPED_FROM_REQUESTS: [HeaderName; 20] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -64,11 +64,11 @@
     DEADLINE_MS,
 ];
 
-/// Headers of an engine's answer that concern its connection to us alone.
+/// Hop-by-hop headers of an engine's response.
 static STRIPPED_FROM_RESPONSES: [HeaderName; 5] =
     [header::CONNECTION, header::TRANSFER_ENCODING, header::TRAILER, header::UPGRADE, KEEP_ALIVE];
 
-/// Headers that no `Connection` header can take away: they say what the message is.
+/// Headers that are kept even if a `Connection` header names them: they frame or identify the message.
 static ALWAYS_KEPT: [HeaderName; 6] = [
     header::HOST,
     header::CONTENT_TYPE,
@@ -78,7 +78,7 @@
     SERVER_SEAL,
 ];
 
-/// Removes the headers that the message itself names as those of one connection.
+/// Removes the headers that the `Connection` header names as hop-by-hop.
 fn strip_connection_options(headers: &mut HeaderMap) {
     let mut options: SmallVec<[HeaderName; 4]> = SmallVec::new();
     for value in headers.get_all(header::CONNECTION) {
@@ -90,7 +90,7 @@
     }
 }
 
-/// Leaves what an engine may see of a client's headers.
+/// Removes the headers that are not forwarded to an engine.
 pub fn strip_request(headers: &mut HeaderMap) {
     strip_connection_options(headers);
     for name in &STRIPPED_FROM_REQUESTS {
@@ -98,21 +98,21 @@
     }
 }
 
-/// Leaves what a client may see of an engine's headers.
-pub fn strip_answer(headers: &mut HeaderMap) {
+/// Removes the headers that are not relayed to a client.
+pub fn strip_response(headers: &mut HeaderMap) {
     strip_connection_options(headers);
     for name in &STRIPPED_FROM_RESPONSES {
         headers.remove(name);
     }
 }
 
-/// The header's text, if it is there and is text.
+/// The header's value; `None` if it is absent or not visible ASCII.
 pub fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// How long the client waits; none if malformed.
-pub fn read_deadline(headers: &HeaderMap) -> Option<Duration> {
+/// The time that the client waits, or the default if it sets no deadline; `None` if malformed.
+pub fn parse_deadline(headers: &HeaderMap) -> Option<Duration> {
     let Some(value) = headers.get(DEADLINE_MS) else { return Some(constants::DEADLINE_DEFAULT) };
     let ms: f64 = value.to_str().ok()?.trim().parse().ok()?;
     if !(0.0..1e9).contains(&ms) {
@@ -121,10 +121,10 @@
     Some(Duration::from_secs_f64(ms / 1000.0))
 }
 
-/// A tenant's rank goes before the route's; 0 is first.
+/// The value of [`URGENCY`]: ordered by the tenant's priority first, then by the route's; 0 is most urgent.
 pub fn urgency(route: &Route, tenant: Option<&Tenant>) -> u64 {
-    let rank = tenant.map_or(0, |t| t.priority).clamp(0, 4) as u64;
-    (rank * 2 + route.priority.clamp(0, 1) as u64).min(9)
+    let tenant_priority = tenant.map_or(0, |t| t.priority).clamp(0, 4) as u64;
+    (tenant_priority * 2 + route.priority.clamp(0, 1) as u64).min(9)
 }
 
 #[cfg(test)]
--- a/crates/data-plane/src/proxy/in_flight.rs
+++ b/crates/data-plane/src/proxy/in_flight.rs
@@ -1,53 +1,53 @@
-//! Requests that this router has accepted and not yet answered completely.
+//! Counts the requests that this router has accepted and whose response is not complete.
 //!
-//! A router that is asked to end waits for them. Those that came after it was asked are counted apart: it took them
-//! although it knew when it would end.
+//! A router that shuts down waits for them. Requests accepted after shutdown began are also counted separately: the
+//! router took them although it knew when it would exit.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Counts of the requests in flight.
+/// Numbers of requests in flight.
 #[derive(Debug, Default)]
 pub struct InFlight {
-    /// All of them.
-    all: AtomicUsize,
-    /// Those accepted while shutting down; at most `all`.
-    accepted_late: AtomicUsize,
+    /// All requests in flight.
+    total: AtomicUsize,
+    /// Requests accepted after shutdown began; at most `total`.
+    accepted_during_shutdown: AtomicUsize,
 }
 
 impl InFlight {
-    /// Counts one more request, until the guard is dropped.
+    /// Counts one more request until the guard is dropped.
     pub fn enter(self: &Arc<Self>, is_shutting_down: bool) -> InFlightGuard {
-        self.all.fetch_add(1, Ordering::Relaxed);
+        self.total.fetch_add(1, Ordering::Relaxed);
         if is_shutting_down {
-            self.accepted_late.fetch_add(1, Ordering::Relaxed);
+            self.accepted_during_shutdown.fetch_add(1, Ordering::Relaxed);
         }
-        InFlightGuard { counts: self.clone(), accepted_late: is_shutting_down }
+        InFlightGuard { counts: self.clone(), accepted_during_shutdown: is_shutting_down }
     }
 
-    /// Requests in flight.
-    pub fn all(&self) -> usize {
-        self.all.load(Ordering::Relaxed)
+    /// Number of all requests in flight.
+    pub fn total(&self) -> usize {
+        self.total.load(Ordering::Relaxed)
     }
 
-    /// Requests in flight that were accepted while shutting down.
-    pub fn accepted_late(&self) -> usize {
-        self.accepted_late.load(Ordering::Relaxed)
+    /// Number of requests in flight that were accepted after shutdown began.
+    pub fn accepted_during_shutdown(&self) -> usize {
+        self.accepted_during_shutdown.load(Ordering::Relaxed)
     }
 }
 
-/// One request in flight, for as long as this lives.
+/// Counts one request in flight until dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     counts: Arc<InFlight>,
-    accepted_late: bool,
+    accepted_during_shutdown: bool,
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.counts.all.fetch_sub(1, Ordering::Relaxed);
-        if self.accepted_late {
-            self.counts.accepted_late.fetch_sub(1, Ordering::Relaxed);
+        self.counts.total.fetch_sub(1, Ordering::Relaxed);
+        if self.accepted_during_shutdown {
+            self.counts.accepted_during_shutdown.fetch_sub(1, Ordering::Relaxed);
         }
     }
 }
--- a/crates/data-plane/src/proxy/in_flight_tests.rs
+++ b/crates/data-plane/src/proxy/in_flight_tests.rs
@@ -1,14 +1,12 @@
-//! Tests of `in_flight`.
-
 use super::*;
 
 #[test]
-fn requests_count_until_their_guards_are_dropped() {
+fn requests_are_counted_until_their_guards_are_dropped() {
     let counts = Arc::new(InFlight::default());
-    let (early, late) = (counts.enter(false), counts.enter(true));
-    assert_eq!((counts.all(), counts.accepted_late()), (2, 1));
-    drop(late);
-    assert_eq!((counts.all(), counts.accepted_late()), (1, 0));
-    drop(early);
-    assert_eq!((counts.all(), counts.accepted_late()), (0, 0));
+    let (before_shutdown, during_shutdown) = (counts.enter(false), counts.enter(true));
+    assert_eq!((counts.total(), counts.accepted_during_shutdown()), (2, 1));
+    drop(during_shutdown);
+    assert_eq!((counts.total(), counts.accepted_during_shutdown()), (1, 0));
+    drop(before_shutdown);
+    assert_eq!((counts.total(), counts.accepted_during_shutdown()), (0, 0));
 }
--- a/crates/data-plane/src/proxy/mod.rs
+++ b/crates/data-plane/src/proxy/mod.rs
@@ -1,17 +1,17 @@
-//! The way of a request, from the client's connection to the last byte of the response.
+//! The path of a request, from the client's connection to the last byte of the response.
 //!
 //! | file | step |
 //! |---|---|
-//! | [`request`] | reads and checks it; then one engine after another, as far as retries are allowed |
+//! | [`request`] | reads and validates the request, then dispatches it, with retries where they are allowed |
 //! | [`dispatch`] | finds an engine with a connection and sends the request there |
-//! | [`response_check`] | what the head of the response proves |
+//! | [`response_check`] | validates the head of an engine's response |
 //! | [`relay`] | passes the body on, and resumes a broken stream |
-//! | [`answer`] | responses of the router itself |
-//! | [`stream_pace`] | how long responses take, for a router that is about to end |
-//! | [`in_flight`] | counts the requests that a router has to answer before it may end |
+//! | [`answer`] | response bodies, and responses that the router itself makes |
+//! | [`stream_pace`] | estimates response times, for a router that shuts down |
+//! | [`in_flight`] | counts the requests whose response is not complete |
 //!
-//! [`stage`] has a type for each step (accepted, dispatched, responding): a rejection that promises that the request has not
-//! run can only be made from a proof that it hasn't.
+//! [`stage`] has a type for each state of a request (accepted, dispatched, responding). A response which promises
+//! that the request has not run can only be made from a state that proves it.
 
 pub mod answer;
 pub mod dispatch;
@@ -28,60 +28,60 @@
 
 use crate::Router;
 use crate::shutdown::Phase;
-use answer::Out;
+use answer::ResponseBody;
 use fleet_core::constants;
 use std::convert::Infallible;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Accepts clients until aborted.
+/// Accepts client connections until the task is aborted.
 pub async fn run_client_listener(router: Arc<Router>, listener: tokio::net::TcpListener) {
     loop {
-        let Ok((s, _)) = listener.accept().await else {
+        let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
             continue;
         };
-        if fleet_core::link::set_socket_options(&s).is_err() {
+        if fleet_core::link::set_socket_options(&stream).is_err() {
             continue;
         }
-        // Counted before its task first runs, so that a router that ends at this moment waits for it.
-        let open = OpenConnection::new(router.clone());
-        tokio::spawn(async move { serve_client(&open.router, s).await });
+        // Counted before its task first runs, so that a shutdown that begins now waits for this connection.
+        let connection = OpenConnection::new(router.clone());
+        tokio::spawn(async move { serve_client(&connection.router, stream).await });
     }
 }
 
-/// A client's connection, counted for as long as this lives, also where its task ends by a panic: a router that shuts down
-/// waits until none is left.
+/// Counts a client connection until dropped, which includes a panic of its task. Shutdown waits until none is left.
 struct OpenConnection {
     router: Arc<Router>,
 }
 
 impl OpenConnection {
     fn new(router: Arc<Router>) -> OpenConnection {
-        router.open.fetch_add(1, Ordering::Relaxed);
+        router.open_connections.fetch_add(1, Ordering::Relaxed);
         OpenConnection { router }
     }
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.router.open.fetch_sub(1, Ordering::Relaxed);
+        self.router.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-async fn serve_client(router: &Arc<Router>, s: tokio::net::TcpStream) {
-    let limits = router.fleet_view.routing_table().map(|t| t.limits.clone()).unwrap_or_default();
+async fn serve_client(router: &Arc<Router>, stream: tokio::net::TcpStream) {
+    let limits =
+        router.fleet_view.routing_table().map(|table| table.limits.clone()).unwrap_or_default();
     let idle = limits.idle_timeout_ms.max(limits.header_timeout_ms).max(1000);
-    let service = hyper::service::service_fn(|rq| {
+    let service = hyper::service::service_fn(|req| {
         let router = router.clone();
-        async move { Ok::<http::Response<Out>, Infallible>(request::serve(&router, rq).await) }
+        async move { Ok::<http::Response<ResponseBody>, Infallible>(request::serve(&router, req).await) }
     });
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(hyper_util::rt::TokioTimer::new())
         .header_read_timeout(Duration::from_millis(idle))
         .max_buf_size(limits.max_header_bytes.max(8192))
-        .serve_connection(hyper_util::rt::TokioIo::new(s), service);
+        .serve_connection(hyper_util::rt::TokioIo::new(stream), service);
     tokio::pin!(conn);
     tokio::select! {
         _ = conn.as_mut() => return,
@@ -90,29 +90,30 @@
     let _ = conn.await;
 }
 
-/// Answers the platform's probes.
-pub async fn run_readiness(router: Arc<Router>, listener: tokio::net::TcpListener) {
+/// Serves the platform's readiness probes.
+pub async fn run_readiness_server(router: Arc<Router>, listener: tokio::net::TcpListener) {
     loop {
-        let Ok((s, _)) = listener.accept().await else {
+        let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
             continue;
         };
         let router = router.clone();
         tokio::spawn(async move {
-            let service = hyper::service::service_fn(|rq: http::Request<hyper::body::Incoming>| {
-                let is_readiness_path = rq.uri().path() == "/anisedyke/readyz";
-                let status = match (is_readiness_path, router.is_ready()) {
-                    (false, _) => http::StatusCode::NOT_FOUND,
-                    (true, true) => http::StatusCode::OK,
-                    (true, false) => http::StatusCode::SERVICE_UNAVAILABLE,
-                };
-                async move { Ok::<_, Infallible>(answer::empty(status)) }
-            });
+            let service =
+                hyper::service::service_fn(|req: http::Request<hyper::body::Incoming>| {
+                    let is_readiness_path = req.uri().path() == "/anisedyke/readyz";
+                    let status = match (is_readiness_path, router.is_ready()) {
+                        (false, _) => http::StatusCode::NOT_FOUND,
+                        (true, true) => http::StatusCode::OK,
+                        (true, false) => http::StatusCode::SERVICE_UNAVAILABLE,
+                    };
+                    async move { Ok::<_, Infallible>(answer::empty(status)) }
+                });
             let _ = hyper::server::conn::http1::Builder::new()
                 .timer(hyper_util::rt::TokioTimer::new())
                 .header_read_timeout(constants::IDLE_CONNECTION_TIMEOUT)
                 .max_buf_size(8192)
-                .serve_connection(hyper_util::rt::TokioIo::new(s), service)
+                .serve_connection(hyper_util::rt::TokioIo::new(stream), service)
                 .await;
         });
     }
--- a/crates/data-plane/src/proxy/passive_health.rs
+++ b/crates/data-plane/src/proxy/passive_health.rs
@@ -1,4 +1,4 @@
-//! What a response shows of the engine that gave it.
+//! Passive health checks: what responses and connection failures show about an engine.
 
 use super::headers;
 use super::stage::ClientRequest;
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The load and the weights that an engine names beside any answer.
+/// Records the load and the weight version that an engine reports in response headers. The response must belong to
+/// the request: its attempt id has been compared.
 pub fn record_engine_report(
     view: &FleetView,
     engine: &EngineHandle,
@@ -20,7 +21,7 @@
     head: &HeaderMap,
 ) {
     let load = headers::text(head, &headers::INSTANCE_LOAD);
-    if let Some(reported) = load.and_then(|text| ReportedLoad::read(text, Instant::now())) {
+    if let Some(reported) = load.and_then(|text| ReportedLoad::parse(text, Instant::now())) {
         engine.work().reported = Some(reported);
     }
     let version = headers::text(head, &headers::WEIGHT_VERSIONS);
@@ -30,39 +31,45 @@
     }
 }
 
-/// Counts a response that has begun, and what its engine now has cached of the prompt.
-pub fn count_answer(
+/// Records a response whose head was accepted: clears the engine's failures, and notes which prompt parts the engine
+/// now has cached.
+pub fn record_response(
     router: &Router,
     request: &ClientRequest,
     choice: &Choice,
     status: StatusCode,
-    wait: Duration,
+    latency: Duration,
 ) {
     if let Some(idle_time) = choice.engine.record_success() {
         router.idle_timeouts.of(&request.service).record_idle_close(idle_time, Instant::now());
     }
     router.counters.responses.fetch_add(1, Ordering::Relaxed);
     if request.prompt.is_prefill_heavy() {
-        count_wait(&router.log, &router.counters, &choice.engine, wait);
+        record_latency(&router.log, &router.counters, &choice.engine, latency);
     }
     if let Some(salt) = choice.salt.as_ref().filter(|_| status.is_success()) {
         router.fleet_view.prefix_view.sent(&choice.engine.id, salt, &request.prompt.pairs());
     }
 }
 
-/// Ejects an engine that broke off or accepted no connection.
-pub fn record_connection_failure(log: &slog::Logger, engine: &EngineHandle, why: &str) {
+/// Ejects an engine that closed a connection unexpectedly or accepted none.
+pub fn record_connection_failure(log: &slog::Logger, engine: &EngineHandle, reason: &str) {
     engine.record_failure(Instant::now());
-    fleet_core::log_event!(log, Event::EngineError, "id" => &engine.id, "why" => why);
+    fleet_core::log_event!(log, Event::EngineError, "id" => &engine.id, "why" => reason);
 }
 
-/// Sets the first waits at a newcomer against those at all engines.
-fn count_wait(log: &slog::Logger, counters: &Counters, engine: &EngineHandle, wait: Duration) {
-    let answers = counters.prefill_heavy_answers.fetch_add(1, Ordering::Relaxed) + 1;
-    let wait_us = wait.as_micros() as u64;
-    let all_us = counters.prefill_heavy_wait_us.fetch_add(wait_us, Ordering::Relaxed) + wait_us;
-    if let Some(own) = engine.first_waits(wait) {
+/// Logs how an engine's first response times after its start compare with the mean of all engines.
+fn record_latency(
+    log: &slog::Logger,
+    counters: &Counters,
+    engine: &EngineHandle,
+    latency: Duration,
+) {
+    let responses = counters.prefill_heavy_responses.fetch_add(1, Ordering::Relaxed) + 1;
+    let wait_us = latency.as_micros() as u64;
+    let total_us = counters.prefill_heavy_wait_us.fetch_add(wait_us, Ordering::Relaxed) + wait_us;
+    if let Some(engine_mean) = engine.record_warm_up_wait(latency) {
         fleet_core::log_event!(log, Event::EngineWarmedUp, "id" => &engine.id,
-            "own_ms" => own.as_millis() as u64, "all_ms" => all_us / answers / 1000);
+            "own_ms" => engine_mean.as_millis() as u64, "all_ms" => total_us / responses / 1000);
     }
 }
--- a/crates/data-plane/src/proxy/relay.rs
+++ b/crates/data-plane/src/proxy/relay.rs
@@ -1,10 +1,10 @@
-//! Relaying an engine's response as it comes, and resuming a broken stream at another engine where that is allowed.
+//! Relays an engine's response as it arrives, and resumes a truncated stream at another engine where that is allowed.
 
-use super::answer::{BodyChunk, Out};
+use super::answer::{BodyChunk, ResponseBody};
 use super::dispatch::{self, Outcome};
 use super::events::EventSplitter;
 use super::stage::{ClientRequest, Responding};
-use super::stream_pace::StreamPaces;
+use super::stream_pace::ResponseTimes;
 use super::{headers, passive_health};
 use crate::Router;
 use crate::fleet_view::routing_table::Repeat;
@@ -18,30 +18,30 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio::sync::mpsc;
 
-/// Why the engine of a broken stream is ejected, as the log says it.
-const STREAM_BROKEN: &str = "stream broken";
+/// The reason for an ejection after a truncated response, as logged.
+const STREAM_BROKEN: &str = "response body truncated";
 
 /// How a body ended.
 enum BodyEnd {
-    /// All of it was relayed.
+    /// The whole body was relayed.
     Complete,
-    /// The engine broke off.
+    /// The engine truncated the body.
     Broken,
-    /// The client has gone.
-    Abandoned,
+    /// The client has disconnected.
+    ClientDisconnected,
     /// The deadline or the route's timeout has passed.
     PastDeadline,
 }
 
-/// Begins the response to the client; its body follows as it comes.
-pub fn relay(router: &Arc<Router>, mut responding: Responding) -> Response<Out> {
+/// Builds the response to the client; its body follows as it arrives.
+pub fn relay(router: &Arc<Router>, mut responding: Responding) -> Response<ResponseBody> {
     let status = responding.head.status();
-    let mut response = Response::new(Out::Empty);
+    let mut response = Response::new(ResponseBody::Empty);
     *response.status_mut() = status;
     *response.headers_mut() = responding.head.take_headers();
-    headers::strip_answer(response.headers_mut());
+    headers::strip_response(response.headers_mut());
     if responding.body.is_end_stream() {
-        responding.connection.end();
+        responding.connection.release();
         return response;
     }
     let resumable = responding.request.repeat == Repeat::ByResuming && status.is_success();
@@ -52,8 +52,8 @@
     response
 }
 
-/// Relays the body in a task of its own, which ends with the body, the client or the deadline.
-fn relay_body(router: Arc<Router>, responding: Responding, resumable: bool) -> Out {
+/// Relays the body in a task of its own, which ends with the body, at the deadline or when the client disconnects.
+fn relay_body(router: Arc<Router>, responding: Responding, resumable: bool) -> ResponseBody {
     let (chunks, body) = mpsc::channel(constants::RELAY_BACKLOG);
     tokio::spawn(async move {
         if resumable {
@@ -62,33 +62,33 @@
             relay_bytes(&router, responding, &chunks).await;
         }
     });
-    Out::Relayed(body)
+    ResponseBody::Relayed(body)
 }
 
-/// Bytes as they come; a break is passed on as a break.
+/// Relays a body as raw bytes. Truncation by the engine truncates the response to the client.
 async fn relay_bytes(
     router: &Router,
     mut responding: Responding,
     chunks: &mpsc::Sender<BodyChunk>,
 ) {
     let deadline = responding.request.deadline;
-    let passing = pass(&mut responding.body, Some, chunks);
-    match tokio::time::timeout_at(deadline, passing).await.unwrap_or(BodyEnd::PastDeadline) {
+    let forwarding = forward_body(&mut responding.body, Some, chunks);
+    match tokio::time::timeout_at(deadline, forwarding).await.unwrap_or(BodyEnd::PastDeadline) {
         BodyEnd::Complete => {
-            record_pace(&router.stream_paces, &responding.request);
-            responding.connection.end();
+            record_response_time(&router.response_times, &responding.request);
+            responding.connection.release();
             let _ = chunks.send(BodyChunk::End).await;
         }
         BodyEnd::Broken => {
             let engine = &responding.load.engine;
             passive_health::record_connection_failure(&router.log, engine, STREAM_BROKEN);
         }
-        BodyEnd::Abandoned => count(&router.counters.abandoned),
-        BodyEnd::PastDeadline => count(&router.counters.past_deadline),
+        BodyEnd::ClientDisconnected => increment(&router.counters.responses_abandoned),
+        BodyEnd::PastDeadline => increment(&router.counters.responses_past_deadline),
     }
 }
 
-/// Whole events only; after a break the stream goes on at another engine.
+/// Relays complete events only, and resumes the stream at another engine after a truncation.
 async fn relay_events(
     router: &Arc<Router>,
     mut responding: Responding,
@@ -97,43 +97,43 @@
     let mut splitter = EventSplitter::starting_after(responding.request.last_event_id());
     loop {
         let deadline = responding.request.deadline;
-        let passing = pass(&mut responding.body, |bytes| splitter.push(&bytes), chunks);
-        match tokio::time::timeout_at(deadline, passing).await.unwrap_or(BodyEnd::PastDeadline) {
+        let forwarding = forward_body(&mut responding.body, |bytes| splitter.push(&bytes), chunks);
+        match tokio::time::timeout_at(deadline, forwarding).await.unwrap_or(BodyEnd::PastDeadline) {
             BodyEnd::Complete => {
-                record_pace(&router.stream_paces, &responding.request);
-                responding.connection.end();
+                record_response_time(&router.response_times, &responding.request);
+                responding.connection.release();
                 if let Some(remainder) = splitter.remainder() {
                     let _ = chunks.send(BodyChunk::Data(remainder)).await;
                 }
                 let _ = chunks.send(BodyChunk::End).await;
                 return;
             }
-            BodyEnd::Abandoned => return count(&router.counters.abandoned),
-            BodyEnd::PastDeadline => return count(&router.counters.past_deadline),
+            BodyEnd::ClientDisconnected => return increment(&router.counters.responses_abandoned),
+            BodyEnd::PastDeadline => return increment(&router.counters.responses_past_deadline),
             BodyEnd::Broken => {
                 let engine = &responding.load.engine;
                 passive_health::record_connection_failure(&router.log, engine, STREAM_BROKEN);
             }
         }
-        splitter.drop_half();
+        splitter.discard_partial();
         let Some(next) = resume(router, responding, splitter.last_id()).await else { return };
         router.counters.resumed.fetch_add(1, Ordering::Relaxed);
         responding = next;
     }
 }
 
-/// Takes in how long a complete response took.
-fn record_pace(paces: &StreamPaces, request: &ClientRequest) {
-    let took = request.accepted_at.elapsed();
-    paces.record(&request.service, request.prompt.put_out, took);
+/// Records the time that a complete response took.
+fn record_response_time(response_times: &ResponseTimes, request: &ClientRequest) {
+    let duration = request.accepted_at.elapsed();
+    response_times.record(&request.service, request.prompt.put_out, duration);
 }
 
-fn count(counter: &AtomicU64) {
+fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// Passes on what `split` makes of the bytes, as they come.
-async fn pass(
+/// Forwards what `split` returns for each received chunk.
+async fn forward_body(
     body: &mut Incoming,
     mut split: impl FnMut(Bytes) -> Option<Bytes>,
     chunks: &mpsc::Sender<BodyChunk>,
@@ -141,7 +141,7 @@
     loop {
         let frame = tokio::select! {
             frame = body.frame() => frame,
-            () = chunks.closed() => return BodyEnd::Abandoned,
+            () = chunks.closed() => return BodyEnd::ClientDisconnected,
         };
         let frame = match frame {
             None => return BodyEnd::Complete,
@@ -150,25 +150,26 @@
         };
         let Some(data) = frame.into_data().ok().and_then(&mut split) else { continue };
         if chunks.send(BodyChunk::Data(data)).await.is_err() {
-            return BodyEnd::Abandoned;
+            return BodyEnd::ClientDisconnected;
         }
     }
 }
 
-/// The same request at another engine, behind the last event that was passed on.
+/// Dispatches the same request to another engine, to continue after the last relayed event. `None` if no engine takes
+/// it over: the response to the client is then truncated.
 async fn resume(
     router: &Arc<Router>,
     broken: Responding,
     last_event: Option<&str>,
 ) -> Option<Responding> {
-    let mut accepted = broken.broken_off().retry(router).ok()?;
+    let mut accepted = broken.discard_response().retry(router).ok()?;
     loop {
         let (selected, ready) = dispatch::find_engine(router, accepted).await.ok()?;
         accepted = match dispatch::dispatch(router, ready, selected, last_event).await {
             Outcome::NotSent(accepted) => accepted,
             Outcome::NotExecuted(accepted) => accepted.retry(router).ok()?,
             Outcome::Uncertain(dispatched) => dispatched.retry(router).ok()?,
-            Outcome::DeadlineExceeded(_) | Outcome::RouterEnding(_) => return None,
+            Outcome::DeadlineExceeded(_) | Outcome::RouterShutdown(_) => return None,
             Outcome::Responding(next) if next.head.status().is_success() => return Some(*next),
             Outcome::Responding(next) if next.is_retryable() => next.retry(router).ok()?,
             Outcome::Responding(_) => return None,
--- a/crates/data-plane/src/proxy/request.rs
+++ b/crates/data-plane/src/proxy/request.rs
@@ -1,6 +1,6 @@
-//! One request of a client, from its head to its answer.
+//! Handling of one client request, from its head to its response.
 
-use super::answer::{Failure, Out, Rejection};
+use super::answer::{Failure, Rejection, ResponseBody};
 use super::dispatch::{self, Outcome};
 use super::headers;
 use super::relay;
@@ -19,15 +19,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Answers one request.
-pub async fn serve(router: &Arc<Router>, request: Request<Incoming>) -> Response<Out> {
+/// Serves one request.
+pub async fn serve(router: &Arc<Router>, request: Request<Incoming>) -> Response<ResponseBody> {
     match admit(router, request).await {
-        Ok(accepted) => deliver(router, accepted).await,
-        Err(rejection) => rejection.write(),
+        Ok(accepted) => dispatch_with_retries(router, accepted).await,
+        Err(rejection) => rejection.into_response(),
     }
 }
 
-/// Reads a request whole, if it is a proper one that the configuration allows.
+/// Reads and validates a complete request, and checks that the configuration allows it.
 async fn admit(router: &Router, request: Request<Incoming>) -> Result<Accepted, Rejection> {
     let arrived = Instant::now();
     let routing_table = router.fleet_view.routing_table().ok_or(Rejection::NotReady)?;
@@ -36,20 +36,20 @@
     let route = find_route(&routing_table, &head)?;
     let tenant = find_tenant(&routing_table, &route, &head.headers)?;
     let attempt = head.headers.get(headers::ATTEMPT_ID).cloned().ok_or(Rejection::BadRequest)?;
-    let patience = headers::read_deadline(&head.headers).ok_or(Rejection::BadRequest)?;
-    let deadline = arrived + patience.min(Duration::from_millis(route.timeout_ms));
+    let timeout = headers::parse_deadline(&head.headers).ok_or(Rejection::BadRequest)?;
+    let deadline = arrived + timeout.min(Duration::from_millis(route.timeout_ms));
     let body = read_body(body, routing_table.limits.max_body_bytes, deadline).await?;
     let service =
         routing_table.pick(&route, router.random()).ok_or(Rejection::NotReady)?.to_owned();
     let prompt = Prompt::read(&head.headers);
-    if !router.can_finish(&service, prompt.put_out) {
+    if !router.can_complete(&service, prompt.put_out) {
         router.counters.rejected_at_end.fetch_add(1, Ordering::Relaxed);
         return Err(Rejection::ShuttingDown);
     }
     router.counters.requests.fetch_add(1, Ordering::Relaxed);
     router.arrived(&service);
-    let mut passed_on = head.headers;
-    headers::strip_request(&mut passed_on);
+    let mut forwarded_headers = head.headers;
+    headers::strip_request(&mut forwarded_headers);
     Ok(Accepted::new(ClientRequest {
         repeat: repeat(&route),
         routing_table,
@@ -62,19 +62,19 @@
         attempt,
         method: head.method,
         uri: head.uri,
-        headers: passed_on,
+        headers: forwarded_headers,
         body,
-        attempted: Vec::new(),
+        excluded_engines: Vec::new(),
         sends: 0,
         in_flight: router.in_flight.enter(router.is_shutting_down()),
     }))
 }
 
-/// With two ways to tell the end, one request may be smuggled inside another; without chunks, a
-/// stream that breaks off would look whole.
+/// Rejects ambiguous framing, by which one request could be smuggled inside another, and HTTP versions without
+/// chunked encoding, in which a truncated stream would look complete.
 fn check_framing(head: &Parts) -> Result<(), Rejection> {
     if head.version != Version::HTTP_11 {
-        return Err(Rejection::OldProtocol);
+        return Err(Rejection::UnsupportedVersion);
     }
     let has_length = head.headers.contains_key(header::CONTENT_LENGTH);
     if has_length && head.headers.contains_key(header::TRANSFER_ENCODING) {
@@ -101,33 +101,40 @@
     Ok(tenant)
 }
 
-async fn read_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Rejection> {
-    let reading = Limited::new(body, most).collect();
+async fn read_body(
+    body: Incoming,
+    max_bytes: usize,
+    deadline: Instant,
+) -> Result<Bytes, Rejection> {
+    let reading = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout_at(deadline, reading).await {
         Ok(Ok(complete)) => Ok(complete.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Rejection::BodyTooLarge),
         Ok(Err(_)) => Err(Rejection::Unreadable),
-        Err(_) => Err(Rejection::BodyLate),
+        Err(_) => Err(Rejection::BodyTimeout),
     }
 }
 
-/// Sends the request to one engine after another, as far as that is allowed.
-async fn deliver(router: &Arc<Router>, mut accepted: Accepted) -> Response<Out> {
+/// Dispatches the request to one engine after another, as far as retries are allowed.
+async fn dispatch_with_retries(
+    router: &Arc<Router>,
+    mut accepted: Accepted,
+) -> Response<ResponseBody> {
     loop {
-        let (selected, ready) = match dispatch::find_engine(router, accepted).await {
+        let (selected, pending) = match dispatch::find_engine(router, accepted).await {
             Ok(found) => found,
             Err(accepted) => return accepted.reject(router),
         };
-        let outcome = dispatch::dispatch(router, ready, selected, None).await;
+        let outcome = dispatch::dispatch(router, pending, selected, None).await;
         accepted = match next_step(router, outcome) {
-            Ok(again) => again,
+            Ok(retried) => retried,
             Err(response) => return response,
         };
     }
 }
 
-/// The request for another engine, or the answer to it.
-fn next_step(router: &Arc<Router>, outcome: Outcome) -> Result<Accepted, Response<Out>> {
+/// The request if it is to be dispatched again, otherwise the response to the client.
+fn next_step(router: &Arc<Router>, outcome: Outcome) -> Result<Accepted, Response<ResponseBody>> {
     match outcome {
         Outcome::NotSent(accepted) => Ok(accepted),
         Outcome::NotExecuted(accepted) => {
@@ -139,7 +146,7 @@
         Outcome::DeadlineExceeded(dispatched) => {
             Err(dispatched.fail(router, Failure::GatewayTimeout))
         }
-        Outcome::RouterEnding(dispatched) => {
+        Outcome::RouterShutdown(dispatched) => {
             router.counters.failed_at_end.fetch_add(1, Ordering::Relaxed);
             Err(dispatched.fail(router, Failure::ShuttingDown))
         }
--- a/crates/data-plane/src/proxy/response_check.rs
+++ b/crates/data-plane/src/proxy/response_check.rs
@@ -1,77 +1,77 @@
-//! What the head of an engine's answer proves: whose answer it is, whether the request has run, and
-//! whether its end can be proven. Only this module makes the proofs that `stage` asks for.
+//! Validates the head of an engine's response: to which request it belongs, whether that request has run, and whether
+//! the end of the body can be verified. Only this module creates the proofs that `stage` requires.
 
 use super::headers;
 use crate::fleet_view::routing_table::Repeat;
 use http::response::Parts;
 use http::{HeaderValue, Method, StatusCode, Version, header};
 
-/// Proof by the engine that it has not run the request and never will.
+/// Proof that the engine has not run the request and never will.
 #[derive(Debug)]
 pub struct NotExecuted(());
 
-/// The head of an answer that may go to the client as it is.
+/// A response head that may be relayed to the client.
 #[derive(Debug)]
 pub struct RelayableHead(Parts);
 
 impl RelayableHead {
-    /// The engine's own status.
+    /// The status that the engine sent.
     pub fn status(&self) -> StatusCode {
         self.0.status
     }
 
-    /// The engine's headers, as they came, moved out.
+    /// Takes the headers that the engine sent; empty afterwards.
     pub fn take_headers(&mut self) -> http::HeaderMap {
         std::mem::take(&mut self.0.headers)
     }
 }
 
-/// Why an answer is not passed on. The request may have run.
+/// Why a response is not relayed. The request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum InvalidResponse {
-    /// belongs to another request, or does not say to which
+    /// attempt id is missing or belongs to another request
     Unidentified,
-    /// says both that it has not run and that it succeeded
+    /// states both that the request has not run and that it succeeded
     Contradictory,
-    /// an interim status in place of a final one
+    /// interim status in place of a final one
     Interim,
-    /// body in an encoding that nobody asked for
+    /// body has a content encoding that was not requested
     Encoded,
-    /// a success without the engine's seal
+    /// success without the X-Server-Seal header
     Unsealed,
-    /// the end of the body can't be told from a break
+    /// body without a verifiable end
     EndUnprovable,
-    /// a status that promises that the request has not run, with no proof of it
-    UnprovenRefusal,
+    /// status implies that the request has not run, but X-Not-Executed is missing
+    UnprovenRejection,
 }
 
-/// What became of a request, by the head of the answer to it.
+/// The result of checking a response head.
 #[derive(Debug)]
 pub enum Verdict {
-    /// not run: it may be sent again or refused
+    /// The request has not run: it may be dispatched again or rejected.
     NotExecuted(NotExecuted),
-    /// an answer for the client
+    /// The response may be relayed to the client.
     Relay(RelayableHead),
-    /// no answer that anybody may see
+    /// The response must not be relayed.
     Invalid(InvalidResponse),
 }
 
-/// What is known of a request when its answer comes.
+/// The properties of a dispatched request that its response is checked against.
 pub struct SentRequest<'a> {
-    /// the client's id of this try
+    /// The client's id of this attempt.
     pub attempt: &'a HeaderValue,
-    /// decides whether a body follows
+    /// The method, which decides whether the response has a body.
     pub method: &'a Method,
-    /// whether it may run twice
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// no earlier request went out on this connection whose answer this could be
+    /// No earlier request was sent on this connection, so the response cannot belong to one.
     pub first_on_connection: bool,
 }
 
-/// Reads the head of an answer.
+/// Checks a response head.
 pub fn check(head: Parts, sent: &SentRequest) -> Verdict {
     let not_executed = states_not_executed(&head);
-    if !is_ours(&head, sent, not_executed) {
+    if !matches_attempt(&head, sent, not_executed) {
         return Verdict::Invalid(InvalidResponse::Unidentified);
     }
     if not_executed && head.status.is_success() {
@@ -86,15 +86,15 @@
     }
 }
 
-/// A 421 comes from an engine that is not the target; else only the header states it.
+/// An engine that is not the target instance answers 421; any other status needs the header.
 fn states_not_executed(head: &Parts) -> bool {
     head.status == StatusCode::MISDIRECTED_REQUEST
         || head.headers.contains_key(headers::NOT_EXECUTED)
 }
 
-/// An answer too many may come where the next one is due: its id shows that. One that rejects a request
-/// away may lack the id, where nobody else's answer can be due.
-fn is_ours(head: &Parts, sent: &SentRequest, not_executed: bool) -> bool {
+/// A surplus response can arrive where the response to the next request is expected; its attempt id reveals that.
+/// Only a rejection may lack the id, on a connection where no other response can be due.
+fn matches_attempt(head: &Parts, sent: &SentRequest, not_executed: bool) -> bool {
     match head.headers.get(headers::ATTEMPT_ID) {
         Some(id) => id == sent.attempt,
         None => not_executed && sent.first_on_connection,
@@ -111,8 +111,8 @@
     if head.status.is_success() && !head.headers.contains_key(headers::SERVER_SEAL) {
         return Err(InvalidResponse::Unsealed);
     }
-    if promises_not_run(head.status) && sent.repeat == Repeat::Never {
-        return Err(InvalidResponse::UnprovenRefusal);
+    if implies_not_executed(head.status) && sent.repeat == Repeat::Never {
+        return Err(InvalidResponse::UnprovenRejection);
     }
     if !has_provable_end(head, sent.method) {
         return Err(InvalidResponse::EndUnprovable);
@@ -120,8 +120,8 @@
     Ok(())
 }
 
-/// Clients take these for the promise that the request has not run and never will.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Clients read these statuses as a promise that the request has not run and never will.
+fn implies_not_executed(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::REQUEST_TIMEOUT
@@ -131,18 +131,18 @@
     )
 }
 
-/// A body that ends with its connection looks the same whole and cut off.
+/// A body that is ended by closing the connection looks the same when complete and when truncated.
 fn has_provable_end(head: &Parts, method: &Method) -> bool {
     let no_body = matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED);
     let has_length = head.headers.contains_key(header::CONTENT_LENGTH);
-    let is_coded = head.headers.contains_key(header::TRANSFER_ENCODING);
-    if has_length && is_coded {
+    let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
+    if has_length && is_chunked {
         return false;
     }
     if no_body || method == Method::HEAD || has_length {
         return true;
     }
-    is_coded && head.version == Version::HTTP_11
+    is_chunked && head.version == Version::HTTP_11
 }
 
 #[cfg(test)]
--- a/crates/data-plane/src/proxy/response_check_tests.rs
+++ b/crates/data-plane/src/proxy/response_check_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `verdict`.
-
 use super::*;
 
 const SEALED: [(&str, &str); 3] =
@@ -23,13 +21,14 @@
     check(head, &sent)
 }
 
-/// Over all statuses: what may run only once gets a promise by proof alone.
+/// For a request that may run only once, a status that implies that it has not run is never relayed; it needs the
+/// header or a 421.
 #[test]
-fn no_promise_is_ever_relayed_to_what_may_run_only_once() {
+fn unproven_rejections_are_not_relayed_for_non_repeatable_requests() {
     for status in 200..600 {
-        let promise = [408, 421, 429, 503].contains(&status);
+        let implies_not_executed = [408, 421, 429, 503].contains(&status);
         let plain = verdict(head(status, &SEALED), Repeat::Never);
-        assert_eq!(matches!(plain, Verdict::Relay(_)), !promise, "{status}");
+        assert_eq!(matches!(plain, Verdict::Relay(_)), !implies_not_executed, "{status}");
         assert_eq!(matches!(plain, Verdict::NotExecuted(_)), status == 421, "{status}");
         let mut marked = head(status, &SEALED);
         marked.headers.insert(headers::NOT_EXECUTED, HeaderValue::from_static("1"));
@@ -39,7 +38,7 @@
 }
 
 #[test]
-fn relayed_heads_keep_the_status_that_the_engine_gave() {
+fn relayed_heads_keep_the_status_of_the_engine() {
     for status in [200, 204, 302, 400, 404, 429, 500, 503, 504] {
         let Verdict::Relay(mut relayed) = verdict(head(status, &SEALED), Repeat::Freely) else {
             panic!("{status} is not relayed");
@@ -50,12 +49,12 @@
 }
 
 #[test]
-fn spoilt_answers_say_why() {
+fn invalid_responses_give_the_reason() {
     use InvalidResponse::*;
     let id = ("x-attempt-id", "a");
     let seal = ("x-server-seal", "s");
     let length = ("content-length", "3");
-    let routing_table = [
+    let cases = [
         (Unidentified, 200, vec![seal, length]),
         (Unidentified, 503, vec![("x-not-executed", "1")]),
         (Unidentified, 200, vec![("x-attempt-id", "b"), seal, length]),
@@ -63,13 +62,13 @@
         (Interim, 101, vec![id, seal, length]),
         (Encoded, 200, vec![id, seal, length, ("content-encoding", "gzip")]),
         (Unsealed, 201, vec![id, length]),
-        (UnprovenRefusal, 429, vec![id, length]),
+        (UnprovenRejection, 429, vec![id, length]),
         (EndUnprovable, 200, vec![id, seal]),
         (EndUnprovable, 200, vec![id, seal, length, ("transfer-encoding", "chunked")]),
     ];
-    for (why, status, pairs) in routing_table {
+    for (expected, status, pairs) in cases {
         match verdict(head(status, &pairs), Repeat::Never) {
-            Verdict::Invalid(got) => assert_eq!(got, why, "{status} {pairs:?}"),
+            Verdict::Invalid(got) => assert_eq!(got, expected, "{status} {pairs:?}"),
             other => panic!("{status} {pairs:?}: {other:?}"),
         }
     }
--- a/crates/data-plane/src/proxy/send_load.rs
+++ b/crates/data-plane/src/proxy/send_load.rs
@@ -1,22 +1,22 @@
-//! The load of one send at its engine, for as long as it lasts.
+//! The load that one dispatch puts on its engine.
 
 use crate::load_balancer::Choice;
 use crate::pool::EngineHandle;
 use std::sync::Arc;
 
 /// Counted at the engine until dropped.
-pub struct SendLoad {
-    /// the engine that bears it
+pub struct DispatchLoad {
+    /// The engine that runs the request.
     pub engine: Arc<EngineHandle>,
     source: Option<Arc<EngineHandle>>,
-    unread: u64,
+    pending_prefill: u64,
     tokens: u64,
     interactive: u32,
 }
 
-impl SendLoad {
-    /// Counts a send that is about to go out.
-    pub fn start(choice: &Choice, tokens: u64, interactive: bool) -> SendLoad {
+impl DispatchLoad {
+    /// Counts a dispatch that is about to be sent.
+    pub fn start(choice: &Choice, tokens: u64, interactive: bool) -> DispatchLoad {
         if let Some(source) = &choice.source_engine {
             source.work().transfers += 1;
         }
@@ -26,27 +26,28 @@
         work.interactive += interactive;
         work.unread += choice.prefill_tokens;
         work.tokens += tokens;
-        SendLoad {
+        DispatchLoad {
             engine: choice.engine.clone(),
             source: choice.source_engine.clone(),
-            unread: choice.prefill_tokens,
+            pending_prefill: choice.prefill_tokens,
             tokens,
             interactive,
         }
     }
 
-    /// The prompt has been read: only the run itself is left.
-    pub fn prompt_read(&mut self) {
-        self.engine.work().unread -= std::mem::take(&mut self.unread);
+    /// The prompt has been prefilled: removes its prefill load and its KV transfer, only the running request still
+    /// counts.
+    pub fn finish_prefill(&mut self) {
+        self.engine.work().unread -= std::mem::take(&mut self.pending_prefill);
         if let Some(source) = self.source.take() {
             source.work().transfers -= 1;
         }
     }
 }
 
-impl Drop for SendLoad {
+impl Drop for DispatchLoad {
     fn drop(&mut self) {
-        self.prompt_read();
+        self.finish_prefill();
         let mut work = self.engine.work();
         work.runs -= 1;
         work.interactive -= self.interactive;
--- a/crates/data-plane/src/proxy/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -1,17 +1,17 @@
-//! The stages of a request: Accepted, Dispatched, Responding.
+//! The states of a request: accepted, dispatched, responding.
 //!
-//! The fields are private to this module, so that a promise (503) can only leave from `Accepted`,
-//! and `Accepted` can only be had back from `Dispatched` by a proof that the engine has not run the
-//! request, or for a request that may run twice; such a one remembers that it may have run.
+//! The fields are private to this module, so that a response which promises that the request has not run (503) can
+//! only be made from `Accepted`. `Dispatched` becomes `Accepted` again only with a proof that the engine has not run
+//! the request, or if the request may run twice; in the latter case the state records that it may have run.
 
-use super::answer::{self, Failure, Out, Rejection};
+use super::answer::{self, Failure, Rejection, ResponseBody};
 use super::headers;
 use super::in_flight::InFlightGuard;
 use super::response_check::{NotExecuted, RelayableHead};
-use super::send_load::SendLoad;
+use super::send_load::DispatchLoad;
 use crate::fleet_view::routing_table::{Repeat, Table, Tenant};
 use crate::load_balancer::prompt::Prompt;
-use crate::pool::connection::{NotSent, Streaming};
+use crate::pool::connection::{NotSent, RespondingConnection};
 use crate::shutdown::Phase;
 use crate::{Counters, Router};
 use bytes::Bytes;
@@ -24,165 +24,167 @@
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
 
-/// A request that was read whole and is allowed.
+/// A request that was read completely and is allowed by the configuration.
 pub struct ClientRequest {
-    /// the configuration that it is handled by, from end to end
+    /// The configuration under which it is handled from start to end.
     pub routing_table: Arc<Table>,
-    /// the route that it came on
+    /// The route that it matched.
     pub route: Arc<Route>,
-    /// whose key it bears
+    /// The tenant whose API key it carries; `None` on a public route without a key.
     pub tenant: Option<Arc<Tenant>>,
-    /// the service that runs it
+    /// The service that runs it.
     pub service: String,
-    /// what it says of its prompt
+    /// What its headers say about its prompt.
     pub prompt: Prompt,
-    /// whether it may run twice
+    /// Whether it may run more than once.
     pub repeat: Repeat,
-    /// When it had been read.
+    /// When it had been read completely.
     pub accepted_at: Instant,
-    /// the client's deadline or the route's timeout, whichever comes first
+    /// The client's deadline or the route's time-out, whichever comes first.
     pub deadline: Instant,
-    /// the client's id of this try
+    /// The client's id of this attempt.
     pub attempt: HeaderValue,
-    /// as the client sent it
+    /// As sent by the client.
     pub method: http::Method,
-    /// as the client sent it
+    /// As sent by the client.
     pub uri: http::Uri,
-    /// what engines may see of the client's headers
+    /// The client's headers that are forwarded to engines.
     pub headers: HeaderMap,
-    /// as the client sent it
+    /// As sent by the client.
     pub body: Bytes,
-    /// Engines that are not to be tried again.
-    pub attempted: Vec<String>,
-    /// sends to engines so far
+    /// Ids of engines to which it must not be dispatched again.
+    pub excluded_engines: Vec<String>,
+    /// Number of dispatches so far.
     pub sends: u32,
-    /// Counts it until it is dropped, which is after the last byte of its response.
+    /// Counts it as in flight until dropped, which is after the last byte of its response.
     pub in_flight: InFlightGuard,
 }
 
 impl ClientRequest {
-    /// The event after which the client wants its stream.
+    /// The event after which the client wants its stream to be resumed.
     pub fn last_event_id(&self) -> Option<String> {
         headers::text(&self.headers, &headers::LAST_EVENT_ID).map(str::to_owned)
     }
 
-    /// Room for one more send by the route and by time.
+    /// Whether the route's attempts and the deadline allow one more dispatch.
     pub fn has_attempts_left(&self) -> bool {
         let in_time = Instant::now() + constants::DEADLINE_MARGIN * 2 < self.deadline;
         in_time && self.sends < self.route.max_attempts
     }
 
-    /// Takes one more send out of the budget, if there is room for it.
+    /// Takes one retry from the budget; false if none is left or allowed.
     fn spend_retry(&self, router: &Router) -> bool {
-        let may = self.has_attempts_left() && router.spend(&self.service);
-        if may {
+        let allowed = self.has_attempts_left() && router.spend(&self.service);
+        if allowed {
             router.counters.retries.fetch_add(1, Ordering::Relaxed);
         }
-        may
+        allowed
     }
 }
 
-/// At no engine.
+/// A request that is not at any engine.
 pub struct Accepted {
     request: Box<ClientRequest>,
     may_have_run: bool,
 }
 
-/// Sent, or about to be: an engine may run it.
+/// A request that is sent or about to be sent: an engine may run it.
 pub struct Dispatched {
     request: Box<ClientRequest>,
     may_have_run: bool,
 }
 
-/// An engine's answer to it has begun.
+/// A request to which an engine's response has begun.
 pub struct Responding {
-    /// what is answered
+    /// The request.
     pub request: Box<ClientRequest>,
-    /// its load at the engine, until dropped
-    pub load: SendLoad,
-    /// the connection that the answer comes on
-    pub connection: Streaming,
-    /// the engine's head, proven fit for the client
+    /// Its load at the engine, counted until dropped.
+    pub load: DispatchLoad,
+    /// The connection on which the response arrives.
+    pub connection: RespondingConnection,
+    /// The validated response head.
     pub head: RelayableHead,
-    /// the engine's body, as it comes
+    /// The response body, as it arrives.
     pub body: Incoming,
 }
 
 impl Accepted {
-    /// A request that no engine has seen.
+    /// A request that has not been dispatched.
     pub fn new(request: ClientRequest) -> Accepted {
         Accepted { request: Box::new(request), may_have_run: false }
     }
 
-    /// The request itself.
+    /// The request in this state.
     pub fn request(&self) -> &ClientRequest {
         &self.request
     }
 
-    /// Leaves an engine out of the choice.
-    pub fn avoid(&mut self, engine: &str) {
-        self.request.attempted.push(engine.to_owned());
+    /// Excludes an engine from further choices.
+    pub fn exclude(&mut self, engine: &str) {
+        self.request.excluded_engines.push(engine.to_owned());
     }
 
-    /// From here on an engine may run it.
+    /// Marks the request as sent to an engine, which may run it from now on.
     pub fn dispatch(mut self, engine: &str) -> Dispatched {
-        self.avoid(engine);
+        self.exclude(engine);
         self.request.sends += 1;
         Dispatched { request: self.request, may_have_run: self.may_have_run }
     }
 
-    /// On to another engine after a refusal, if the route and the budget allow it.
+    /// Returns to dispatching after a rejection, if the route and the retry budget allow it.
     ///
     /// # Errors
     ///
-    /// Gives the request back where it may not be sent again.
+    /// Returns the request unchanged if it may not be dispatched again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Accepted> {
         if self.request.spend_retry(router) { Ok(self) } else { Err(self) }
     }
 
-    /// No engine takes it: refused, unless one may have run it.
-    pub fn reject(self, router: &Router) -> Response<Out> {
+    /// The response if no engine takes the request: a 503, or a 502 if an engine may have run it.
+    pub fn reject(self, router: &Router) -> Response<ResponseBody> {
         if self.may_have_run {
             return fail(&router.log, &router.counters, Failure::BadGateway);
         }
-        if router.shutdown.phase() == Phase::Answering {
+        if router.shutdown.phase() == Phase::Terminating {
             router.counters.rejected_at_end.fetch_add(1, Ordering::Relaxed);
-            return Rejection::ShuttingDown.write();
+            return Rejection::ShuttingDown.into_response();
         }
         router.counters.rejected.fetch_add(1, Ordering::Relaxed);
-        answer::refusal()
+        answer::retry_later()
     }
 }
 
 impl Dispatched {
-    /// The request itself.
+    /// The request in this state.
     pub fn request(&self) -> &ClientRequest {
         &self.request
     }
 
-    /// Back, since not a byte of it went out: no attempt, and the engine may be tried again.
+    /// Undoes the dispatch, since no byte was sent: it does not count as an attempt, and the engine may be tried
+    /// again.
     pub fn not_sent(mut self, _proof: NotSent) -> Accepted {
         self.request.sends -= 1;
-        self.request.attempted.pop();
+        self.request.excluded_engines.pop();
         Accepted { request: self.request, may_have_run: self.may_have_run }
     }
 
-    /// Back, since the engine turned it away.
+    /// Undoes the dispatch, since the engine rejected the request without running it.
     pub fn not_executed(self, _proof: NotExecuted) -> Accepted {
         Accepted { request: self.request, may_have_run: self.may_have_run }
     }
 
-    /// The engine had closed the idle connection: it is healthy, and may be tried again on another.
+    /// The engine had closed the idle connection. It is presumed healthy, and may be tried again on another
+    /// connection.
     pub fn idle_reset(mut self) -> Dispatched {
-        self.request.attempted.pop();
+        self.request.excluded_engines.pop();
         self
     }
 
-    /// On to another engine after an uncertain end: only what may run twice, within the budget.
+    /// Returns to dispatching after an uncertain end, if the request may run twice and the retry budget allows it.
     ///
     /// # Errors
     ///
-    /// Gives the request back where it may not be sent again.
+    /// Returns the request unchanged if it may not be dispatched again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Dispatched> {
         if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
             return Err(self);
@@ -190,16 +192,16 @@
         Ok(Accepted { request: self.request, may_have_run: true })
     }
 
-    /// Ends it without a promise.
-    pub fn fail(self, router: &Router, failure: Failure) -> Response<Out> {
+    /// Counts and logs the failure; the response does not promise that the request has not run.
+    pub fn fail(self, router: &Router, failure: Failure) -> Response<ResponseBody> {
         fail(&router.log, &router.counters, failure)
     }
 
-    /// Its answer has begun.
+    /// Moves on once a response has begun.
     pub fn responding(
         self,
-        load: SendLoad,
-        connection: Streaming,
+        load: DispatchLoad,
+        connection: RespondingConnection,
         head: RelayableHead,
         body: Incoming,
     ) -> Responding {
@@ -208,17 +210,17 @@
 }
 
 impl Responding {
-    /// A failure that another engine may make good, of a request that may run twice.
+    /// Whether the response is a server error and the request may be dispatched to another engine instead.
     pub fn is_retryable(&self) -> bool {
-        let may = self.request.repeat != Repeat::Never && self.request.has_attempts_left();
-        may && self.head.status().is_server_error()
+        let allowed = self.request.repeat != Repeat::Never && self.request.has_attempts_left();
+        allowed && self.head.status().is_server_error()
     }
 
-    /// On to another engine in place of this answer, if the route and the budget allow it.
+    /// Discards the response and returns to dispatching, if the route and the retry budget allow it.
     ///
     /// # Errors
     ///
-    /// Gives the response back where the request may not be sent again.
+    /// Returns the response if the request may not be dispatched again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Box<Responding>> {
         if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
             return Err(Box::new(self));
@@ -226,15 +228,15 @@
         Ok(Accepted { request: self.request, may_have_run: true })
     }
 
-    /// Its answer broke off, or is of no use.
-    pub fn broken_off(self) -> Dispatched {
+    /// Drops a truncated or unusable response. The request may have run.
+    pub fn discard_response(self) -> Dispatched {
         Dispatched { request: self.request, may_have_run: true }
     }
 }
 
-fn fail(log: &slog::Logger, counters: &Counters, failure: Failure) -> Response<Out> {
+fn fail(log: &slog::Logger, counters: &Counters, failure: Failure) -> Response<ResponseBody> {
     let status = failure.status();
     counters.failed.fetch_add(1, Ordering::Relaxed);
     fleet_core::log_event!(log, Event::DispatchFailed, "status" => status.as_u16());
-    failure.write()
+    failure.into_response()
 }
--- a/crates/data-plane/src/proxy/stream_pace.rs
+++ b/crates/data-plane/src/proxy/stream_pace.rs
@@ -1,40 +1,40 @@
-//! How long responses take, learnt from those that were complete.
+//! Estimates how long responses take, from those that completed.
 //!
-//! A router that shuts down ends at a known moment. A request that would still be under way then is better rejected
-//! unsent, since its client can take it to another router at once, than broken off midway
-//! ([`Router::can_finish`](crate::Router::can_finish)).
+//! A router that shuts down exits at a known time. A request that would still be running then is better rejected
+//! without being dispatched, since its client can send it to another router at once, than truncated
+//! ([`Router::can_complete`](crate::Router::can_complete)).
 
 use ahash::RandomState;
 use hashbrown::HashMap;
 use parking_lot::Mutex;
 use std::time::Duration;
 
-/// Weight of the newest response in the mean; a few seconds of traffic count.
-const NEWEST_WEIGHT: f64 = 0.05;
+/// Weight of a new sample in the moving average, which covers a few seconds of traffic.
+const SAMPLE_WEIGHT: f64 = 0.05;
 
-/// Mean time for each token that is put out, by service. The lock is a leaf.
+/// Moving average of the response time per output token, by service. No other lock is taken under its lock.
 #[derive(Debug, Default)]
-pub struct StreamPaces {
+pub struct ResponseTimes {
     seconds_per_token: Mutex<HashMap<String, f64, RandomState>>,
 }
 
-impl StreamPaces {
-    /// Takes in how long a complete response took, from its request to its end, of a request that declared so many
-    /// tokens to be put out.
-    pub fn record(&self, service: &str, tokens: u64, took: Duration) {
+impl ResponseTimes {
+    /// Records the time from the request to the end of a complete response, for a request that declared `tokens`
+    /// output tokens. Requests that declare none are ignored.
+    pub fn record(&self, service: &str, tokens: u64, duration: Duration) {
         if tokens == 0 {
             return;
         }
-        let pace = took.as_secs_f64() / tokens as f64;
-        let mut paces = self.seconds_per_token.lock();
-        let mean = paces.entry_ref(service).or_insert(pace);
-        *mean += (pace - *mean) * NEWEST_WEIGHT;
+        let time_per_token = duration.as_secs_f64() / tokens as f64;
+        let mut means = self.seconds_per_token.lock();
+        let mean = means.entry_ref(service).or_insert(time_per_token);
+        *mean += (time_per_token - *mean) * SAMPLE_WEIGHT;
     }
 
-    /// How long a response with so many tokens is expected to take; none before the first one was seen.
-    pub fn expected(&self, service: &str, tokens: u64) -> Option<Duration> {
-        let pace = self.seconds_per_token.lock().get(service).copied()?;
-        Some(Duration::from_secs_f64(pace * tokens as f64))
+    /// The expected time for a response of `tokens` output tokens; `None` before the service's first sample.
+    pub fn estimate(&self, service: &str, tokens: u64) -> Option<Duration> {
+        let time_per_token = self.seconds_per_token.lock().get(service).copied()?;
+        Some(Duration::from_secs_f64(time_per_token * tokens as f64))
     }
 }
 
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -1,4 +1,4 @@
-//! A router's life: how it starts, and how it ends.
+//! Start-up, main loop and shutdown of a router.
 
 use crate::shutdown::Phase;
 use crate::{Router, fleet_view, pool, proxy};
@@ -9,20 +9,20 @@
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
 
-/// Why a router cannot run.
+/// Why a router failed to start.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum RouterError {
-    /// {0}: not in the settings, which a router needs
+    /// the setting {0} is missing; a router needs it
     ParamMissing(&'static str),
-    /// cannot listen at {0}: {1}
+    /// cannot listen on {0}: {1}
     Listen(std::net::SocketAddr, std::io::ErrorKind),
 }
 
-/// Runs a router until it is stopped.
+/// Runs a router until it is told to stop and has shut down.
 ///
 /// # Errors
 ///
-/// A setting is missing, or a port can't be listened at. Nothing runs then.
+/// A required setting is missing, or a listening address cannot be bound. No task has been started then.
 pub async fn run(start: Start) -> Result<(), RouterError> {
     let Start { settings, log, mut stop, mut reread, metrics } = start;
     let front = settings.front.ok_or(RouterError::ParamMissing("bindAddrs.frontHttp"))?;
@@ -34,7 +34,7 @@
     let (front, probe) = (listen(front)?, listen(probe)?);
     let router = Router::assemble(settings, log.clone());
     let tasks = [
-        tokio::spawn(proxy::run_readiness(router.clone(), probe)),
+        tokio::spawn(proxy::run_readiness_server(router.clone(), probe)),
         tokio::spawn(fleet_view::links::run_link_maintenance(router.clone())),
         tokio::spawn(fleet_view::config_fetch::run_config_fetch(router.clone())),
         tokio::spawn(fleet_view::invalidations::run_invalidation_reader(router.clone())),
@@ -46,21 +46,21 @@
     if let Some(address) = metrics {
         tokio::spawn(telemetry::serve(address, log.clone(), router.clone()));
     }
-    let accepting = tokio::spawn(proxy::run_client_listener(router.clone(), front));
+    let client_listener = tokio::spawn(proxy::run_client_listener(router.clone(), front));
     fleet_core::log_event!(log, Event::Started, "incarnation" => router.node.incarnation);
-    let mut counted = tokio::time::interval(constants::COUNTERS_INTERVAL);
-    counted.tick().await;
+    let mut counters_timer = tokio::time::interval(constants::COUNTERS_INTERVAL);
+    counters_timer.tick().await;
     loop {
         tokio::select! {
             _ = stop.wait_for(|stopped| *stopped) => break,
-            Some(newer) = reread.recv() => *router.settings.write() = Arc::new(newer),
-            _ = counted.tick() => router.log_counters(),
+            Some(new_settings) = reread.recv() => *router.settings.write() = Arc::new(new_settings),
+            _ = counters_timer.tick() => router.log_counters(),
         }
     }
     fleet_core::log_event!(log, Event::Stopping);
-    leave(&router, accepting).await;
+    shut_down(&router, client_listener).await;
     fleet_core::log_event!(log, Event::DrainEnded,
-        "cut" => router.in_flight.all(), "cut_new" => router.in_flight.accepted_late(),
+        "cut" => router.in_flight.total(), "cut_new" => router.in_flight.accepted_during_shutdown(),
         "answered" => router.counters.failed_at_end.load(Ordering::Relaxed));
     router.log_counters();
     for task in tasks {
@@ -69,24 +69,26 @@
     Ok(())
 }
 
-/// Unready at once, serving until the platform has noticed, then only what runs, and at last answers to what still waits.
-async fn leave(router: &Arc<Router>, accepting: tokio::task::JoinHandle<()>) {
-    let begun = Instant::now();
+/// Shuts down in phases: reports unready at once and keeps serving until the platform's probes have noticed, then
+/// closes connections as their requests complete, and finally has the router answer the requests that are still
+/// pending.
+async fn shut_down(router: &Arc<Router>, client_listener: tokio::task::JoinHandle<()>) {
+    let started_at = Instant::now();
     let grace = router.settings().bounds.grace;
-    let end = begun + grace.saturating_sub(constants::GRACE_MARGIN);
-    let answers_due = begun + grace.saturating_sub(constants::ANSWERS_DUE_MARGIN);
-    router.shutdown.begin(end);
-    tokio::time::sleep_until(answers_due.min(begun + constants::PROBES_MISSED)).await;
-    accepting.abort();
+    let exit_deadline = started_at + grace.saturating_sub(constants::GRACE_MARGIN);
+    let terminating_at = started_at + grace.saturating_sub(constants::ANSWERS_DUE_MARGIN);
+    router.shutdown.begin(exit_deadline);
+    tokio::time::sleep_until(terminating_at.min(started_at + constants::PROBES_MISSED)).await;
+    client_listener.abort();
     router.shutdown.advance(Phase::Closing);
-    wait_for_connections(router, answers_due).await;
-    router.shutdown.advance(Phase::Answering);
-    wait_for_connections(router, end).await;
+    wait_for_connections(router, terminating_at).await;
+    router.shutdown.advance(Phase::Terminating);
+    wait_for_connections(router, exit_deadline).await;
 }
 
-/// Returns once no client has a connection, at this moment at the latest.
-async fn wait_for_connections(router: &Router, until: Instant) {
-    while router.open.load(Ordering::Relaxed) > 0 && Instant::now() < until {
+/// Waits until no client connection is open, but no longer than `deadline`.
+async fn wait_for_connections(router: &Router, deadline: Instant) {
+    while router.open_connections.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
         tokio::time::sleep(constants::DRAIN_POLL_INTERVAL).await;
     }
 }
--- a/crates/data-plane/src/shutdown.rs
+++ b/crates/data-plane/src/shutdown.rs
@@ -1,28 +1,29 @@
-//! The phases in which a router ends.
+//! The phases of a router's shutdown.
 //!
-//! The phase only moves forward. A request that is read later than [`Phase::Draining`] is rejected unsent; one that
-//! has no answer when [`Phase::Answering`] begins is answered by the router itself, with as much as is known of it,
-//! so that no client finds its connection closed in place of an answer.
+//! The phase only moves forward. A request that has been read completely only after [`Phase::Draining`] is rejected
+//! without being dispatched. A request that has no response when [`Phase::Terminating`] begins is answered by the
+//! router itself, with the strongest statement that is known to be true of it, so that no client sees its connection
+//! closed instead of a response.
 
 use std::sync::OnceLock;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How far a router's end has come.
+/// The shutdown phase of a router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// Nobody has asked it to end.
+    /// Shutdown has not been requested.
     #[default]
     Serving,
-    /// It calls itself unready, and takes what it can complete.
+    /// The router reports unready, and still accepts requests that it expects to complete.
     Draining,
-    /// It accepts no connection, and closes each one behind the answer that is due on it.
+    /// The router accepts no connections, and closes each open one after the response that is due on it.
     Closing,
-    /// What has no answer gets one now.
-    Answering,
+    /// The router itself answers every request that has no response yet.
+    Terminating,
 }
 
-/// The phase of one router, and the moment at which it ends.
+/// The shutdown phase of one router, and the time at which its process exits.
 #[derive(Debug, Default)]
 pub struct Shutdown {
     phase: watch::Sender<Phase>,
@@ -31,14 +32,13 @@
 }
 
 impl Shutdown {
-    /// Begins to drain; the process ends at this moment at the latest. Asked a second time, it ends when it was first
-    /// told to.
+    /// Starts draining; the process exits at `ends_at` at the latest. If called again, the first time stays in force.
     pub fn begin(&self, ends_at: Instant) {
         let _ = self.ends_at.set(ends_at);
         self.advance(Phase::Draining);
     }
 
-    /// Moves on to a later phase; an earlier one changes nothing.
+    /// Moves to a later phase; has no effect if `to` is not later than the current one.
     pub fn advance(&self, to: Phase) {
         self.phase.send_if_modified(|phase| {
             let is_later = to > *phase;
@@ -47,12 +47,12 @@
         });
     }
 
-    /// The phase now.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// When the process ends; none while nobody has asked it to.
+    /// When the process exits at the latest; `None` before shutdown has begun.
     pub fn ends_at(&self) -> Option<Instant> {
         self.ends_at.get().copied()
     }
@@ -61,9 +61,9 @@
     ///
     /// # Cancel safety
     ///
-    /// It changes nothing.
+    /// Dropping the future has no effect.
     pub async fn reached(&self, phase: Phase) {
-        // the sender lives as long as `self`, so that the wait ends by the phase alone
+        // `self` owns the sender, so the wait can only end because the phase was reached.
         let _ = self.phase.subscribe().wait_for(|now| *now >= phase).await;
     }
 }
--- a/crates/data-plane/tests/engines/draining.rs
+++ b/crates/data-plane/tests/engines/draining.rs
@@ -21,7 +21,7 @@
 async fn a_request_that_would_outlast_the_router_is_rejected_unsent_for_another_router() {
     let engine = StubEngine::start("e1", |_, s| (complete(s, 1..=1), Then::Keep)).await;
     let fleet = Fleet::start(&[&engine]).await;
-    fleet.router.stream_paces.record("s", DECLARED, Duration::from_secs(10));
+    fleet.router.response_times.record("s", DECLARED, Duration::from_secs(10));
     assert_eq!(status(&fleet.send("/once/", "").await), 200, "nobody has asked it to end");
     fleet.router.shutdown.begin(Instant::now() + Duration::from_secs(7));
     let answer = fleet.raw_to_end(request("/once/", "").as_bytes()).await.to_ascii_lowercase();
@@ -34,7 +34,7 @@
 async fn a_request_that_ends_in_time_is_served_while_the_router_drains() {
     let engine = StubEngine::start("e1", |_, s| (complete(s, 1..=1), Then::Keep)).await;
     let fleet = Fleet::start(&[&engine]).await;
-    fleet.router.stream_paces.record("s", DECLARED, Duration::from_secs(10));
+    fleet.router.response_times.record("s", DECLARED, Duration::from_secs(10));
     fleet.router.shutdown.begin(Instant::now() + Duration::from_secs(7));
     let short = request("/once/", "").replace("X-Token-Count: 30,5", "X-Token-Count: 30,1");
     assert_eq!(status(&fleet.raw(short.as_bytes()).await), 200);
@@ -62,7 +62,7 @@
         let begin_end = async {
             until(|| engine.arrivals() == 1).await;
             fleet.router.shutdown.begin(Instant::now());
-            fleet.router.shutdown.advance(Phase::Answering);
+            fleet.router.shutdown.advance(Phase::Terminating);
         };
         let waiting = request(path, "");
         let (answer, ()) = tokio::join!(fleet.raw_to_end(waiting.as_bytes()), begin_end);
@@ -86,7 +86,7 @@
         until(|| first.arrivals() == 1).await;
         fleet.router.shutdown.begin(Instant::now());
         signal.notify_one();
-        fleet.router.shutdown.advance(Phase::Answering);
+        fleet.router.shutdown.advance(Phase::Terminating);
     };
     let waiting = request("/safe/", "");
     let (answer, ()) = tokio::join!(fleet.raw_to_end(waiting.as_bytes()), begin_end);
@@ -105,9 +105,9 @@
     let engine = StubEngine { id: "e1".into(), address, received: Arc::default() };
     let fleet = Fleet::start(&[&engine]).await;
     let begin_end = async {
-        until(|| fleet.router.in_flight.all() == 1).await;
+        until(|| fleet.router.in_flight.total() == 1).await;
         fleet.router.shutdown.begin(Instant::now() + Duration::from_secs(7));
-        fleet.router.shutdown.advance(Phase::Answering);
+        fleet.router.shutdown.advance(Phase::Terminating);
     };
     let waiting = request("/once/", "");
     let (answer, ()) = tokio::join!(fleet.raw_to_end(waiting.as_bytes()), begin_end);
@@ -126,7 +126,7 @@
     let mut client = fleet.connect().await;
     let whole = request("/once/", "");
     client.write_all(&whole.as_bytes()[..whole.len() - 1]).await.unwrap();
-    until(|| fleet.router.open.load(Ordering::Relaxed) == 1).await;
+    until(|| fleet.router.open_connections.load(Ordering::Relaxed) == 1).await;
     fleet.router.shutdown.advance(Phase::Closing);
     client.write_all(&whole.as_bytes()[whole.len() - 1..]).await.unwrap();
     let mut answer = String::new();
@@ -152,8 +152,8 @@
         assert_ne!(client.read_buf(&mut seen).await.unwrap(), 0);
     }
     fleet.router.shutdown.begin(Instant::now());
-    fleet.router.shutdown.advance(Phase::Answering);
-    assert_eq!(fleet.router.in_flight.all(), 1, "it goes on until the process ends");
+    fleet.router.shutdown.advance(Phase::Terminating);
+    assert_eq!(fleet.router.in_flight.total(), 1, "it goes on until the process ends");
     assert!(!String::from_utf8_lossy(&seen).ends_with("0\r\n\r\n"), "it has no end");
 }
 
@@ -175,7 +175,7 @@
     let begin_end = async {
         until(|| arrivals.load(Ordering::SeqCst) == 2).await;
         fleet.router.shutdown.begin(Instant::now());
-        fleet.router.shutdown.advance(Phase::Answering);
+        fleet.router.shutdown.advance(Phase::Terminating);
     };
     let stream = request("/on/", "");
     let (answer, ()) = tokio::join!(fleet.raw_to_end(stream.as_bytes()), begin_end);
