--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -59,7 +59,7 @@
     /// Responses to prefill-heavy requests.
     pub prefill_heavy_responses: AtomicU64,
     /// Sum of the times to the head of these responses, in microseconds.
-    pub prefill_heavy_wait_us: AtomicU64,
+    pub prefill_heavy_latency_us: AtomicU64,
 }
 
 impl Router {
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an engine: Idle, Leased, Streaming, then Reusable (idle again) or Spent (dropped).
+//! A connection to an engine and its states: [`IdleConnection`], [`PooledConnection`] (checked out for one request)
+//! and [`RespondingConnection`]; then it is idle again, or closed by being dropped.
 
 use super::EngineHandle;
 use super::idle_timeout::IdleTimeout;
@@ -13,36 +14,36 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The body of a request as it goes out: whole.
+/// The body of an outgoing request, in one piece.
 pub type RequestBody = http_body_util::Full<bytes::Bytes>;
 
 /// Why there is no connection to an engine.
 #[derive(Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ConnectionError {
-    /// no connection came up: {0}
+    /// could not connect: {0}
     Connect(fleet_core::transport::TransportError),
-    /// no connection is left for this router
+    /// all connections of this router's share are in use
     Full,
-    /// the engine closed it at once
+    /// the engine closed the connection at once
     Closed,
 }
 
-/// Proof that not a byte of a request went out.
+/// Proof that no byte of a request was sent.
 #[derive(Debug)]
 pub struct NotSent(());
 
-/// Why a send has no answer.
+/// Why sending a request gave no response.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum SendError {
-    /// the engine had closed before anything was sent
+    /// the engine had closed the connection before anything was sent
     NotSent(NotSent),
-    /// broke off after the request, or a part of it, was sent
+    /// the connection failed after the request, or a part of it, was sent
     Uncertain,
-    /// reset by an engine that had perhaps forgotten the idle connection; the request may have run
+    /// a reused idle connection was reset, perhaps closed by the engine before; the request may have run
     IdleReset,
 }
 
-/// Counts an open connection until dropped.
+/// Counts an open connection to an engine until dropped.
 struct ConnectionPermit(Arc<EngineHandle>);
 
 impl Drop for ConnectionPermit {
@@ -51,7 +52,7 @@
     }
 }
 
-/// Since when a connection is idle; none while it is used, and once we close it ourselves.
+/// Since when a connection is idle; `None` while it is in use, and once this router closes it.
 #[derive(Default)]
 struct IdleSince(parking_lot::Mutex<Option<Instant>>);
 
@@ -68,33 +69,33 @@
     }
 }
 
-/// A connection that nobody uses.
+/// A connection that is kept open for reuse.
 pub struct IdleConnection {
     inner: EngineConnection,
     since: Instant,
     until: Instant,
 }
 
-/// A connection for one request.
+/// A connection that is checked out for one request.
 pub struct PooledConnection {
     inner: EngineConnection,
-    /// how long it was idle before; none for a new one
+    /// How long it was idle before; `None` for a new connection.
     idle_time: Option<Duration>,
 }
 
-/// A connection that an answer has begun on.
+/// A connection on which a response has begun.
 pub struct RespondingConnection {
     inner: EngineConnection,
     idle_limit: Option<Duration>,
 }
 
 impl IdleConnection {
-    /// Neither closed by the engine nor idle for as long as it was to be kept.
+    /// Whether the engine has not closed it and its idle time limit has not passed.
     pub fn is_open(&self, now: Instant) -> bool {
         now < self.until && !self.inner.sender.is_closed()
     }
 
-    /// Whatever went over it before is over.
+    /// Whether the previous exchange is complete, so that a request can be sent.
     pub fn is_ready(&self) -> bool {
         self.inner.sender.is_ready()
     }
@@ -110,21 +111,22 @@
     }
 }
 
-/// What a connection is wanted for.
+/// The requirements of a request on its connection.
 pub struct CheckoutOptions<'a> {
-    /// the service that the engine belongs to
+    /// The service to which the engine belongs.
     pub service: &'a str,
-    /// connections to the engine that this router may have open
+    /// How many connections this router may have open to the engine.
     pub max_connections: u32,
-    /// whether the request may run twice
+    /// Whether the request may run more than once; if not, a connection that was idle for long is not reused.
     pub repeatable: bool,
 }
 
-/// The idle connection that was used last, if it is fit, else a new one within the router's share.
+/// Checks out the most recently used idle connection if it is suitable, otherwise opens a new one within the router's
+/// share.
 ///
 /// # Errors
 ///
-/// No connection came up, or the router's share is used up; nothing was sent.
+/// The connection could not be opened, or the router's share is in use. Nothing was sent.
 pub async fn checkout(
     router: &Router,
     engine: &Arc<EngineHandle>,
@@ -165,7 +167,7 @@
     })
 }
 
-/// Counts one more connection; an idle one that is not fit gives way where there is no room.
+/// Counts one more connection. At the limit, closes the oldest idle connection to make room; `None` if there is none.
 fn acquire_permit(engine: &Arc<EngineHandle>, max_connections: u32) -> Option<ConnectionPermit> {
     loop {
         let before = engine.open_connections.fetch_add(1, Ordering::Relaxed);
@@ -180,7 +182,7 @@
     }
 }
 
-/// Moves the bytes, and notes an end that the engine made while nobody used the connection.
+/// Drives the connection's I/O, and records if the engine closed it while it was idle.
 async fn drive_connection(
     connection: Connection<TokioIo<TcpStream>, RequestBody>,
     idle_since: Arc<IdleSince>,
@@ -194,16 +196,16 @@
 }
 
 impl PooledConnection {
-    /// No request went out on it before.
+    /// Whether no request was sent on it before.
     pub fn is_new(&self) -> bool {
         self.idle_time.is_none()
     }
 
-    /// Gives the answer's head, or says whether the request may have been read.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// Says whether the engine may have read the request.
+    /// The error states whether the engine may have read the request.
     pub async fn send(
         mut self,
         request: http::Request<RequestBody>,
@@ -226,7 +228,8 @@
         }
     }
 
-    /// A break after an idle time is blamed on that time; all that were idle for longer are then dropped too.
+    /// Attributes a failure on a reused connection to its idle time: connections that have been idle are then closed
+    /// too.
     fn uncertain_send_error(self) -> SendError {
         let Some(idle_time) =
             self.idle_time.filter(|idle_time| *idle_time >= constants::IDLE_TIMEOUT_MIN)
@@ -240,24 +243,29 @@
     }
 }
 
-/// How long the engine lets it idle; none if it closes.
-fn keep_alive_limit(h: &http::HeaderMap) -> Option<Duration> {
-    let text = |n: http::HeaderName| h.get(n).and_then(|v| v.to_str().ok()).unwrap_or("");
+/// How long the connection may be idle by the response headers, with a margin; `None` if the engine closes it.
+fn keep_alive_limit(headers: &http::HeaderMap) -> Option<Duration> {
+    let text =
+        |name: http::HeaderName| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
     let closes =
         text(http::header::CONNECTION).split(',').any(|t| t.trim().eq_ignore_ascii_case("close"));
     if closes {
         return None;
     }
-    let reported = h.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
-        v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
+    let timeout_s = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|value| {
+        value
+            .split(',')
+            .find_map(|param| param.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
     });
-    let Some(s) = reported else { return Some(constants::IDLE_CONNECTION_TIMEOUT) };
-    let idle_limit = Duration::from_secs(s).mul_f64(0.6).min(constants::IDLE_CONNECTION_TIMEOUT);
+    let Some(timeout_s) = timeout_s else { return Some(constants::IDLE_CONNECTION_TIMEOUT) };
+    let idle_limit =
+        Duration::from_secs(timeout_s).mul_f64(0.6).min(constants::IDLE_CONNECTION_TIMEOUT);
     (!idle_limit.is_zero()).then_some(idle_limit)
 }
 
 impl RespondingConnection {
-    /// The answer ended exactly: the connection may serve again. Dropping it instead spends it.
+    /// Returns the connection to the pool, after a response whose end was verified. Dropping it instead closes the
+    /// connection.
     pub fn release(self) {
         let Some(idle_limit) = self.idle_limit else { return };
         if self.inner.sender.is_closed() {
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -1,4 +1,4 @@
-//! One engine as this router sees it.
+//! The state that this router keeps for one engine: load, health and idle connections.
 
 use super::connection::IdleConnection;
 use fleet_core::constants;
@@ -10,25 +10,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What an engine reported of itself with a response.
+/// The load that an engine reported with a response.
 #[derive(Debug, Clone, Copy)]
 pub struct ReportedLoad {
-    /// requests that it runs
+    /// Running requests.
     pub running: u32,
-    /// requests that wait there
+    /// Requests waiting for a slot.
     pub waiting: u32,
-    /// requests that it runs at once
+    /// Requests that it can run at once.
     pub slots: u32,
-    /// when it reported so
+    /// When it was reported.
     pub at: Instant,
 }
 
 impl ReportedLoad {
-    /// Reads the header; none if it is malformed.
+    /// Parses the `X-Instance-Load` header; `None` if it is malformed.
     pub fn parse(text: &str, at: Instant) -> Option<ReportedLoad> {
-        let mut it = text.split(',').map(|x| x.trim().parse::<u32>());
+        let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>());
         let (Some(Ok(running)), Some(Ok(waiting)), Some(Ok(slots))) =
-            (it.next(), it.next(), it.next())
+            (numbers.next(), numbers.next(), numbers.next())
         else {
             return None;
         };
@@ -36,55 +36,57 @@
     }
 }
 
-/// What goes on at one engine, as far as this router knows.
+/// The load of one engine and its idle connections, as far as this router knows.
 #[derive(Default)]
 pub struct Work {
-    /// own sends that have no end yet
+    /// Dispatches of this router that have not ended.
     pub runs: u32,
-    /// tokens of own sends that have not begun
+    /// Prompt tokens of this router's dispatches that are not yet prefilled.
     pub unread: u64,
-    /// tokens of own sends that have no end yet
+    /// Prompt and output tokens of this router's dispatches that have not ended.
     pub tokens: u64,
-    /// moves of own sends that take from here and have no end yet
+    /// KV transfers from this engine that this router's dispatches caused and that have not ended.
     pub transfers: u32,
-    /// own sends in flight that somebody waits for
+    /// Dispatches of this router to interactive routes that have not ended.
     pub interactive: u32,
-    /// own load as it was reported last
+    /// This router's load as it last reported it.
     pub last_published: Load,
-    /// load of all other routers
+    /// Load of all other routers.
     pub others: Load,
-    /// when that was reported
+    /// When the load of the other routers was received.
     pub others_at: Option<Instant>,
-    /// the one used last is the last
+    /// Idle connections, the most recently used one at the back.
     idle: VecDeque<IdleConnection>,
-    /// shortest rest after which it dropped a connection, as long as it has not answered since
+    /// Shortest idle time after which the engine closed a connection; cleared when it responds again.
     suspected_idle_close: Option<Duration>,
-    /// what the engine reported last
+    /// The load that the engine itself last reported.
     pub reported: Option<ReportedLoad>,
-    /// left alone until then
+    /// End of the ejection; kept afterwards until the engine responds.
     ejected_until: Option<Instant>,
-    /// how long it was left alone last
+    /// Length of the last ejection; zero once the engine responds.
     ejection_time: Duration,
-    /// heavy answers of a newcomer, and their waits
-    warm_up_waits: (u64, Duration),
+    /// For an engine that has just started: number of responses to prefill-heavy requests, and the sum of their
+    /// latencies.
+    warm_up_latencies: (u64, Duration),
 }
 
 impl Work {
-    /// Load of this router.
+    /// Load from this router.
     pub fn own(&self) -> Load {
         Load { unread: self.unread, runs: self.runs, interactive: self.interactive }
     }
 
-    /// Load of all routers, as far as it is known now.
+    /// Load from all routers; other routers' part counts only while its report is recent.
     pub fn all(&self, now: Instant) -> Load {
-        let mut out = self.own();
-        if self.others_at.is_some_and(|t| now.duration_since(t) < constants::LOAD_REPORT_TIMEOUT) {
-            out.add(&self.others);
+        let mut total = self.own();
+        if self.others_at.is_some_and(|at| now.duration_since(at) < constants::LOAD_REPORT_TIMEOUT)
+        {
+            total.add(&self.others);
         }
-        out
+        total
     }
 
-    /// Whether a connection is there that idled for no longer than this.
+    /// Whether there is an open connection that has been idle for at most `max_idle_time`.
     pub fn has_idle_connection(&self, now: Instant, max_idle_time: Duration) -> bool {
         self.idle
             .back()
@@ -92,52 +94,52 @@
     }
 }
 
-/// One instance of an engine.
+/// One engine instance and what this router knows about it.
 pub struct EngineHandle {
-    /// names this life of the engine
+    /// Id of this run of the engine process.
     pub id: String,
-    /// names it among loads
+    /// Key that identifies it in load reports.
     pub key: u32,
-    /// where it listens
+    /// The address on which it listens.
     pub address: SocketAddr,
     first_seen: Instant,
     is_new: bool,
     state: parking_lot::RwLock<Engine>,
-    /// when the roll-out last said something new of it
+    /// When the roll-out last changed its state.
     rollout_state_changed_at: parking_lot::Mutex<Instant>,
     work: parking_lot::Mutex<Work>,
-    /// connections open, used or not; outside the lock, for they also end under it
+    /// Open connections, in use or idle. Not in `work`, since connections are also dropped while that lock is held.
     pub(super) open_connections: AtomicU32,
 }
 
-/// What the connections of this router tell of an engine.
+/// Health of an engine, judged by this router's connections to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It served since it last broke a connection, or never broke one.
+    /// It has responded since its last connection failure, or never had one.
     Sound,
-    /// It broke a connection or let none come up, and was left alone since; it has served nothing yet.
+    /// A connection failed, and its ejection has ended; it has not responded since.
     Unproven,
-    /// It broke a connection or let none come up a short time ago, and is left alone.
+    /// A connection failed recently, and the engine is ejected: it gets no requests.
     Ejected,
 }
 
 impl EngineHandle {
-    /// An engine that is new; none if its address is none.
-    pub fn new(e: &Engine) -> Option<EngineHandle> {
+    /// Creates the state of an engine that is not yet known; `None` if its address is malformed.
+    pub fn new(engine: &Engine) -> Option<EngineHandle> {
         Some(EngineHandle {
-            id: e.id.clone(),
-            key: fleet_core::load::key_of(&e.id),
-            address: e.address.parse().ok()?,
+            id: engine.id.clone(),
+            key: fleet_core::load::key_of(&engine.id),
+            address: engine.address.parse().ok()?,
             first_seen: Instant::now(),
-            is_new: e.call <= constants::NEW_ENGINE_CALLS,
-            state: parking_lot::RwLock::new(e.clone()),
+            is_new: engine.call <= constants::NEW_ENGINE_CALLS,
+            state: parking_lot::RwLock::new(engine.clone()),
             rollout_state_changed_at: parking_lot::Mutex::new(Instant::now()),
             work: parking_lot::Mutex::default(),
             open_connections: AtomicU32::new(0),
         })
     }
 
-    /// Takes in what the controllers know of it; whether anything but the number of its call is new.
+    /// Merges a state from the controllers; returns whether anything but its call number changed.
     pub fn update(&self, state: &Engine) -> bool {
         let mut known = self.state.write();
         let before = (known.drain_seq, known.update_seq);
@@ -152,53 +154,55 @@
         is_changed
     }
 
-    /// States of the roll-out count only so long: who set them may have failed.
+    /// Whether its roll-out state is recent. Older ones are ignored, since the controller that set them may have
+    /// failed.
     pub fn has_rollout_mark(&self, now: Instant) -> bool {
         now.duration_since(*self.rollout_state_changed_at.lock()) < constants::ROLLOUT_STATE_TIMEOUT
     }
 
-    /// What the controllers know of it.
+    /// The state from the controllers.
     pub fn state(&self) -> parking_lot::RwLockReadGuard<'_, Engine> {
         self.state.read()
     }
 
-    /// Weights seen in an answer; true if they are new.
+    /// Records a weight version seen in a response; true if it is newer than the known one.
     pub fn saw_weights(&self, model: &str, version: u64) -> bool {
         fleet_core::fleet::version_of(&self.state(), model).is_some_and(|s| s < version)
             && fleet_core::fleet::raise(&mut self.state.write(), model, version)
     }
 
-    /// Just started: what it was not seen to keep, it does not keep.
+    /// Whether it has started recently: it is then not assumed to hold prompt parts that it was not seen to cache.
     pub fn is_warming(&self, now: Instant) -> bool {
         self.is_new && now < self.first_seen + constants::WARM_UP_PERIOD
     }
 
-    /// Counts the wait of a heavy answer; gives the mean once the first few have come.
-    pub fn record_warm_up_wait(&self, wait: Duration) -> Option<Duration> {
+    /// Records the latency of a response to a prefill-heavy request; returns the mean once the first few have been
+    /// recorded.
+    pub fn record_warm_up_latency(&self, latency: Duration) -> Option<Duration> {
         if !self.is_new {
             return None;
         }
-        let mut w = self.work();
-        if w.warm_up_waits.0 >= constants::WARM_UP_ANSWERS {
+        let mut work = self.work();
+        if work.warm_up_latencies.0 >= constants::WARM_UP_ANSWERS {
             return None;
         }
-        w.warm_up_waits.0 += 1;
-        w.warm_up_waits.1 += wait;
-        (w.warm_up_waits.0 == constants::WARM_UP_ANSWERS)
-            .then(|| w.warm_up_waits.1 / constants::WARM_UP_ANSWERS as u32)
+        work.warm_up_latencies.0 += 1;
+        work.warm_up_latencies.1 += latency;
+        (work.warm_up_latencies.0 == constants::WARM_UP_ANSWERS)
+            .then(|| work.warm_up_latencies.1 / constants::WARM_UP_ANSWERS as u32)
     }
 
-    /// What goes on there.
+    /// Its load and idle connections, locked.
     pub fn work(&self) -> parking_lot::MutexGuard<'_, Work> {
         self.work.lock()
     }
 
-    /// Is it left alone for now?
+    /// Whether it is ejected at this time.
     pub fn is_ejected(&self, now: Instant) -> bool {
-        self.work().ejected_until.is_some_and(|t| now < t)
+        self.work().ejected_until.is_some_and(|until| now < until)
     }
 
-    /// What its connections tell of it.
+    /// Its health at this time.
     pub fn health(&self, now: Instant) -> Health {
         let work = self.work();
         match work.ejected_until {
@@ -208,61 +212,61 @@
         }
     }
 
-    /// Broke a connection or let none come up: left alone for a while, longer each time.
+    /// Ejects it after a connection failure; the ejection time doubles each time up to a limit.
     pub fn record_failure(&self, now: Instant) {
-        let mut w = self.work();
-        if w.ejected_until.is_some_and(|t| now < t) {
+        let mut work = self.work();
+        if work.ejected_until.is_some_and(|until| now < until) {
             return;
         }
-        w.ejection_time = (w.ejection_time * 2)
+        work.ejection_time = (work.ejection_time * 2)
             .clamp(constants::BASE_EJECTION_TIME, constants::MAX_EJECTION_TIME);
-        w.ejected_until = Some(now + w.ejection_time);
+        work.ejected_until = Some(now + work.ejection_time);
     }
 
-    /// It answers: what it dropped before was not lost by its end. Gives the shortest rest after
-    /// which that happened.
+    /// Clears its failures after a response. Returns the shortest idle time after which it closed a connection, if it
+    /// did: the engine is alive, so its idle time-out was the cause.
     pub fn record_success(&self) -> Option<Duration> {
-        let mut w = self.work();
-        w.ejection_time = Duration::ZERO;
-        w.ejected_until = None;
-        w.suspected_idle_close.take()
+        let mut work = self.work();
+        work.ejection_time = Duration::ZERO;
+        work.ejected_until = None;
+        work.suspected_idle_close.take()
     }
 
-    /// Dropped a connection after this rest: forgotten, unless the engine ended.
-    pub fn suspect_idle_close(&self, ejection_time: Duration) {
-        if ejection_time < constants::IDLE_TIMEOUT_MIN || self.state().state() != EngineState::Ready
-        {
+    /// Records that it closed a connection after `idle_time`. Ignored for an engine that is not ready, which closes
+    /// its connections because it exits.
+    pub fn suspect_idle_close(&self, idle_time: Duration) {
+        if idle_time < constants::IDLE_TIMEOUT_MIN || self.state().state() != EngineState::Ready {
             return;
         }
-        let mut w = self.work();
-        w.suspected_idle_close =
-            Some(w.suspected_idle_close.map_or(ejection_time, |known| known.min(ejection_time)));
+        let mut work = self.work();
+        work.suspected_idle_close =
+            Some(work.suspected_idle_close.map_or(idle_time, |known| known.min(idle_time)));
     }
 
-    /// The connection that was used last, unless it has been idle for too long.
+    /// Takes the most recently used connection, unless it has been idle for longer than `max_idle_time`.
     pub(super) fn checkout_idle(
         &self,
         now: Instant,
         max_idle_time: Duration,
     ) -> Option<IdleConnection> {
-        let mut w = self.work();
-        w.idle.retain(|i| i.is_open(now));
-        let newest = w.idle.iter().rposition(IdleConnection::is_ready)?;
-        if w.idle[newest].idle_time(now) > max_idle_time {
+        let mut work = self.work();
+        work.idle.retain(|idle| idle.is_open(now));
+        let newest = work.idle.iter().rposition(IdleConnection::is_ready)?;
+        if work.idle[newest].idle_time(now) > max_idle_time {
             return None;
         }
-        w.idle.remove(newest)
+        work.idle.remove(newest)
     }
 
-    pub(super) fn put_idle(&self, i: IdleConnection) {
-        let mut w = self.work();
-        if w.idle.len() >= constants::IDLE_CONNECTIONS {
-            w.idle.pop_front();
+    pub(super) fn put_idle(&self, idle: IdleConnection) {
+        let mut work = self.work();
+        if work.idle.len() >= constants::IDLE_CONNECTIONS {
+            work.idle.pop_front();
         }
-        w.idle.push_back(i);
+        work.idle.push_back(idle);
     }
 
-    /// False if there was none.
+    /// Closes the oldest idle connection; false if there is none.
     pub(super) fn drop_oldest_idle(&self) -> bool {
         self.work().idle.pop_front().is_some()
     }
@@ -272,7 +276,7 @@
     }
 
     pub(super) fn drop_expired_idle(&self, now: Instant) {
-        self.work().idle.retain(|i| i.is_open(now));
+        self.work().idle.retain(|idle| idle.is_open(now));
     }
 }
 
--- a/crates/data-plane/src/pool/engine_tests.rs
+++ b/crates/data-plane/src/pool/engine_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `engine`.
-
 use super::*;
 
 fn engine() -> EngineHandle {
@@ -12,22 +10,22 @@
 }
 
 #[test]
-fn rests_grow_until_it_serves_again() {
-    let s = engine();
-    let t = Instant::now();
-    s.record_failure(t);
-    assert!(s.is_ejected(t) && !s.is_ejected(t + constants::BASE_EJECTION_TIME));
-    let t = t + constants::BASE_EJECTION_TIME;
-    s.record_failure(t);
-    assert!(s.is_ejected(t + constants::BASE_EJECTION_TIME));
-    s.record_success();
-    assert!(!s.is_ejected(t));
-    s.record_failure(t);
-    assert!(!s.is_ejected(t + constants::BASE_EJECTION_TIME));
+fn ejections_grow_until_a_response_resets_them() {
+    let engine = engine();
+    let now = Instant::now();
+    engine.record_failure(now);
+    assert!(engine.is_ejected(now) && !engine.is_ejected(now + constants::BASE_EJECTION_TIME));
+    let now = now + constants::BASE_EJECTION_TIME;
+    engine.record_failure(now);
+    assert!(engine.is_ejected(now + constants::BASE_EJECTION_TIME));
+    engine.record_success();
+    assert!(!engine.is_ejected(now));
+    engine.record_failure(now);
+    assert!(!engine.is_ejected(now + constants::BASE_EJECTION_TIME));
 }
 
 #[test]
-fn unproven_from_a_break_until_it_serves() {
+fn engine_is_unproven_after_its_ejection_until_it_responds() {
     let (engine, start) = (engine(), Instant::now());
     assert_eq!(engine.health(start), Health::Sound);
     engine.record_failure(start);
@@ -38,14 +36,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn newcomer_is_warm_after_a_while_and_reports_its_first_answers_once() {
-    let s = engine();
-    assert!(s.is_warming(Instant::now()));
+async fn new_engine_warms_up_and_reports_its_mean_latency_once() {
+    let engine = engine();
+    assert!(engine.is_warming(Instant::now()));
     tokio::time::advance(constants::WARM_UP_PERIOD).await;
-    assert!(!s.is_warming(Instant::now()));
+    assert!(!engine.is_warming(Instant::now()));
     let ms = Duration::from_millis;
     let means: Vec<_> = (0..constants::WARM_UP_ANSWERS * 2)
-        .filter_map(|i| s.record_warm_up_wait(ms(10 * (i % 2) + 5)))
+        .filter_map(|i| engine.record_warm_up_latency(ms(10 * (i % 2) + 5)))
         .collect();
     assert_eq!(means, vec![ms(10)]);
     let old = Engine { call: 99, address: "10.0.0.1:80".into(), ..Default::default() };
@@ -53,10 +51,10 @@
 }
 
 #[test]
-fn malformed_burdens_tell_nothing() {
-    let t = Instant::now();
-    assert_eq!(ReportedLoad::parse("3, 1,8", t).unwrap().waiting, 1);
+fn malformed_load_reports_are_ignored() {
+    let now = Instant::now();
+    assert_eq!(ReportedLoad::parse("3, 1,8", now).unwrap().waiting, 1);
     for bad in ["", "3,1", "a,b,c", "-1,0,8", "3;1;8"] {
-        assert!(ReportedLoad::parse(bad, t).is_none(), "{bad}");
+        assert!(ReportedLoad::parse(bad, now).is_none(), "{bad}");
     }
 }
--- a/crates/data-plane/src/pool/idle_timeout.rs
+++ b/crates/data-plane/src/pool/idle_timeout.rs
@@ -1,9 +1,8 @@
-//! How long engines of a service keep an idle connection, learnt from what became of such ones.
+//! Estimates how long the engines of a service keep an idle connection, by the fate of such connections.
 //!
-//! An engine may forget an idle connection early and silently: whatever goes out next is reset, and
-//! may have run. A request that may run only once therefore takes a connection that was idle for less
-//! than the service was seen to forget, or a new one. Requests that may be repeated take longer
-//! idle ones too, and so find out how long these live.
+//! An engine may close an idle connection early and without notice: the next request on it is reset, and may have
+//! run. A request that may run only once therefore takes a connection that was idle for less than the estimate, or a
+//! new one. Repeatable requests also take connections that were idle for longer, and so show how long these last.
 
 use fleet_core::constants;
 use hashbrown::HashMap;
@@ -12,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What is known of one service.
+/// The estimate for one service.
 pub struct IdleTimeout {
     estimate: Mutex<Estimate>,
 }
@@ -30,12 +29,12 @@
 }
 
 impl IdleTimeout {
-    /// How long a connection may have been idle for a request that may run only once.
+    /// How long a connection may have been idle to be used for a request that may run only once.
     pub fn safe_idle_time(&self, now: Instant) -> Duration {
         self.estimate.lock().safe_idle_time(now)
     }
 
-    /// A connection served after this rest.
+    /// Records that a connection gave a response after `idle_time`.
     pub fn record_reuse(&self, idle_time: Duration, now: Instant) {
         let mut estimate = self.estimate.lock();
         let safe = estimate.safe_idle_time(now);
@@ -45,7 +44,7 @@
         }
     }
 
-    /// An engine that lives on dropped a connection after this rest.
+    /// Records that an engine which is still running closed a connection after `idle_time`.
     pub fn record_idle_close(&self, idle_time: Duration, now: Instant) {
         if idle_time < constants::IDLE_TIMEOUT_MIN {
             return;
@@ -61,7 +60,7 @@
 }
 
 impl Estimate {
-    /// What was learnt to be short is tried longer again as time passes.
+    /// A lowered estimate doubles as time passes, up to the default: engines may have changed since.
     fn safe_idle_time(&self, now: Instant) -> Duration {
         let Some(lowered_at) = self.lowered_at else { return self.safe };
         let periods = now
@@ -73,14 +72,14 @@
     }
 }
 
-/// What is known of each service, by its name.
+/// The estimates of all services, by name.
 #[derive(Default)]
 pub struct IdleTimeouts {
     services: Mutex<HashMap<String, Arc<IdleTimeout>, ahash::RandomState>>,
 }
 
 impl IdleTimeouts {
-    /// The service's own.
+    /// The estimate for a service.
     pub fn of(&self, service: &str) -> Arc<IdleTimeout> {
         self.services.lock().entry_ref(service).or_default().clone()
     }
--- a/crates/data-plane/src/pool/idle_timeout_tests.rs
+++ b/crates/data-plane/src/pool/idle_timeout_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `idle_timeout`.
-
 use super::*;
 
 const fn ms(n: u64) -> Duration {
@@ -7,13 +5,17 @@
 }
 
 #[test]
-fn forgetting_shortens_the_safe_rest_and_time_brings_it_back() {
+fn idle_closes_lower_the_safe_idle_time_and_it_recovers_over_time() {
     let (idle_timeout, start) = (IdleTimeout::default(), Instant::now());
     assert_eq!(idle_timeout.safe_idle_time(start), constants::IDLE_TIMEOUT_DEFAULT);
     idle_timeout.record_idle_close(ms(1000), start);
     assert_eq!(idle_timeout.safe_idle_time(start), ms(600));
     idle_timeout.record_idle_close(ms(1500), start);
-    assert_eq!(idle_timeout.safe_idle_time(start), ms(600), "a longer life tells nothing new");
+    assert_eq!(
+        idle_timeout.safe_idle_time(start),
+        ms(600),
+        "a close after a longer idle time changes nothing"
+    );
     assert_eq!(
         idle_timeout.safe_idle_time(start + constants::IDLE_TIMEOUT_DOUBLING_PERIOD),
         ms(1200)
@@ -23,7 +25,7 @@
 }
 
 #[test]
-fn never_shorter_than_the_least_and_not_by_busy_connections() {
+fn estimate_has_a_minimum_and_ignores_shorter_idle_times() {
     let (idle_timeout, now) = (IdleTimeout::default(), Instant::now());
     idle_timeout.record_idle_close(constants::IDLE_TIMEOUT_MIN - ms(1), now);
     assert_eq!(idle_timeout.safe_idle_time(now), constants::IDLE_TIMEOUT_DEFAULT);
@@ -32,7 +34,7 @@
 }
 
 #[test]
-fn proven_lives_lengthen_it_little_by_little() {
+fn successful_reuse_raises_the_estimate_gradually() {
     let (idle_timeout, now) = (IdleTimeout::default(), Instant::now());
     let mut last = idle_timeout.safe_idle_time(now);
     for _ in 0..50 {
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn services_learn_apart() {
+fn services_have_separate_estimates() {
     let idle_timeouts = IdleTimeouts::default();
     let now = Instant::now();
     idle_timeouts.of("a").record_idle_close(ms(500), now);
--- a/crates/data-plane/src/pool/mod.rs
+++ b/crates/data-plane/src/pool/mod.rs
@@ -1,8 +1,9 @@
 //! Engines as a router uses them: load, ejection, and the connections to them.
 //!
-//! An [`EngineHandle`] lives as long as its engine is known; each owns its work and its idle connections under one lock,
-//! and no two are ever locked at once. A connection is checked out for one request ([`connection`]), and goes back once the
-//! response has ended where its end could be proven. [`idle_timeout`] learns how long engines keep idle connections.
+//! An [`EngineHandle`] exists as long as its engine is known. It keeps its load and its idle connections under one
+//! lock, and no two of these locks are held together. A connection is checked out for one request ([`connection`]),
+//! and returns to the pool after a response whose end could be verified. [`idle_timeout`] estimates how long engines
+//! keep idle connections.
 
 pub mod connection;
 pub mod engine;
@@ -14,7 +15,7 @@
 use fleet_core::wire::EngineState;
 use tokio::time::Instant;
 
-/// Closes connections that have been idle for long, and forgets engines long gone.
+/// Periodically closes connections whose idle time limit has passed, and removes engines that deregistered long ago.
 pub async fn run_idle_sweeper(router: std::sync::Arc<crate::Router>) {
     let mut deregistered = hashbrown::HashMap::<String, Instant>::new();
     loop {
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -51,7 +51,7 @@
 /// # Errors
 ///
 /// Returns the request if no engine is available, the deadline is too close, or this router has to answer pending
-/// requests because it shuts down. Nothing was sent.
+/// requests because it shuts down. No further byte of it was sent.
 pub async fn find_engine(
     router: &Router,
     mut accepted: Accepted,
@@ -155,7 +155,7 @@
         router.counters.outdated_dispatches.fetch_add(1, Ordering::Relaxed);
     }
     let dispatched = accepted.dispatch(&choice.engine.id);
-    let send = InFlightDispatch {
+    let in_flight = InFlightDispatch {
         choice,
         load,
         sent_at: Instant::now(),
@@ -166,9 +166,9 @@
     // Closing the connection of an abandoned dispatch also removes the request from the engine's queue.
     match run_until(router, cutoff.unwrap_or(deadline), connection.send(outgoing)).await {
         Ok(Ok((connection, response))) => {
-            send.on_response(router, dispatched, connection, response)
+            in_flight.on_response(router, dispatched, connection, response)
         }
-        Ok(Err(error)) => send.on_error(router, dispatched, error),
+        Ok(Err(error)) => in_flight.on_error(router, dispatched, error),
         Err(Interrupted::RouterShutdown) => Outcome::RouterShutdown(dispatched),
         Err(Interrupted::TimedOut) if cutoff.is_some() => {
             router.counters.version_cutoffs.fetch_add(1, Ordering::Relaxed);
--- a/crates/data-plane/src/proxy/passive_health.rs
+++ b/crates/data-plane/src/proxy/passive_health.rs
@@ -45,7 +45,7 @@
     }
     router.counters.responses.fetch_add(1, Ordering::Relaxed);
     if request.prompt.is_prefill_heavy() {
-        record_latency(&router.log, &router.counters, &choice.engine, latency);
+        record_prefill_heavy_latency(&router.log, &router.counters, &choice.engine, latency);
     }
     if let Some(salt) = choice.salt.as_ref().filter(|_| status.is_success()) {
         router.fleet_view.prefix_view.sent(&choice.engine.id, salt, &request.prompt.pairs());
@@ -59,16 +59,17 @@
 }
 
 /// Logs how an engine's first response times after its start compare with the mean of all engines.
-fn record_latency(
+fn record_prefill_heavy_latency(
     log: &slog::Logger,
     counters: &Counters,
     engine: &EngineHandle,
     latency: Duration,
 ) {
     let responses = counters.prefill_heavy_responses.fetch_add(1, Ordering::Relaxed) + 1;
-    let wait_us = latency.as_micros() as u64;
-    let total_us = counters.prefill_heavy_wait_us.fetch_add(wait_us, Ordering::Relaxed) + wait_us;
-    if let Some(engine_mean) = engine.record_warm_up_wait(latency) {
+    let latency_us = latency.as_micros() as u64;
+    let total_us =
+        counters.prefill_heavy_latency_us.fetch_add(latency_us, Ordering::Relaxed) + latency_us;
+    if let Some(engine_mean) = engine.record_warm_up_latency(latency) {
         fleet_core::log_event!(log, Event::EngineWarmedUp, "id" => &engine.id,
             "own_ms" => engine_mean.as_millis() as u64, "all_ms" => total_us / responses / 1000);
     }
--- a/crates/data-plane/src/proxy/relay.rs
+++ b/crates/data-plane/src/proxy/relay.rs
@@ -19,14 +19,14 @@
 use tokio::sync::mpsc;
 
 /// The reason for an ejection after a truncated response, as logged.
-const STREAM_BROKEN: &str = "response body truncated";
+const RESPONSE_TRUNCATED: &str = "response body truncated";
 
 /// How a body ended.
 enum BodyEnd {
     /// The whole body was relayed.
     Complete,
     /// The engine truncated the body.
-    Broken,
+    Truncated,
     /// The client has disconnected.
     ClientDisconnected,
     /// The deadline or the route's timeout has passed.
@@ -79,9 +79,9 @@
             responding.connection.release();
             let _ = chunks.send(BodyChunk::End).await;
         }
-        BodyEnd::Broken => {
+        BodyEnd::Truncated => {
             let engine = &responding.load.engine;
-            passive_health::record_connection_failure(&router.log, engine, STREAM_BROKEN);
+            passive_health::record_connection_failure(&router.log, engine, RESPONSE_TRUNCATED);
         }
         BodyEnd::ClientDisconnected => increment(&router.counters.responses_abandoned),
         BodyEnd::PastDeadline => increment(&router.counters.responses_past_deadline),
@@ -110,9 +110,9 @@
             }
             BodyEnd::ClientDisconnected => return increment(&router.counters.responses_abandoned),
             BodyEnd::PastDeadline => return increment(&router.counters.responses_past_deadline),
-            BodyEnd::Broken => {
+            BodyEnd::Truncated => {
                 let engine = &responding.load.engine;
-                passive_health::record_connection_failure(&router.log, engine, STREAM_BROKEN);
+                passive_health::record_connection_failure(&router.log, engine, RESPONSE_TRUNCATED);
             }
         }
         splitter.discard_partial();
@@ -145,7 +145,7 @@
         };
         let frame = match frame {
             None => return BodyEnd::Complete,
-            Some(Err(_)) => return BodyEnd::Broken,
+            Some(Err(_)) => return BodyEnd::Truncated,
             Some(Ok(frame)) => frame,
         };
         let Some(data) = frame.into_data().ok().and_then(&mut split) else { continue };
@@ -159,10 +159,10 @@
 /// it over: the response to the client is then truncated.
 async fn resume(
     router: &Arc<Router>,
-    broken: Responding,
+    truncated: Responding,
     last_event: Option<&str>,
 ) -> Option<Responding> {
-    let mut accepted = broken.discard_response().retry(router).ok()?;
+    let mut accepted = truncated.discard_response().retry(router).ok()?;
     loop {
         let (selected, ready) = dispatch::find_engine(router, accepted).await.ok()?;
         accepted = match dispatch::dispatch(router, ready, selected, last_event).await {
--- a/crates/data-plane/tests/engines/silence.rs
+++ b/crates/data-plane/tests/engines/silence.rs
@@ -1,149 +1,154 @@
-//! Engines that run and say nothing, and what the time limits make of them.
+//! Engines that never respond: deadlines and time-outs.
 
 use super::harness::{
-    Fleet, ReceivedRequest, StubEngine, Then, chunk, complete, pass, request, sealed, status,
-    stream_head, until,
+    AfterResponse, Fleet, ReceivedRequest, StubEngine, advance_time, chunk, complete_stream,
+    request, sealed_head, status, stream_head, wait_until,
 };
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// The answer to one request after its deadline of 15 s has passed.
-async fn answer_after_deadline(
-    f: &Arc<Fleet>,
-    e: &StubEngine,
+/// The response to one request, with the clock advanced past its deadline of 15 s.
+async fn response_after_deadline(
+    fleet: &Arc<Fleet>,
+    engine: &StubEngine,
     path: &str,
-    arrivals: usize,
+    received_count: usize,
 ) -> String {
-    let (asked, bytes) = (f.clone(), request(path, ""));
-    let asking = tokio::spawn(async move { asked.raw(bytes.as_bytes()).await });
-    until(|| e.arrivals() == arrivals).await;
+    let (sending_fleet, bytes) = (fleet.clone(), request(path, ""));
+    let pending = tokio::spawn(async move { sending_fleet.send_raw(bytes.as_bytes()).await });
+    wait_until(|| engine.received_count() == received_count).await;
     for _ in 0..50 {
         tokio::task::yield_now().await;
     }
-    assert!(!asking.is_finished(), "ended before its time");
-    pass(Duration::from_secs(15)).await;
-    asking.await.unwrap()
+    assert!(!pending.is_finished(), "ended before its deadline");
+    advance_time(Duration::from_secs(15)).await;
+    pending.await.unwrap()
 }
 
 #[tokio::test]
-async fn silence_lasts_until_the_deadline_and_is_never_a_refusal() {
+async fn missing_response_gives_a_504_at_the_deadline() {
     for path in ["/once/", "/twice/", "/on/", "/safe/"] {
-        let e = StubEngine::start("e1", |_, _| (Vec::new(), Then::Keep)).await;
-        let f = Arc::new(Fleet::start(&[&e]).await);
-        let got = answer_after_deadline(&f, &e, path, 1).await;
-        assert_eq!(status(&got), 504, "{path}: {got}");
-        assert_eq!(e.arrivals(), 1, "{path}");
+        let engine = StubEngine::start("e1", |_, _| (Vec::new(), AfterResponse::KeepOpen)).await;
+        let fleet = Arc::new(Fleet::start(&[&engine]).await);
+        let response = response_after_deadline(&fleet, &engine, path, 1).await;
+        assert_eq!(status(&response), 504, "{path}: {response}");
+        assert_eq!(engine.received_count(), 1, "{path}");
     }
 }
 
-/// The head says that it has not run; the rest of that answer is of no use, and is not waited for.
+/// The head proves that the request has not run; the rest of that response is not needed and must not delay the
+/// client.
 #[tokio::test]
-async fn refusal_whose_body_never_ends_holds_nobody_up() {
-    let script = |_: usize, s: &ReceivedRequest| {
+async fn rejection_with_an_endless_body_does_not_delay_the_client() {
+    let script = |_: usize, req: &ReceivedRequest| {
         (
-            sealed(s, "503 Full", "X-Not-Executed: 1\r\nContent-Length: 9\r\n").into_bytes(),
-            Then::Keep,
+            sealed_head(req, "503 Full", "X-Not-Executed: 1\r\nContent-Length: 9\r\n").into_bytes(),
+            AfterResponse::KeepOpen,
         )
     };
-    let e = StubEngine::start("e1", script).await;
-    let f = Arc::new(Fleet::start(&[&e]).await);
-    let asked = f.clone();
-    let asking = tokio::spawn(async move { asked.send("/once/", "").await });
-    until(|| e.arrivals() == 1).await;
+    let engine = StubEngine::start("e1", script).await;
+    let fleet = Arc::new(Fleet::start(&[&engine]).await);
+    let sending_fleet = fleet.clone();
+    let pending = tokio::spawn(async move { sending_fleet.send("/once/", "").await });
+    wait_until(|| engine.received_count() == 1).await;
     for _ in 0..500 {
         tokio::task::yield_now().await;
     }
-    pass(Duration::from_secs(1)).await;
+    advance_time(Duration::from_secs(1)).await;
     for _ in 0..500 {
         tokio::task::yield_now().await;
     }
-    assert!(asking.is_finished(), "held up by the body of a refusal");
-    assert_eq!(status(&asking.await.unwrap()), 503);
+    assert!(pending.is_finished(), "delayed by the body of a rejection");
+    assert_eq!(status(&pending.await.unwrap()), 503);
 }
 
-/// The deadline comes while the client still has much to read: what it gets then has no proper end.
+/// The deadline passes while a slow client still has much to read: the truncated response must not look complete.
 #[tokio::test]
-async fn deadline_that_finds_a_slow_client_never_makes_the_answer_look_complete() {
+async fn response_to_a_slow_client_is_visibly_truncated_at_the_deadline() {
     for path in ["/once/", "/on/"] {
-        let script = |_: usize, s: &ReceivedRequest| {
-            let mut bytes = stream_head(s, "").into_bytes();
+        let script = |_: usize, req: &ReceivedRequest| {
+            let mut bytes = stream_head(req, "").into_bytes();
             let large = chunk(&format!("id: 1\ndata: {}\n\n", "x".repeat(1 << 20)));
             for _ in 0..24 {
                 bytes.extend_from_slice(large.as_bytes());
             }
-            (bytes, Then::Keep)
+            (bytes, AfterResponse::KeepOpen)
         };
-        let e = StubEngine::start("e1", script).await;
-        let f = Fleet::start(&[&e]).await;
-        let mut client = f.connect().await;
+        let engine = StubEngine::start("e1", script).await;
+        let fleet = Fleet::start(&[&engine]).await;
+        let mut client = fleet.connect().await;
         client.write_all(request(path, "").as_bytes()).await.unwrap();
-        until(|| e.arrivals() == 1).await;
+        wait_until(|| engine.received_count() == 1).await;
         for _ in 0..5_000 {
             tokio::task::yield_now().await;
         }
-        pass(Duration::from_secs(16)).await;
-        let mut got = Vec::new();
-        let _ = client.read_to_end(&mut got).await;
-        assert!(got.starts_with(b"HTTP/1.1 200"), "{path}");
-        assert!(!got.ends_with(b"0\r\n\r\n"), "{path}: looks complete after {} bytes", got.len());
+        advance_time(Duration::from_secs(16)).await;
+        let mut response = Vec::new();
+        let _ = client.read_to_end(&mut response).await;
+        assert!(response.starts_with(b"HTTP/1.1 200"), "{path}");
+        assert!(
+            !response.ends_with(b"0\r\n\r\n"),
+            "{path}: looks complete after {} bytes",
+            response.len()
+        );
     }
 }
 
-/// A client leaves before any answer: a late answer on that connection reaches nobody.
+/// A client disconnects before the response: a late response on that engine connection must reach no other client.
 #[tokio::test]
-async fn connection_of_a_client_that_left_before_its_answer_is_not_used_again() {
-    let e = StubEngine::start("e1", |n, s| match n {
-        1 => (Vec::new(), Then::Keep),
-        _ => (complete(s, 2..=2), Then::Keep),
+async fn engine_connection_is_not_reused_after_a_client_disconnects_early() {
+    let engine = StubEngine::start("e1", |request_no, req| match request_no {
+        1 => (Vec::new(), AfterResponse::KeepOpen),
+        _ => (complete_stream(req, 2..=2), AfterResponse::KeepOpen),
     })
     .await;
-    let f = Fleet::start(&[&e]).await;
-    let mut client = f.connect().await;
+    let fleet = Fleet::start(&[&engine]).await;
+    let mut client = fleet.connect().await;
     client.write_all(request("/once/", "").as_bytes()).await.unwrap();
-    until(|| e.arrivals() == 1).await;
+    wait_until(|| engine.received_count() == 1).await;
     drop(client);
-    let got = f.raw(request("/once/", "").replace("a1", "a2").as_bytes()).await;
-    assert_eq!(status(&got), 200, "{got}");
-    let received = e.received.lock();
+    let response = fleet.send_raw(request("/once/", "").replace("a1", "a2").as_bytes()).await;
+    assert_eq!(status(&response), 200, "{response}");
+    let received = engine.received.lock();
     assert_eq!(received.len(), 2);
     assert_ne!(received[0].connection, received[1].connection);
 }
 
-/// An address where no connection comes up, as behind a cut: its queue is full.
-fn black_hole() -> (std::net::SocketAddr, Vec<socket2::Socket>) {
+/// An address to which no connection can be opened, since its accept queue is full, as behind a network partition.
+fn unreachable_address() -> (std::net::SocketAddr, Vec<socket2::Socket>) {
     let socket = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
     let listener = socket().unwrap();
     listener.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).unwrap();
     listener.listen(0).unwrap();
     let address = listener.local_addr().unwrap();
-    let mut held = vec![listener];
+    let mut sockets = vec![listener];
     for _ in 0..8 {
         let filler = socket().unwrap();
         filler.set_nonblocking(true).unwrap();
         let _ = filler.connect(&address);
-        held.push(filler);
+        sockets.push(filler);
     }
-    (address.as_socket().unwrap(), held)
+    (address.as_socket().unwrap(), sockets)
 }
 
-/// A connection that does not come up takes no longer than the request has, and nothing is sent.
+/// An unfinished connection attempt ends at the request's deadline; nothing is sent.
 #[tokio::test]
-async fn connection_that_does_not_come_up_holds_nobody_past_the_deadline() {
-    let (address, _held) = black_hole();
-    let e = StubEngine { id: "e1".into(), address, received: Default::default() };
-    let f = Arc::new(Fleet::start(&[&e]).await);
+async fn connection_attempt_ends_at_the_deadline() {
+    let (address, _held) = unreachable_address();
+    let engine = StubEngine { id: "e1".into(), address, received: Default::default() };
+    let fleet = Arc::new(Fleet::start(&[&engine]).await);
     let bytes = request("/once/", "").replace("X-Deadline-Ms: 15000", "X-Deadline-Ms: 200");
-    let asked = f.clone();
-    let asking = tokio::spawn(async move { asked.raw(bytes.as_bytes()).await });
+    let sending_fleet = fleet.clone();
+    let pending = tokio::spawn(async move { sending_fleet.send_raw(bytes.as_bytes()).await });
     for _ in 0..500 {
         tokio::task::yield_now().await;
     }
-    assert!(!asking.is_finished(), "the connection came up or was refused");
-    pass(Duration::from_millis(200)).await;
+    assert!(!pending.is_finished(), "the connection was established or refused");
+    advance_time(Duration::from_millis(200)).await;
     for _ in 0..500 {
         tokio::task::yield_now().await;
     }
-    assert!(asking.is_finished(), "held past its deadline");
-    assert_eq!(status(&asking.await.unwrap()), 503);
+    assert!(pending.is_finished(), "not ended at its deadline");
+    assert_eq!(status(&pending.await.unwrap()), 503);
 }
