--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -61,7 +61,7 @@
     /// The shutdown phase.
     pub shutdown: shutdown::Shutdown,
     /// Mean response time per output token, by service.
-    pub response_times: proxy::stream_pace::ResponseTimes,
+    pub response_times: proxy::response_time::ResponseTimes,
     /// Number of open client connections.
     pub open_connections: AtomicUsize,
     /// Requests accepted whose response is not yet complete.
@@ -82,7 +82,7 @@
             started: tokio::time::Instant::now(),
             logged_ready: AtomicBool::new(false),
             shutdown: shutdown::Shutdown::default(),
-            response_times: proxy::stream_pace::ResponseTimes::default(),
+            response_times: proxy::response_time::ResponseTimes::default(),
             open_connections: AtomicUsize::new(0),
             in_flight: Arc::default(),
             settings: parking_lot::RwLock::new(Arc::new(settings)),
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -1,9 +1,9 @@
 //! Dispatch of a request to one engine, and its outcome.
 
+use super::dispatch_load::DispatchLoad;
 use super::headers;
 use super::passive_health;
 use super::response_check::{self, SentRequest, Verdict};
-use super::send_load::DispatchLoad;
 use super::stage::{Accepted, ClientRequest, Dispatched, Responding};
 use crate::Router;
 use crate::fleet_view::FleetView;
--- a/crates/data-plane/src/proxy/mod.rs
+++ b/crates/data-plane/src/proxy/mod.rs
@@ -6,30 +6,30 @@
 //! | [`dispatch`] | finds an engine with a connection and sends the request there |
 //! | [`response_check`] | validates the head of an engine's response |
 //! | [`relay`] | passes the body on, and resumes a broken stream |
-//! | [`answer`] | response bodies, and responses that the router itself makes |
-//! | [`stream_pace`] | estimates response times, for a router that shuts down |
+//! | [`response`] | response bodies, and responses that the router itself makes |
+//! | [`response_time`] | estimates response times, for a router that shuts down |
 //! | [`in_flight`] | counts the requests whose response is not complete |
 //!
 //! [`stage`] has a type for each state of a request (accepted, dispatched, responding). A response which promises
 //! that the request has not run can only be made from a state that proves it.
 
-pub mod answer;
 pub mod dispatch;
+pub mod dispatch_load;
 pub mod events;
 pub mod headers;
 pub mod in_flight;
 pub mod passive_health;
 pub mod relay;
 pub mod request;
+pub mod response;
 pub mod response_check;
-pub mod send_load;
+pub mod response_time;
 pub mod stage;
-pub mod stream_pace;
 
 use crate::Router;
 use crate::shutdown::Phase;
-use answer::ResponseBody;
 use fleet_core::constants;
+use response::ResponseBody;
 use std::convert::Infallible;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -107,7 +107,7 @@
                         (true, true) => http::StatusCode::OK,
                         (true, false) => http::StatusCode::SERVICE_UNAVAILABLE,
                     };
-                    async move { Ok::<_, Infallible>(answer::empty(status)) }
+                    async move { Ok::<_, Infallible>(response::empty(status)) }
                 });
             let _ = hyper::server::conn::http1::Builder::new()
                 .timer(hyper_util::rt::TokioTimer::new())
--- a/crates/data-plane/src/proxy/relay.rs
+++ b/crates/data-plane/src/proxy/relay.rs
@@ -1,10 +1,10 @@
 //! Relays an engine's response as it arrives, and resumes a truncated stream at another engine where that is allowed.
 
-use super::answer::{BodyChunk, ResponseBody};
 use super::dispatch::{self, Outcome};
 use super::events::EventSplitter;
+use super::response::{BodyChunk, ResponseBody};
+use super::response_time::ResponseTimes;
 use super::stage::{ClientRequest, Responding};
-use super::stream_pace::ResponseTimes;
 use super::{headers, passive_health};
 use crate::Router;
 use crate::fleet_view::routing_table::Repeat;
--- a/crates/data-plane/src/proxy/request.rs
+++ b/crates/data-plane/src/proxy/request.rs
@@ -1,9 +1,9 @@
 //! Handling of one client request, from its head to its response.
 
-use super::answer::{Failure, Rejection, ResponseBody};
 use super::dispatch::{self, Outcome};
 use super::headers;
 use super::relay;
+use super::response::{Failure, Rejection, ResponseBody};
 use super::stage::{Accepted, ClientRequest};
 use crate::Router;
 use crate::fleet_view::routing_table::{Table, Tenant, repeat};
--- a/crates/data-plane/src/proxy/stream_pace.rs
+++ b/crates/data-plane/src/proxy/response_time.rs
@@ -39,5 +39,5 @@
 }
 
 #[cfg(test)]
-#[path = "stream_pace_tests.rs"]
+#[path = "response_time_tests.rs"]
 mod tests;
--- a/crates/data-plane/src/proxy/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -4,11 +4,11 @@
 //! only be made from `Accepted`. `Dispatched` becomes `Accepted` again only with a proof that the engine has not run
 //! the request, or if the request may run twice; in the latter case the state records that it may have run.
 
-use super::answer::{self, Failure, Rejection, ResponseBody};
+use super::dispatch_load::DispatchLoad;
 use super::headers;
 use super::in_flight::InFlightGuard;
+use super::response::{self, Failure, Rejection, ResponseBody};
 use super::response_check::{NotExecuted, RelayableHead};
-use super::send_load::DispatchLoad;
 use crate::fleet_view::routing_table::{Repeat, Table, Tenant};
 use crate::load_balancer::prompt::Prompt;
 use crate::pool::connection::{NotSent, RespondingConnection};
@@ -150,7 +150,7 @@
             return Rejection::ShuttingDown.into_response();
         }
         router.counters.rejected.fetch_add(1, Ordering::Relaxed);
-        answer::retry_later()
+        response::retry_later()
     }
 }
 
--- a/crates/data-plane/tests/engines/main.rs
+++ b/crates/data-plane/tests/engines/main.rs
@@ -1,12 +1,12 @@
 //! Engines that misbehave: an invalid response is never relayed as a success, and no request runs twice.
 
-mod answers;
 mod draining;
 mod harness;
-mod idle;
-mod outdated;
-mod promises;
-mod silence;
+mod idle_connections;
+mod outdated_weights;
+mod rejections;
+mod responses;
+mod timeouts;
 
 use harness::{
     AfterResponse, Fleet, StubEngine, chunk, complete_stream, event, request, status, stream_head,
