--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -18,13 +18,13 @@
     pub rejected_at_end: AtomicU64,
     /// Requests that may have run at an engine and got no usable response.
     pub failed: AtomicU64,
-    /// Requests of `failed` that were still waiting for an engine when this router shut down.
+    /// Requests counted in `failed` that were still waiting for a response when this router shut down.
     pub failed_at_end: AtomicU64,
     /// Dispatches to engines whose weights are older than the target version.
     pub outdated_dispatches: AtomicU64,
     /// Dispatches to engines with outdated weights that were cancelled before the version bound.
     pub version_cutoffs: AtomicU64,
-    /// Dispatches that an engine rejected with status 421 (wrong instance or weight version).
+    /// Dispatches that an engine rejected with 421 Misdirected Request.
     pub version_mismatches: AtomicU64,
     /// Responses truncated by the engine.
     pub responses_broken_by_engine: AtomicU64,
@@ -32,7 +32,7 @@
     pub responses_past_deadline: AtomicU64,
     /// Responses whose client disconnected before the end.
     pub responses_abandoned: AtomicU64,
-    /// Times that the last link to a controller was lost.
+    /// Times that a controller was considered lost, after its link had been down for too long.
     pub controllers_lost: AtomicU64,
     /// Streams resumed at another engine after a break.
     pub resumed: AtomicU64,
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -18,7 +18,7 @@
 }
 
 fn write_counters(counters: &Counters, exposition: &mut Exposition<'_>) -> fmt::Result {
-    let counters: [(&str, &str, &AtomicU64); 17] = [
+    let rows: [(&str, &str, &AtomicU64); 17] = [
         ("requests", "Requests with a route and a service", &counters.requests),
         ("responses", "Responses of engines that have begun", &counters.responses),
         ("rejected", "Requests rejected before any engine ran them", &counters.rejected),
@@ -65,7 +65,7 @@
         ("responses_abandoned", "Responses that the client left", &counters.responses_abandoned),
         ("clock_restarts", "Controllers that were lost", &counters.controllers_lost),
     ];
-    for (name, help, counter) in counters {
+    for (name, help, counter) in rows {
         exposition.counter(name, help, counter.load(Ordering::Relaxed))?;
     }
     Ok(())
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -73,7 +73,7 @@
 pub struct IdleConnection {
     inner: EngineConnection,
     since: Instant,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// A connection that is checked out for one request.
@@ -92,7 +92,7 @@
 impl IdleConnection {
     /// Whether the engine has not closed it and its idle time limit has not passed.
     pub fn is_open(&self, now: Instant) -> bool {
-        now < self.until && !self.inner.sender.is_closed()
+        now < self.expires_at && !self.inner.sender.is_closed()
     }
 
     /// Whether the previous exchange is complete, so that a request can be sent.
@@ -274,7 +274,11 @@
         let now = Instant::now();
         *self.inner.idle_since.0.lock() = Some(now);
         let engine = self.inner.permit.0.clone();
-        engine.put_idle(IdleConnection { inner: self.inner, since: now, until: now + idle_limit });
+        engine.put_idle(IdleConnection {
+            inner: self.inner,
+            since: now,
+            expires_at: now + idle_limit,
+        });
     }
 }
 
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -176,8 +176,8 @@
         self.is_new && now < self.first_seen + constants::WARM_UP_PERIOD
     }
 
-    /// Records the latency of a response to a prefill-heavy request; returns the mean once the first few have been
-    /// recorded.
+    /// Records the latency of a response to a prefill-heavy request, if the engine has just started. Returns the mean
+    /// with the last of the first few responses, otherwise `None`.
     pub fn record_warm_up_latency(&self, latency: Duration) -> Option<Duration> {
         if !self.is_new {
             return None;
@@ -232,8 +232,9 @@
         work.suspected_idle_close.take()
     }
 
-    /// Records that it closed a connection after `idle_time`. Ignored for an engine that is not ready, which closes
-    /// its connections because it exits.
+    /// Records that it closed a connection after `idle_time`. Ignored if the connection was hardly idle, so that the
+    /// engine's failure is the likely cause, and for an engine that is not ready, which closes its connections
+    /// because it exits.
     pub fn suspect_idle_close(&self, idle_time: Duration) {
         if idle_time < constants::IDLE_TIMEOUT_MIN || self.state().state() != EngineState::Ready {
             return;
--- a/crates/data-plane/src/pool/idle_timeout_tests.rs
+++ b/crates/data-plane/src/pool/idle_timeout_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 #[test]
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -239,12 +239,12 @@
         let (head, body) = response.into_parts();
         let request = dispatched.request();
         let (engine, status) = (&self.choice.engine, head.status);
-        if head.headers.get(headers::ATTEMPT_ID) == Some(&request.attempt) {
+        if head.headers.get(headers::ATTEMPT_ID) == Some(&request.attempt_id) {
             let model = request.prompt.model.as_deref();
             passive_health::record_engine_report(&router.fleet_view, engine, model, &head.headers);
         }
         let sent = SentRequest {
-            attempt: &request.attempt,
+            attempt_id: &request.attempt_id,
             method: &request.method,
             repeat: request.repeat,
             first_on_connection: self.on_new_connection,
--- a/crates/data-plane/src/proxy/headers.rs
+++ b/crates/data-plane/src/proxy/headers.rs
@@ -11,7 +11,7 @@
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("x-attempt-id");
 /// The event after which a stream is to be resumed.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Set by an engine on every response that it made itself.
+/// The seal that an engine puts on its responses; a success without it is not relayed.
 pub const SERVER_SEAL: HeaderName = HeaderName::from_static("x-server-seal");
 /// Milliseconds until the caller's deadline.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
--- a/crates/data-plane/src/proxy/request.rs
+++ b/crates/data-plane/src/proxy/request.rs
@@ -35,7 +35,7 @@
     check_framing(&head)?;
     let route = find_route(&routing_table, &head)?;
     let tenant = find_tenant(&routing_table, &route, &head.headers)?;
-    let attempt = head.headers.get(headers::ATTEMPT_ID).cloned().ok_or(Rejection::BadRequest)?;
+    let attempt_id = head.headers.get(headers::ATTEMPT_ID).cloned().ok_or(Rejection::BadRequest)?;
     let timeout = headers::parse_deadline(&head.headers).ok_or(Rejection::BadRequest)?;
     let deadline = arrived + timeout.min(Duration::from_millis(route.timeout_ms));
     let body = read_body(body, routing_table.limits.max_body_bytes, deadline).await?;
@@ -59,13 +59,13 @@
         prompt,
         accepted_at: Instant::now(),
         deadline,
-        attempt,
+        attempt_id,
         method: head.method,
         uri: head.uri,
         headers: forwarded_headers,
         body,
         excluded_engines: Vec::new(),
-        sends: 0,
+        dispatches: 0,
         in_flight: router.in_flight.enter(router.is_shutting_down()),
     }))
 }
--- a/crates/data-plane/src/proxy/response_check.rs
+++ b/crates/data-plane/src/proxy/response_check.rs
@@ -59,7 +59,7 @@
 /// The properties of a dispatched request that its response is checked against.
 pub struct SentRequest<'a> {
     /// The client's id of this attempt.
-    pub attempt: &'a HeaderValue,
+    pub attempt_id: &'a HeaderValue,
     /// The method, which decides whether the response has a body.
     pub method: &'a Method,
     /// Whether the request may run more than once.
@@ -96,7 +96,7 @@
 /// Only a rejection may lack the id, on a connection where no other response can be due.
 fn matches_attempt(head: &Parts, sent: &SentRequest, not_executed: bool) -> bool {
     match head.headers.get(headers::ATTEMPT_ID) {
-        Some(id) => id == sent.attempt,
+        Some(id) => id == sent.attempt_id,
         None => not_executed && sent.first_on_connection,
     }
 }
--- a/crates/data-plane/src/proxy/response_check_tests.rs
+++ b/crates/data-plane/src/proxy/response_check_tests.rs
@@ -13,7 +13,7 @@
 
 fn verdict(head: Parts, repeat: Repeat) -> Verdict {
     let sent = SentRequest {
-        attempt: &HeaderValue::from_static("a"),
+        attempt_id: &HeaderValue::from_static("a"),
         method: &Method::POST,
         repeat,
         first_on_connection: false,
--- a/crates/data-plane/src/proxy/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -43,7 +43,7 @@
     /// The client's deadline or the route's time-out, whichever comes first.
     pub deadline: Instant,
     /// The client's id of this attempt.
-    pub attempt: HeaderValue,
+    pub attempt_id: HeaderValue,
     /// As sent by the client.
     pub method: http::Method,
     /// As sent by the client.
@@ -55,7 +55,7 @@
     /// Ids of engines to which it must not be dispatched again.
     pub excluded_engines: Vec<String>,
     /// Number of dispatches so far.
-    pub sends: u32,
+    pub dispatches: u32,
     /// Counts it as in flight until dropped, which is after the last byte of its response.
     pub in_flight: InFlightGuard,
 }
@@ -69,7 +69,7 @@
     /// Whether the route's attempts and the deadline allow one more dispatch.
     pub fn has_attempts_left(&self) -> bool {
         let in_time = Instant::now() + constants::DEADLINE_MARGIN * 2 < self.deadline;
-        in_time && self.sends < self.route.max_attempts
+        in_time && self.dispatches < self.route.max_attempts
     }
 
     /// Takes one retry from the budget; false if none is left or allowed.
@@ -127,7 +127,7 @@
     /// Marks the request as sent to an engine, which may run it from now on.
     pub fn dispatch(mut self, engine: &str) -> Dispatched {
         self.exclude(engine);
-        self.request.sends += 1;
+        self.request.dispatches += 1;
         Dispatched { request: self.request, may_have_run: self.may_have_run }
     }
 
@@ -163,7 +163,7 @@
     /// Undoes the dispatch, since no byte was sent: it does not count as an attempt, and the engine may be tried
     /// again.
     pub fn not_sent(mut self, _proof: NotSent) -> Accepted {
-        self.request.sends -= 1;
+        self.request.dispatches -= 1;
         self.request.excluded_engines.pop();
         Accepted { request: self.request, may_have_run: self.may_have_run }
     }
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum RouterError {
     /// the setting {0} is missing; a router needs it
-    ParamMissing(&'static str),
+    SettingMissing(&'static str),
     /// cannot listen on {0}: {1}
     Listen(std::net::SocketAddr, std::io::ErrorKind),
 }
@@ -25,8 +25,8 @@
 /// A required setting is missing, or a listening address cannot be bound. No task has been started then.
 pub async fn run(start: Start) -> Result<(), RouterError> {
     let Start { settings, log, mut stop, mut reread, metrics } = start;
-    let front = settings.front.ok_or(RouterError::ParamMissing("bindAddrs.frontHttp"))?;
-    let probe = settings.readiness.ok_or(RouterError::ParamMissing("bindAddrs.readiness"))?;
+    let front = settings.front.ok_or(RouterError::SettingMissing("bindAddrs.frontHttp"))?;
+    let probe = settings.readiness.ok_or(RouterError::SettingMissing("bindAddrs.readiness"))?;
     let listen = |address| {
         fleet_core::link::listen(address)
             .map_err(|e: std::io::Error| RouterError::Listen(address, e.kind()))
--- a/crates/data-plane/src/shutdown_tests.rs
+++ b/crates/data-plane/src/shutdown_tests.rs
@@ -6,23 +6,23 @@
 fn phase_never_moves_back_and_first_end_time_stays_in_force() {
     let shutdown = Shutdown::default();
     assert_eq!((shutdown.phase(), shutdown.ends_at()), (Phase::Serving, None));
-    let end = Instant::now() + Duration::from_secs(7);
-    shutdown.begin(end);
+    let exit_at = Instant::now() + Duration::from_secs(7);
+    shutdown.begin(exit_at);
     shutdown.advance(Phase::Terminating);
     shutdown.advance(Phase::Closing);
-    shutdown.begin(end + Duration::from_secs(7));
-    assert_eq!((shutdown.phase(), shutdown.ends_at()), (Phase::Terminating, Some(end)));
+    shutdown.begin(exit_at + Duration::from_secs(7));
+    assert_eq!((shutdown.phase(), shutdown.ends_at()), (Phase::Terminating, Some(exit_at)));
 }
 
 #[tokio::test(start_paused = true)]
 async fn reached_returns_in_its_phase_or_later_even_if_called_afterwards() {
     let shutdown = Shutdown::default();
-    let waiting = shutdown.reached(Phase::Closing);
-    tokio::pin!(waiting);
+    let reached = shutdown.reached(Phase::Closing);
+    tokio::pin!(reached);
     shutdown.begin(Instant::now());
-    let early = tokio::time::timeout(Duration::from_secs(1), &mut waiting).await;
+    let early = tokio::time::timeout(Duration::from_secs(1), &mut reached).await;
     assert!(early.is_err(), "returned while still draining");
     shutdown.advance(Phase::Terminating);
-    waiting.await;
+    reached.await;
     shutdown.reached(Phase::Closing).await;
 }
--- a/crates/data-plane/tests/engines/draining.rs
+++ b/crates/data-plane/tests/engines/draining.rs
@@ -63,7 +63,8 @@
     StubEngine::start("e1", |_, _| (Vec::new(), AfterResponse::KeepOpen)).await
 }
 
-/// Guards against lost responses: a router that shut down closed connections whose requests waited at an engine.
+/// Guards against requests that end without a response (soak's rule `Lost`): a router that shut down closed
+/// connections whose requests waited at an engine.
 #[tokio::test]
 async fn requests_waiting_at_an_engine_at_shutdown_get_a_502() {
     for path in ["/once/", "/twice/", "/on/", "/safe/"] {
@@ -85,7 +86,8 @@
     }
 }
 
-/// Guards against a lost response: one engine may have run the request, and no other engine has been found yet.
+/// Guards against a request that ends without a response (soak's rule `Lost`): one engine may have run it, and no
+/// other engine has been found yet.
 #[tokio::test]
 async fn repeatable_request_is_not_retried_while_terminating() {
     let signal = Arc::new(Notify::new());
@@ -106,7 +108,8 @@
     assert_eq!(status(&response), 502, "the request may have run: {response}");
 }
 
-/// Guards against a lost response: the connection to the engine is still being opened when the router terminates.
+/// Guards against a request that ends without a response (soak's rule `Lost`): the connection to its engine is still
+/// being opened when the router terminates.
 #[tokio::test]
 async fn request_waiting_for_a_connection_is_rejected_while_terminating() {
     let listener =
--- a/crates/data-plane/tests/engines/idle_connections.rs
+++ b/crates/data-plane/tests/engines/idle_connections.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-const fn ms(request_no: u64) -> Duration {
-    Duration::from_millis(request_no)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 async fn send_ok(fleet: &Fleet, path: &str) {
@@ -209,7 +209,7 @@
         while !response.ends_with(b"0\r\n\r\n") {
             let mut buffer = [0u8; 1024];
             let read = client.read(&mut buffer).await.unwrap();
-            assert_ne!(read, 0, "closed before the answer to {id}");
+            assert_ne!(read, 0, "closed before the response to {id}");
             response.extend_from_slice(&buffer[..read]);
         }
         assert!(String::from_utf8_lossy(&response).contains(id));
--- a/crates/data-plane/tests/engines/main.rs
+++ b/crates/data-plane/tests/engines/main.rs
@@ -95,9 +95,9 @@
     type Edit = fn(&mut fleet_core::wire::Engine);
     let cases: Vec<(&str, Edit, u64, bool)> = vec![
         ("ready", |_| {}, 0, true),
-        ("draining", |stub| stub.set_state(EngineState::Draining), 0, false),
-        ("deregistered", |stub| stub.set_state(EngineState::Deregistered), 0, false),
-        ("updating its weights", |stub| stub.update_seq = 1, 0, false),
+        ("draining", |engine| engine.set_state(EngineState::Draining), 0, false),
+        ("deregistered", |engine| engine.set_state(EngineState::Deregistered), 0, false),
+        ("updating its weights", |engine| engine.update_seq = 1, 0, false),
         ("outdated weights, within the bound", |_| {}, 3000, true),
         ("outdated weights, past the bound", |_| {}, 7500, false),
     ];
--- a/crates/data-plane/tests/engines/responses.rs
+++ b/crates/data-plane/tests/engines/responses.rs
@@ -67,8 +67,8 @@
             let stub = StubEngine::start("e1", script).await;
             let fleet = Fleet::start(&[&stub]).await;
             let response = fleet.send_raw_until_close(request("/once/", "").as_bytes()).await;
-            let proper = response.ends_with("0\r\n\r\n") || response.ends_with("123456789");
-            assert!(!proper, "looks complete: {response}");
+            let looks_complete = response.ends_with("0\r\n\r\n") || response.ends_with("123456789");
+            assert!(!looks_complete, "looks complete: {response}");
             assert_eq!(stub.received_count(), 1);
         }
     }
--- a/crates/data-plane/tests/engines/timeouts.rs
+++ b/crates/data-plane/tests/engines/timeouts.rs
@@ -135,7 +135,7 @@
 /// An unfinished connection attempt ends at the request's deadline; nothing is sent.
 #[tokio::test]
 async fn connection_attempt_ends_at_the_deadline() {
-    let (address, _held) = unreachable_address();
+    let (address, _sockets) = unreachable_address();
     let engine = StubEngine { id: "e1".into(), address, received: Default::default() };
     let fleet = Arc::new(Fleet::start(&[&engine]).await);
     let bytes = request("/once/", "").replace("X-Deadline-Ms: 15000", "X-Deadline-Ms: 200");
