--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -228,8 +228,8 @@
         }
     }
 
-    /// Attributes a failure on a reused connection to its idle time: connections that have been idle are then closed
-    /// too.
+    /// Attributes a failure on a reused connection to its idle time, unless that was too short, and closes all idle
+    /// connections to the engine, which may have closed them as well.
     fn uncertain_send_error(self) -> SendError {
         let Some(idle_time) =
             self.idle_time.filter(|idle_time| *idle_time >= constants::IDLE_TIMEOUT_MIN)
--- a/crates/data-plane/src/proxy/dispatch_load.rs
+++ b/crates/data-plane/src/proxy/dispatch_load.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The prompt has been prefilled: removes its prefill load and its KV transfer, only the running request still
+    /// Removes the prefill load and the KV transfer once the prompt has been prefilled; the running request still
     /// counts.
     pub fn finish_prefill(&mut self) {
         self.engine.work().unread -= std::mem::take(&mut self.pending_prefill);
--- a/crates/data-plane/tests/engines/harness.rs
+++ b/crates/data-plane/tests/engines/harness.rs
@@ -32,11 +32,11 @@
 pub enum AfterResponse {
     /// Reads the next request. After an empty response, this is an engine that never responds.
     KeepOpen,
-    /// Closes the connection orderly.
+    /// Closes the connection gracefully.
     Close,
     /// Waits for the signal, then sends the rest of the response.
     SendRestOn(Arc<tokio::sync::Notify>, Vec<u8>),
-    /// Closes the connection orderly at the signal.
+    /// Closes the connection gracefully at the signal.
     CloseOn(Arc<tokio::sync::Notify>),
     /// Resets the connection, as an engine does that has already closed it.
     Reset,
--- a/crates/data-plane/tests/engines/rejections.rs
+++ b/crates/data-plane/tests/engines/rejections.rs
@@ -1,4 +1,4 @@
-//! 408, 421, 429 and 503 imply that a request has not run: they are relayed only with proof.
+//! 408, 421, 429 and 503 imply that a request has not run: for a request that may run only once, they need proof.
 
 use super::harness::{AfterResponse, Fleet, StubEngine, complete_stream, sealed_head, status};
 
