--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to an engine: Idle, Leased, Streaming, then Reusable (idle again) or Spent (dropped).
+//! A connection to an engine and its states: [`IdleConnection`], [`PooledConnection`] (checked out for one request)
+//! and [`RespondingConnection`]; then it is idle again, or closed by being dropped.
 
 use super::EngineHandle;
 use super::idle_timeout::IdleTimeout;
@@ -13,90 +14,90 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The body of a request as it goes out: whole.
-pub type Sent = http_body_util::Full<bytes::Bytes>;
+/// The body of an outgoing request, in one piece.
+pub type RequestBody = http_body_util::Full<bytes::Bytes>;
 
 /// Why there is no connection to an engine.
 #[derive(Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ConnectionError {
-    /// no connection came up: {0}
+    /// could not connect: {0}
     Connect(fleet_core::transport::TransportError),
-    /// no connection is left for this router
+    /// all connections of this router's share are in use
     Full,
-    /// the engine closed it at once
+    /// the engine closed the connection at once
     Closed,
 }
 
-/// Proof that not a byte of a request went out.
+/// Proof that no byte of a request was sent.
 #[derive(Debug)]
 pub struct NotSent(());
 
-/// Why a send has no answer.
+/// Why sending a request gave no response.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum SendError {
-    /// the engine had closed before anything was sent
+    /// the engine had closed the connection before anything was sent
     NotSent(NotSent),
-    /// broke off after the request, or a part of it, was sent
+    /// the connection failed after the request, or a part of it, was sent
     Uncertain,
-    /// reset by an engine that had perhaps forgotten the idle connection; the request may have run
+    /// a reused idle connection was reset, perhaps closed by the engine before; the request may have run
     IdleReset,
 }
 
-/// Counts an open connection until dropped.
-struct Open(Arc<EngineHandle>);
+/// Counts an open connection to an engine until dropped.
+struct ConnectionPermit(Arc<EngineHandle>);
 
-impl Drop for Open {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Since when a connection is idle; none while it is used, and once we close it ourselves.
+/// Since when a connection is idle; `None` while it is in use, and once this router closes it.
 #[derive(Default)]
-struct Resting(parking_lot::Mutex<Option<Instant>>);
+struct IdleSince(parking_lot::Mutex<Option<Instant>>);
 
-struct Wire {
-    sender: SendRequest<Sent>,
-    open: Open,
-    resting: Arc<Resting>,
+struct EngineConnection {
+    sender: SendRequest<RequestBody>,
+    permit: ConnectionPermit,
+    idle_since: Arc<IdleSince>,
     idle_timeout: Arc<IdleTimeout>,
 }
 
-impl Drop for Wire {
+impl Drop for EngineConnection {
     fn drop(&mut self) {
-        self.resting.0.lock().take();
+        self.idle_since.0.lock().take();
     }
 }
 
-/// A connection that nobody uses.
-pub struct Idle {
-    wire: Wire,
+/// A connection that is kept open for reuse.
+pub struct IdleConnection {
+    inner: EngineConnection,
     since: Instant,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// A connection for one request.
+/// A connection that is checked out for one request.
 pub struct PooledConnection {
-    wire: Wire,
-    /// how long it was idle before; none for a new one
+    inner: EngineConnection,
+    /// How long it was idle before; `None` for a new connection.
     idle_time: Option<Duration>,
 }
 
-/// A connection that an answer has begun on.
-pub struct Streaming {
-    wire: Wire,
-    keep: Option<Duration>,
+/// A connection on which a response has begun.
+pub struct RespondingConnection {
+    inner: EngineConnection,
+    idle_limit: Option<Duration>,
 }
 
-impl Idle {
-    /// Neither closed by the engine nor idle for as long as it was to be kept.
+impl IdleConnection {
+    /// Whether the engine has not closed it and its idle time limit has not passed.
     pub fn is_open(&self, now: Instant) -> bool {
-        now < self.until && !self.wire.sender.is_closed()
+        now < self.expires_at && !self.inner.sender.is_closed()
     }
 
-    /// Whatever went over it before is over.
+    /// Whether the previous exchange is complete, so that a request can be sent.
     pub fn is_ready(&self) -> bool {
-        self.wire.sender.is_ready()
+        self.inner.sender.is_ready()
     }
 
     /// How long it has been idle.
@@ -105,165 +106,179 @@
     }
 
     fn checkout(self, now: Instant) -> PooledConnection {
-        self.wire.resting.0.lock().take();
-        PooledConnection { idle_time: Some(self.idle_time(now)), wire: self.wire }
+        self.inner.idle_since.0.lock().take();
+        PooledConnection { idle_time: Some(self.idle_time(now)), inner: self.inner }
     }
 }
 
-/// What a connection is wanted for.
-pub struct Checkout<'a> {
-    /// the service that the engine belongs to
+/// The requirements of a request on its connection.
+pub struct CheckoutOptions<'a> {
+    /// The service to which the engine belongs.
     pub service: &'a str,
-    /// connections to the engine that this router may have open
-    pub share: u32,
-    /// whether the request may run twice
+    /// How many connections this router may have open to the engine.
+    pub max_connections: u32,
+    /// Whether the request may run more than once; if not, a connection that was idle for long is not reused.
     pub repeatable: bool,
 }
 
-/// The idle connection that was used last, if it is fit, else a new one within the router's share.
+/// Checks out the most recently used idle connection if it is suitable, otherwise opens a new one within the router's
+/// share.
 ///
 /// # Errors
 ///
-/// No connection came up, or the router's share is used up; nothing was sent.
+/// The connection could not be opened, or the router's share is in use. Nothing was sent.
 pub async fn checkout(
     router: &Router,
     engine: &Arc<EngineHandle>,
-    checkout: Checkout<'_>,
+    options: CheckoutOptions<'_>,
 ) -> Result<PooledConnection, ConnectionError> {
     let now = Instant::now();
-    let idle_timeout = router.idle_timeouts.of(checkout.service);
-    let longest =
-        if checkout.repeatable { Duration::MAX } else { idle_timeout.safe_idle_time(now) };
-    if let Some(idle) = engine.checkout_idle(now, longest) {
+    let idle_timeout = router.idle_timeouts.of(options.service);
+    let max_idle_time =
+        if options.repeatable { Duration::MAX } else { idle_timeout.safe_idle_time(now) };
+    if let Some(idle) = engine.checkout_idle(now, max_idle_time) {
         return Ok(idle.checkout(now));
     }
-    connect(router, engine, idle_timeout, checkout.share).await
+    connect(router, engine, idle_timeout, options.max_connections).await
 }
 
 async fn connect(
     router: &Router,
     engine: &Arc<EngineHandle>,
     idle_timeout: Arc<IdleTimeout>,
-    share: u32,
+    max_connections: u32,
 ) -> Result<PooledConnection, ConnectionError> {
-    let open = open_within(engine, share).ok_or(ConnectionError::Full)?;
+    let permit = acquire_permit(engine, max_connections).ok_or(ConnectionError::Full)?;
     let io = fleet_core::link::connect(router.node.ip, engine.address, constants::CONNECT_TIMEOUT)
         .await
         .map_err(ConnectionError::Connect)?;
-    router.counters.connections.fetch_add(1, Ordering::Relaxed);
+    router.counters.engine_connections.fetch_add(1, Ordering::Relaxed);
     let (mut sender, connection) = hyper::client::conn::http1::Builder::new()
         .max_buf_size(constants::ENGINE_READ_BUFFER)
         .handshake(TokioIo::new(io))
         .await
         .map_err(|_| ConnectionError::Closed)?;
-    let resting = Arc::<Resting>::default();
-    tokio::spawn(drive(connection, resting.clone(), engine.clone()));
+    let idle_since = Arc::<IdleSince>::default();
+    tokio::spawn(drive_connection(connection, idle_since.clone(), engine.clone()));
     sender.ready().await.map_err(|_| ConnectionError::Closed)?;
-    Ok(PooledConnection { wire: Wire { sender, open, resting, idle_timeout }, idle_time: None })
+    Ok(PooledConnection {
+        inner: EngineConnection { sender, permit, idle_since, idle_timeout },
+        idle_time: None,
+    })
 }
 
-/// Counts one more connection; an idle one that is not fit gives way where there is no room.
-fn open_within(engine: &Arc<EngineHandle>, share: u32) -> Option<Open> {
+/// Counts one more connection. At the limit, closes the oldest idle connection to make room; `None` if there is none.
+fn acquire_permit(engine: &Arc<EngineHandle>, max_connections: u32) -> Option<ConnectionPermit> {
     loop {
-        let before = engine.open.fetch_add(1, Ordering::Relaxed);
-        let open = Open(engine.clone());
-        if before < share {
-            return Some(open);
+        let before = engine.open_connections.fetch_add(1, Ordering::Relaxed);
+        let permit = ConnectionPermit(engine.clone());
+        if before < max_connections {
+            return Some(permit);
         }
-        drop(open);
+        drop(permit);
         if !engine.drop_oldest_idle() {
             return None;
         }
     }
 }
 
-/// Moves the bytes, and notes an end that the engine made while nobody used the connection.
-async fn drive(
-    connection: Connection<TokioIo<TcpStream>, Sent>,
-    resting: Arc<Resting>,
+/// Drives the connection's I/O, and records if the engine closed it while it was idle.
+async fn drive_connection(
+    connection: Connection<TokioIo<TcpStream>, RequestBody>,
+    idle_since: Arc<IdleSince>,
     engine: Arc<EngineHandle>,
 ) {
     let _ = connection.await;
-    let since = resting.0.lock().take();
+    let since = idle_since.0.lock().take();
     if let Some(since) = since {
         engine.suspect_idle_close(since.elapsed());
     }
 }
 
 impl PooledConnection {
-    /// No request went out on it before.
+    /// Whether no request was sent on it before.
     pub fn is_new(&self) -> bool {
         self.idle_time.is_none()
     }
 
-    /// Gives the answer's head, or says whether the request may have been read.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// Says whether the engine may have read the request.
+    /// The error states whether the engine may have read the request.
     pub async fn send(
         mut self,
-        request: http::Request<Sent>,
-    ) -> Result<(Streaming, http::Response<Incoming>), SendError> {
-        if self.wire.sender.ready().await.is_err() {
+        request: http::Request<RequestBody>,
+    ) -> Result<(RespondingConnection, http::Response<Incoming>), SendError> {
+        if self.inner.sender.ready().await.is_err() {
             return Err(SendError::NotSent(NotSent(())));
         }
-        match self.wire.sender.try_send_request(request).await {
+        match self.inner.sender.try_send_request(request).await {
             Ok(response) => {
                 if let Some(idle_time) = self.idle_time {
-                    self.wire.idle_timeout.record_reuse(idle_time, Instant::now());
+                    self.inner.idle_timeout.record_reuse(idle_time, Instant::now());
                 }
-                let keep = keep_for(response.headers());
-                Ok((Streaming { wire: self.wire, keep }, response))
+                let idle_limit = keep_alive_limit(response.headers());
+                Ok((RespondingConnection { inner: self.inner, idle_limit }, response))
             }
             Err(mut error) => match error.take_message() {
                 Some(_unsent) => Err(SendError::NotSent(NotSent(()))),
-                None => Err(self.uncertain_end()),
+                None => Err(self.uncertain_send_error()),
             },
         }
     }
 
-    /// A break after an idle time is blamed on that time; all that were idle for longer are then dropped too.
-    fn uncertain_end(self) -> SendError {
+    /// Attributes a failure on a reused connection to its idle time, unless that was too short, and closes all idle
+    /// connections to the engine, which may have closed them as well.
+    fn uncertain_send_error(self) -> SendError {
         let Some(idle_time) =
             self.idle_time.filter(|idle_time| *idle_time >= constants::IDLE_TIMEOUT_MIN)
         else {
             return SendError::Uncertain;
         };
-        let engine = &self.wire.open.0;
+        let engine = &self.inner.permit.0;
         engine.suspect_idle_close(idle_time);
         engine.drop_all_idle();
         SendError::IdleReset
     }
 }
 
-/// How long the engine lets it idle; none if it closes.
-fn keep_for(h: &http::HeaderMap) -> Option<Duration> {
-    let text = |n: http::HeaderName| h.get(n).and_then(|v| v.to_str().ok()).unwrap_or("");
+/// How long the connection may be idle by the response headers, with a margin; `None` if the engine closes it.
+fn keep_alive_limit(headers: &http::HeaderMap) -> Option<Duration> {
+    let text =
+        |name: http::HeaderName| headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or("");
     let closes =
         text(http::header::CONNECTION).split(',').any(|t| t.trim().eq_ignore_ascii_case("close"));
     if closes {
         return None;
     }
-    let reported = h.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
-        v.split(',').find_map(|p| p.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
+    let timeout_s = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|value| {
+        value
+            .split(',')
+            .find_map(|param| param.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
     });
-    let Some(s) = reported else { return Some(constants::IDLE_CONNECTION_TIMEOUT) };
-    let keep = Duration::from_secs(s).mul_f64(0.6).min(constants::IDLE_CONNECTION_TIMEOUT);
-    (!keep.is_zero()).then_some(keep)
+    let Some(timeout_s) = timeout_s else { return Some(constants::IDLE_CONNECTION_TIMEOUT) };
+    let idle_limit =
+        Duration::from_secs(timeout_s).mul_f64(0.6).min(constants::IDLE_CONNECTION_TIMEOUT);
+    (!idle_limit.is_zero()).then_some(idle_limit)
 }
 
-impl Streaming {
-    /// The answer ended exactly: the connection may serve again. Dropping it instead spends it.
-    pub fn end(self) {
-        let Some(keep) = self.keep else { return };
-        if self.wire.sender.is_closed() {
+impl RespondingConnection {
+    /// Returns the connection to the pool, after a response whose end was verified. Dropping it instead closes the
+    /// connection.
+    pub fn release(self) {
+        let Some(idle_limit) = self.idle_limit else { return };
+        if self.inner.sender.is_closed() {
             return;
         }
         let now = Instant::now();
-        *self.wire.resting.0.lock() = Some(now);
-        let engine = self.wire.open.0.clone();
-        engine.put_idle(Idle { wire: self.wire, since: now, until: now + keep });
+        *self.inner.idle_since.0.lock() = Some(now);
+        let engine = self.inner.permit.0.clone();
+        engine.put_idle(IdleConnection {
+            inner: self.inner,
+            since: now,
+            expires_at: now + idle_limit,
+        });
     }
 }
 
--- a/crates/data-plane/src/pool/mod.rs
+++ b/crates/data-plane/src/pool/mod.rs
@@ -1,8 +1,9 @@
 //! Engines as a router uses them: load, ejection, and the connections to them.
 //!
-//! An [`EngineHandle`] lives as long as its engine is known; each owns its work and its idle connections under one lock,
-//! and no two are ever locked at once. A connection is checked out for one request ([`connection`]), and goes back once the
-//! response has ended where its end could be proven. [`idle_timeout`] learns how long engines keep idle connections.
+//! An [`EngineHandle`] exists as long as its engine is known. It keeps its load and its idle connections under one
+//! lock, and no two of these locks are held together. A connection is checked out for one request ([`connection`]),
+//! and returns to the pool after a response whose end could be verified. [`idle_timeout`] estimates how long engines
+//! keep idle connections.
 
 pub mod connection;
 pub mod engine;
@@ -14,25 +15,25 @@
 use fleet_core::wire::EngineState;
 use tokio::time::Instant;
 
-/// Closes connections that have been idle for long, and forgets engines long gone.
+/// Periodically closes connections whose idle time limit has passed, and removes engines that deregistered long ago.
 pub async fn run_idle_sweeper(router: std::sync::Arc<crate::Router>) {
     let mut deregistered = hashbrown::HashMap::<String, Instant>::new();
     loop {
         tokio::time::sleep(constants::IDLE_CONNECTION_TIMEOUT / 4).await;
         let now = Instant::now();
         let handles: Vec<_> = router.fleet_view.engines.read().values().cloned().collect();
-        for s in handles {
-            s.sweep(now);
-            if s.state().state() == EngineState::Deregistered {
-                deregistered.entry_ref(s.id.as_str()).or_insert(now);
+        for handle in handles {
+            handle.drop_expired_idle(now);
+            if handle.state().state() == EngineState::Deregistered {
+                deregistered.entry_ref(handle.id.as_str()).or_insert(now);
             }
         }
-        let old: Vec<String> = deregistered
+        let expired: Vec<String> = deregistered
             .extract_if(|_, at| now.duration_since(*at) > constants::DEPARTURE_RETENTION)
             .map(|(id, _)| id)
             .collect();
         let mut handles = router.fleet_view.engines.write();
-        for id in old {
+        for id in expired {
             handles.remove(&id);
         }
     }
