--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -1,7 +1,8 @@
-//! What a controller knows of the cluster, folded from changes, and pushed to routers as updates.
+//! A controller's view of the cluster: built from a log of changes, and pushed to routers as updates.
 //!
-//! Nothing here is on disk: the configuration, the target weights, the membership and the departures of engines are
-//! learned from the registers, engines from their heartbeats, and the ring from the index owner.
+//! None of it is stored on disk. The configuration, the target weights, the membership and the engines' departures are
+//! learned from the replicated registers, the engines from their heartbeats, and the invalidation ring from the index
+//! owner.
 
 mod engine_updates;
 
@@ -15,65 +16,66 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Changes that are retained for routers that lag behind; more come in a second only while a fleet starts.
+/// Number of changes retained for routers that lag behind. A fleet produces more than this per second only while it
+/// starts.
 const CHANGES_RETAINED: usize = 512;
 
-/// Something that this controller learned, and that routers may have to be sent.
+/// A change to the cluster state that routers may need to be sent.
 #[derive(Debug, Clone)]
 pub enum StateChange {
     /// A configuration was chosen.
     Config {
-        /// Its number.
+        /// Version of the configuration.
         version: u64,
-        /// Isolation generation of its shared prompt parts.
+        /// Isolation generation of its shared prompt prefixes.
         isolation: u64,
     },
-    /// New weights were named.
+    /// A new target version was set for a model's weights.
     Weights {
         /// Name of the model.
         model: String,
-        /// Version that engines are to have.
+        /// Target version that engines are to load.
         version: u64,
     },
-    /// Another membership is in force.
+    /// A new membership took effect.
     Membership(Membership),
-    /// An engine is known, or something of it has changed.
+    /// An engine was discovered, or its state changed.
     Engine(Engine),
-    /// The ring of invalidations has moved on.
+    /// The head of the invalidation ring advanced.
     Ring(RingHead),
-    /// This controller has begun to relay the ring.
+    /// This controller relays the ring up to this head.
     RingRelay(RingHead),
-    /// So many routers are alive.
+    /// The number of live routers changed.
     Routers(u32),
 }
 
-/// The newest configuration that is known to be chosen.
+/// The newest configuration known to be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConfigInForce {
-    /// Its number.
+    /// Version of the configuration.
     pub version: u64,
-    /// Isolation generation of its shared prompt parts.
+    /// Isolation generation of its shared prompt prefixes.
     pub isolation: u64,
 }
 
-/// All that this controller knows, folded from changes.
+/// The cluster as this controller knows it, built by applying changes in order.
 #[derive(Debug, Default)]
 pub struct ClusterState {
-    /// The configuration in force; none before the first.
+    /// The configuration in force; `None` until the first one is learned.
     pub config: Option<ConfigInForce>,
-    /// Versions named for the weights of each model, with the moments at which this controller learned of them.
+    /// Target versions by model, each with the time at which this controller learned of it.
     pub weights: BTreeMap<String, TargetVersions>,
     /// The membership in force.
     pub membership: Membership,
-    /// Engines by id; none is ready against a recorded departure.
+    /// Engines by ID. An engine whose departure is recorded is never listed as ready.
     pub engines: BTreeMap<String, Engine>,
-    /// Departures of engines that a majority has recorded.
+    /// Departures of engines that are known to be recorded by a majority.
     pub departures: Departures,
-    /// Where the ring of invalidations stands.
+    /// Head of the invalidation ring; `None` until the index owner has announced one.
     pub ring: Option<RingHead>,
-    /// Where the copy of the ring stands that this controller passes on; none while it relays nothing.
+    /// Head of the copy of the ring that this controller relays; `None` if it relays none.
     pub ring_relay: Option<RingHead>,
-    /// How many routers are alive.
+    /// Number of live routers.
     pub routers: u32,
 }
 
@@ -99,29 +101,30 @@
 }
 
 impl ClusterState {
-    /// Version of the configuration in force; 0 before the first.
+    /// Version of the configuration in force; 0 if none is known.
     pub fn config_version(&self) -> u64 {
         self.config.map_or(0, |config| config.version)
     }
 
-    /// All versions that engines of a model may lack, the oldest first: each has a bound of its own.
+    /// Target versions that engines of a model may still have to load, oldest first. The time limit of each is counted
+    /// from its own age.
     fn targets<'a>(&'a self, model: &'a str) -> impl Iterator<Item = TargetWeights> + 'a {
-        let named = self.weights.get(model).map_or(&[][..], TargetVersions::all);
-        named.iter().map(|target| TargetWeights {
+        let versions = self.weights.get(model).map_or(&[][..], TargetVersions::all);
+        versions.iter().map(|target| TargetWeights {
             model: model.to_owned(),
             version: target.version,
             age_ms: target.since.elapsed().as_millis() as u64,
         })
     }
 
-    /// The newest version that was named for a model's weights; 0 if none was.
+    /// The newest target version of a model's weights; 0 if none was set.
     pub fn target_version(&self, model: &str) -> u64 {
         let newest = self.weights.get(model).and_then(TargetVersions::newest);
         newest.map_or(0, |target| target.version)
     }
 
-    /// Everything, for a router that has nothing yet.
-    pub fn complete(&self) -> FleetUpdate {
+    /// An update with the complete state, for a router that has none.
+    pub fn full_update(&self) -> FleetUpdate {
         FleetUpdate {
             membership: Some(self.membership.clone()),
             config: self.config_version(),
@@ -134,7 +137,7 @@
         }
     }
 
-    /// The newest state of all that these changes touched.
+    /// An update with the current state of everything that the given changes touched.
     pub fn delta<'a>(&self, changes: impl Iterator<Item = &'a StateChange>) -> FleetUpdate {
         let mut update = FleetUpdate::default();
         for change in changes {
@@ -158,26 +161,26 @@
     }
 }
 
-/// The cluster state of one controller, with the newest changes to it.
+/// The cluster state of one controller together with its most recent changes.
 pub struct ClusterStateStore {
     log: parking_lot::Mutex<ChangeLog<ClusterState>>,
-    /// Number of changes so far.
+    /// Number of changes appended so far.
     position: watch::Sender<u64>,
 }
 
 impl ClusterStateStore {
-    /// A store that knows nothing.
+    /// Creates a store with an empty state and no changes.
     pub fn new() -> ClusterStateStore {
         let log = ChangeLog::new(ClusterState::default(), CHANGES_RETAINED);
         ClusterStateStore { log: parking_lot::Mutex::new(log), position: watch::channel(0).0 }
     }
 
-    /// Folds a change in, and wakes who follows the state.
+    /// Applies a change and notifies the subscribers.
     pub fn append(&self, change: StateChange) {
         self.append_locked(&mut self.log.lock(), change);
     }
 
-    /// Changes the state by what no router has to be sent, so that nobody is woken.
+    /// Modifies the state without recording a change: subscribers are not notified, and routers are sent nothing.
     pub fn amend(&self, change: impl FnOnce(&mut ClusterState)) {
         self.log.lock().amend(change);
     }
@@ -187,25 +190,25 @@
         self.position.send_replace(position);
     }
 
-    /// Reads the state. The lock is held meanwhile, so `read` must take no other one.
+    /// Reads the state. The lock is held while `read` runs, so `read` must not take another lock.
     pub fn read<T>(&self, read: impl FnOnce(&ClusterState) -> T) -> T {
         read(self.log.lock().view())
     }
 
-    /// Moves with each change.
+    /// A receiver of the current position, which advances with every change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.position.subscribe()
     }
 
-    /// Whether a router at `position` needs the complete state: it has nothing yet, or the changes since are no longer
-    /// retained.
+    /// Whether a router at `position` needs the complete state, because it has none or because the changes since then
+    /// are no longer retained.
     pub fn needs_complete_state(&self, position: Option<u64>) -> bool {
         let log = self.log.lock();
         position.is_none_or(|position| position != log.head() && log.since(position).is_none())
     }
 
-    /// What is new since `position`, and the position now: nothing if nothing is, and the complete state
-    /// where the changes since are no longer retained.
+    /// The current position and an update with everything that changed since `position`. The update is `None` if nothing
+    /// changed, and holds the complete state if the changes since then are no longer retained.
     pub fn update_since(&self, position: Option<u64>) -> (u64, Option<FleetUpdate>) {
         let log = self.log.lock();
         let head = log.head();
@@ -213,9 +216,9 @@
             Some(position) if position == head => None,
             Some(position) => Some(
                 log.since(position)
-                    .map_or_else(|| log.view().complete(), |changes| log.view().delta(changes)),
+                    .map_or_else(|| log.view().full_update(), |changes| log.view().delta(changes)),
             ),
-            None => Some(log.view().complete()),
+            None => Some(log.view().full_update()),
         };
         (head, update)
     }
--- a/crates/control-plane/src/cluster_state/engine_updates.rs
+++ b/crates/control-plane/src/cluster_state/engine_updates.rs
@@ -1,25 +1,25 @@
-//! Changes of what is known of an engine.
+//! Updates of single engines in the cluster state.
 //!
-//! Each is one step under the lock of the store: an engine that was read, changed and written back in two steps could undo
-//! a drain that came meanwhile.
+//! Each update reads, modifies and writes the engine under one acquisition of the store's lock. Otherwise the write could
+//! revert a drain that was recorded between the read and the write.
 
 use super::{ClusterState, ClusterStateStore, StateChange};
 use crate::engines::departures::{self, Departures};
 use fleet_core::wire::{DeparturesValue, Engine};
 
-/// What an update made of an engine.
+/// Result of merging an update into the known state of an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MergedEngine {
-    /// The engine as it is known now.
+    /// The engine after the merge.
     pub engine: Engine,
-    /// Whether the update was of a later call than any before.
+    /// Whether the update has a higher call number than any before it.
     pub is_newer: bool,
-    /// Whether it changed more than the number of the call.
+    /// Whether the update changed anything besides the call number.
     pub is_changed: bool,
 }
 
 impl ClusterStateStore {
-    /// Merges an update of an engine into what is known of it, in one step.
+    /// Atomically merges an update into the known state of an engine.
     pub fn merge_engine(&self, mut update: Engine) -> MergedEngine {
         let mut log = self.log.lock();
         log.amend(|state| state.departures.apply(&mut update));
@@ -35,7 +35,7 @@
         if is_changed {
             self.append_locked(&mut log, StateChange::Engine(engine.clone()));
         } else if is_newer {
-            // Routers need no update for a call number alone.
+            // A new call number alone need not be pushed to routers.
             log.amend(|state| {
                 state.engines.insert(engine.id.clone(), engine.clone());
             });
@@ -43,8 +43,8 @@
         MergedEngine { engine, is_newer, is_changed }
     }
 
-    /// Changes what is known of an engine, in one step, so that nothing that comes meanwhile is undone; the engine then, none
-    /// where it is unknown.
+    /// Atomically modifies the known state of an engine, so that no concurrent update is lost. Returns the engine after
+    /// the change, or `None` if it is unknown.
     pub fn change_engine(&self, id: &str, change: impl FnOnce(&mut Engine)) -> Option<Engine> {
         let mut log = self.log.lock();
         let mut engine = log.view().engines.get(id).cloned()?;
@@ -53,7 +53,7 @@
         Some(engine)
     }
 
-    /// Takes in the departures that a majority holds, and what follows for the engines that are known.
+    /// Replaces the known departures by those that a majority has recorded, and updates the engines concerned.
     pub fn learn_departures(&self, value: &DeparturesValue) {
         let mut log = self.log.lock();
         log.amend(|state| {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Reads or changes what is known of departures.
+    /// Gives `use_departures` exclusive access to the known departures; subscribers are not notified.
     pub fn with_departures<T>(&self, use_departures: impl FnOnce(&mut Departures) -> T) -> T {
         self.log.lock().amend(|state| use_departures(&mut state.departures))
     }
--- a/crates/control-plane/src/cluster_state_tests.rs
+++ b/crates/control-plane/src/cluster_state_tests.rs
@@ -8,13 +8,13 @@
     StateChange::Weights { model: "m".into(), version }
 }
 
-/// Versions and ages that an update tells of.
-fn told(update: &FleetUpdate) -> Vec<(u64, u64)> {
+/// Target versions in an update, with their ages in milliseconds.
+fn target_ages(update: &FleetUpdate) -> Vec<(u64, u64)> {
     update.weights.iter().map(|target| (target.version, target.age_ms)).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn routers_are_sent_every_version_with_its_own_age() {
+async fn updates_contain_every_target_version_with_its_own_age() {
     let store = ClusterStateStore::new();
     store.append(weights(2));
     tokio::time::advance(Duration::from_millis(4400)).await;
@@ -24,8 +24,8 @@
     let (_, complete) = store.update_since(None);
     let (_, delta) = store.update_since(Some(position));
     let expected = vec![(2, 4500), (3, 100)];
-    assert_eq!(complete.map(|update| told(&update)), Some(expected.clone()));
-    assert_eq!(delta.map(|update| told(&update)), Some(expected));
+    assert_eq!(complete.map(|update| target_ages(&update)), Some(expected.clone()));
+    assert_eq!(delta.map(|update| target_ages(&update)), Some(expected));
     assert_eq!(store.read(|state| state.target_version("m")), 3);
 }
 
@@ -35,29 +35,30 @@
     engine
 }
 
-fn drained_at(call: u64) -> DeparturesValue {
+fn drain_recorded_at_call(call: u64) -> DeparturesValue {
     let state = EngineState::Draining as i32;
     let departure = Departure { engine: "e1".into(), call, state, number: 1 };
     DeparturesValue { recorded: 1, departures: vec![departure] }
 }
 
-/// Routers take the state of a later call alone: a correction at the same call would not reach them.
+/// Routers accept an engine's state only with a higher call number, so a correction under the same call number would
+/// not reach them.
 #[test]
-fn a_departure_that_is_learned_late_corrects_the_engine_at_routers_too() {
+fn departure_learned_late_also_corrects_the_engine_at_routers() {
     let store = ClusterStateStore::new();
-    let late = engine(6, EngineState::Ready);
-    store.merge_engine(late.clone());
+    let ready_before_drain = engine(6, EngineState::Ready);
+    store.merge_engine(ready_before_drain.clone());
     let (position, _) = store.update_since(None);
-    store.learn_departures(&drained_at(7));
+    store.learn_departures(&drain_recorded_at_call(7));
     let (_, update) = store.update_since(Some(position));
     let corrected = update.unwrap().engines.remove(0);
-    let mut at_router = late;
+    let mut at_router = ready_before_drain;
     assert!(fleet_core::fleet::merge(&mut at_router, &corrected));
     assert_eq!(at_router.state(), EngineState::Draining);
 }
 
 #[test]
-fn a_change_of_an_engine_undoes_nothing_that_came_meanwhile() {
+fn changing_an_engine_does_not_revert_a_concurrent_update() {
     let store = ClusterStateStore::new();
     store.merge_engine(engine(6, EngineState::Ready));
     store.merge_engine(engine(7, EngineState::Draining));
@@ -70,10 +71,10 @@
 }
 
 #[test]
-fn a_drain_that_an_engine_ended_by_a_later_call_is_not_brought_back_by_its_record() {
+fn recorded_drain_does_not_override_a_later_ready_call() {
     let store = ClusterStateStore::new();
     store.merge_engine(engine(8, EngineState::Ready));
-    store.learn_departures(&drained_at(7));
+    store.learn_departures(&drain_recorded_at_call(7));
     assert_eq!(
         store.merge_engine(engine(9, EngineState::Ready)).engine.state(),
         EngineState::Ready
--- a/crates/control-plane/src/controller.rs
+++ b/crates/control-plane/src/controller.rs
@@ -1,4 +1,4 @@
-//! The areas of a controller and how they are wired: the only place that knows all of them.
+//! Composition root of a controller: builds its components and connects them. No other module depends on all of them.
 
 use crate::cluster_state::{ClusterStateStore, StateChange};
 use crate::config_distribution::{ConfigBodies, ConfigDistribution};
@@ -25,7 +25,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// The areas of one controller, wired. Each is built with those before it that it needs.
+/// The components of one controller. Each is constructed with the earlier ones that it depends on.
 pub struct Controller {
     process: Arc<Process>,
     links: Arc<PeerLinks>,
@@ -42,23 +42,23 @@
     view_sources: ViewSources,
 }
 
-/// What all other areas are built on.
-struct Foundation {
+/// Components that all others depend on.
+struct CoreComponents {
     process: Arc<Process>,
     transport: Arc<dyn Transport>,
     links: Arc<PeerLinks>,
     cluster_state: Arc<ClusterStateStore>,
     config_bodies: Arc<ConfigBodies>,
     consensus: Arc<Consensus>,
-    /// How long a former incarnation may have granted a lease for; none at the first start of all.
-    closed_for: Option<Duration>,
+    /// Longest time for which a lease granted by a former incarnation may still run; `None` at the very first start.
+    grant_block: Option<Duration>,
 }
 
-impl Foundation {
-    fn new(settings: Settings, log: slog::Logger, environment: Environment) -> Foundation {
+impl CoreComponents {
+    fn new(settings: Settings, log: slog::Logger, environment: Environment) -> CoreComponents {
         let Environment { transport, disk, state, first_start, seed } = environment;
         let node = Node::seeded(&settings, Role::Controller, seed);
-        let closed_for = (!first_start).then_some(settings.bounds.lease);
+        let grant_block = (!first_start).then_some(settings.bounds.lease);
         let process = Arc::new(Process::new(node, settings, log.clone()));
         let links = Arc::new(PeerLinks::new(process.clone(), transport.clone()));
         let cluster_state = Arc::new(ClusterStateStore::new());
@@ -71,34 +71,34 @@
             disk: MonitoredDisk::new(disk, log),
             state,
         }));
-        Foundation {
+        CoreComponents {
             process,
             transport,
             links,
             cluster_state,
             config_bodies,
             consensus,
-            closed_for,
+            grant_block,
         }
     }
 }
 
 impl Controller {
-    /// Builds all areas; nothing runs yet.
+    /// Builds all components without starting any task.
     pub(crate) fn new(
         settings: Settings,
         log: slog::Logger,
         environment: Environment,
     ) -> Arc<Controller> {
-        Controller::wire(Foundation::new(settings, log, environment))
+        Controller::wire(CoreComponents::new(settings, log, environment))
     }
 
-    fn wire(base: Foundation) -> Arc<Controller> {
+    fn wire(base: CoreComponents) -> Arc<Controller> {
         let process = || base.process.clone();
         let consensus = || base.consensus.clone();
         let cluster_state = || base.cluster_state.clone();
         let routers = Arc::new(Routers::default());
-        let leases = Arc::new(LeaseManager::new(process(), consensus(), base.closed_for));
+        let leases = Arc::new(LeaseManager::new(process(), consensus(), base.grant_block));
         let membership =
             MembershipManager::new(process(), consensus(), base.links.clone(), leases.clone());
         let registry = Arc::new(EngineRegistry::new(
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Puts the membership that is on the disk in force; the first start of all founds it.
+    /// Puts the stored membership into force. At the very first start, the initial membership is written first.
     pub(crate) async fn load_membership(&self, first_start: bool) {
         if first_start {
             let initial = membership::initial_membership(&self.process.settings());
@@ -160,7 +160,7 @@
         self.consensus.relink();
     }
 
-    /// Starts the tasks of all areas; they end when the set is dropped.
+    /// Spawns the tasks of all components; they are aborted when the returned set is dropped.
     pub(crate) fn spawn_tasks(&self, listener: Box<dyn Listener>) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
         let peer_service = Arc::new(PeerService::new(self.peer_service_parts()));
@@ -197,71 +197,71 @@
         }
     }
 
-    /// Puts settings that were read again in force.
+    /// Applies reloaded settings.
     pub(crate) fn reconfigure(&self, settings: Settings) {
         self.process.reconfigure(settings);
         self.consensus.relink();
     }
 
-    /// Ends in good order: releases its leases and keys, sends the others what they may not know of the engines, and
-    /// stays until the router of its machine has ended. Meanwhile it votes and passes calls on, and owns nothing. Each part
-    /// has a time-out.
+    /// Shuts down gracefully: releases its leases and register ownership, sends the other controllers any engine state
+    /// that they may lack, and waits until the router on the same machine has stopped. Until then it still votes and
+    /// forwards requests, but owns nothing. Each step has a timeout.
     ///
-    /// Whoever runs the machine starts a process again that has ended. A controller that ended at once would be back,
-    /// and its machine count as one that runs, while the router still drains.
+    /// The supervisor restarts a process that has exited. If the controller exited at once, it would be restarted, and
+    /// its machine would count as running while the router is still draining.
     pub(crate) async fn leave(&self) {
         fleet_core::log_event!(self.process.log, Event::Stopping);
         let grace = self.process.settings().bounds.grace;
-        let latest = Instant::now() + grace.saturating_sub(constants::CONTROLLER_GRACE_MARGIN);
+        let deadline = Instant::now() + grace.saturating_sub(constants::CONTROLLER_GRACE_MARGIN);
         self.process.begin_shutdown();
         let share_engines = self.registry.share_all();
         let release_keys = resignation::release_keys(&self.consensus);
         tokio::join!(self.leases.release_all(), release_keys, share_engines);
-        let router_gone = self.routers.wait_until_gone(self.process.node.ip);
-        let _ = tokio::time::timeout_at(latest, router_gone).await;
+        let router_stopped = self.routers.wait_until_disconnected(self.process.node.ip);
+        let _ = tokio::time::timeout_at(deadline, router_stopped).await;
     }
 
-    /// Closes the links to all other processes.
+    /// Closes the links to all other controllers for good.
     pub(crate) fn close_links(&self) {
         self.links.close();
     }
 
-    /// The process that it is.
+    /// State shared by all components: identity, settings, log and shutdown flag.
     pub(crate) fn process(&self) -> &Process {
         &self.process
     }
 
-    /// Who this controller is.
+    /// Identity of this controller.
     pub fn node(&self) -> &Node {
         &self.process.node
     }
 
-    /// Its part in the agreement.
+    /// This controller's consensus participant.
     pub fn consensus(&self) -> &Arc<Consensus> {
         &self.consensus
     }
 
-    /// The engines that it knows.
+    /// Registry of the engines known to this controller.
     pub fn registry(&self) -> &Arc<EngineRegistry> {
         &self.registry
     }
 
-    /// What it knows of the cluster.
+    /// This controller's view of the cluster.
     pub fn cluster_state(&self) -> &ClusterStateStore {
         &self.cluster_state
     }
 
-    /// The leases that it granted and holds.
+    /// Leases granted and held by this controller.
     pub fn leases(&self) -> &LeaseManager {
         &self.leases
     }
 
-    /// Its part in roll-outs.
+    /// Rollout of target weights; active only while this controller holds the rollout lease.
     pub fn rollout(&self) -> &Rollout {
         &self.rollout
     }
 
-    /// What an operator's view of the control plane is made of.
+    /// Sources of the operator's view of the control plane.
     pub fn view_sources(&self) -> &ViewSources {
         &self.view_sources
     }
--- a/crates/control-plane/src/engines/client.rs
+++ b/crates/control-plane/src/engines/client.rs
@@ -1,4 +1,4 @@
-//! Calls to engines and the store: one kept connection each.
+//! HTTP client for engines, the KV store and controllers, with one persistent connection per client.
 
 use fleet_core::constants;
 use fleet_core::transport::{Tcp, Transport, TransportError};
@@ -8,23 +8,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why a call got no answer.
+/// Why a call failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum CallError {
     /// cannot connect: {0}
     Connect(TransportError),
-    /// the call broke off
-    Broken,
-    /// no answer in time
+    /// connection lost during the call
+    ConnectionLost,
+    /// call timed out
     Timeout,
-    /// the answer can't be read
-    Unreadable,
+    /// the request is malformed, or the response is too large
+    InvalidMessage,
 }
 
 type Body = http_body_util::Full<bytes::Bytes>;
 
-/// Ends with a reset when dropped: bytes that have not got through by then never do, be it that the call
-/// was given up behind a cut or that the process was killed.
+/// An HTTP/1 connection that is reset when dropped. Bytes not delivered by then are discarded, so that a call abandoned
+/// during a network partition cannot arrive later. The same holds if the process is killed.
 struct Connection {
     sender: SendRequest<Body>,
     task: tokio::task::AbortHandle,
@@ -39,19 +39,19 @@
 impl Connection {
     async fn open(
         transport: &dyn Transport,
-        own: Ipv4Addr,
-        to: SocketAddr,
+        local: Ipv4Addr,
+        remote: SocketAddr,
     ) -> Result<Connection, CallError> {
         let io = transport
-            .connect(own, to, constants::CONNECT_TIMEOUT)
+            .connect(local, remote, constants::CONNECT_TIMEOUT)
             .await
             .map_err(CallError::Connect)?;
-        io.reset_on_close().map_err(|_| CallError::Broken)?;
+        io.reset_on_close().map_err(|_| CallError::ConnectionLost)?;
         let (sender, conn) = hyper::client::conn::http1::Builder::new()
             .max_buf_size(constants::ENGINE_CLIENT_BUFFER)
             .handshake(hyper_util::rt::TokioIo::new(io))
             .await
-            .map_err(|_| CallError::Broken)?;
+            .map_err(|_| CallError::ConnectionLost)?;
         let task = tokio::spawn(async move {
             let _ = conn.await;
         });
@@ -59,92 +59,100 @@
     }
 }
 
-/// A way to one engine or store, or to a controller; one call at a time.
+/// Client of one engine, KV store or controller; makes one call at a time.
 pub struct EngineClient {
     transport: Arc<dyn Transport>,
-    own: Ipv4Addr,
-    to: SocketAddr,
+    local: Ipv4Addr,
+    remote: SocketAddr,
     connection: Option<Connection>,
-    most: usize,
+    max_response_bytes: usize,
 }
 
-/// A whole answer.
+/// A complete response.
 pub struct Answer {
-    /// its status
+    /// HTTP status.
     pub status: http::StatusCode,
-    /// its body
+    /// Complete body.
     pub body: bytes::Bytes,
-    /// where a node that doesn't answer itself points to
+    /// The `Location` header, by which a node redirects to the one that can answer.
     pub location: Option<String>,
 }
 
 impl EngineClient {
-    /// To this address over TCP, from the machine's own; connects with the first call.
-    pub fn new(own: Ipv4Addr, to: SocketAddr) -> Self {
-        Self::over(Tcp::shared(), own, to)
+    /// Creates a client that connects over TCP from the address `local` to `remote`. It connects on the first call.
+    pub fn new(local: Ipv4Addr, remote: SocketAddr) -> Self {
+        Self::over(Tcp::shared(), local, remote)
     }
 
-    /// As `new`, over any transport.
-    pub fn over(transport: Arc<dyn Transport>, own: Ipv4Addr, to: SocketAddr) -> Self {
-        EngineClient { transport, own, to, connection: None, most: constants::FRAME_MAX }
+    /// As [`EngineClient::new`], over a given transport.
+    pub fn over(transport: Arc<dyn Transport>, local: Ipv4Addr, remote: SocketAddr) -> Self {
+        EngineClient {
+            transport,
+            local,
+            remote,
+            connection: None,
+            max_response_bytes: constants::FRAME_MAX,
+        }
     }
 
-    /// Reads no answer of more bytes than this.
-    pub fn with_most(self, most: usize) -> Self {
-        EngineClient { most, ..self }
+    /// Limits the size of response bodies. A larger one fails with [`CallError::InvalidMessage`].
+    pub fn with_most(self, max_response_bytes: usize) -> Self {
+        EngineClient { max_response_bytes, ..self }
     }
 
-    /// Has a connection ready for [`EngineClient::send`].
+    /// Opens a connection for [`EngineClient::send`], unless one is open already.
     ///
     /// # Errors
     ///
-    /// No connection came up within the limit; nothing was sent.
+    /// The connection could not be established in time; nothing was sent.
     pub async fn open(&mut self) -> Result<(), CallError> {
-        if let Some(mut c) = self.connection.take()
-            && c.sender.ready().await.is_ok()
+        if let Some(mut connection) = self.connection.take()
+            && connection.sender.ready().await.is_ok()
         {
-            self.connection = Some(c);
+            self.connection = Some(connection);
             return Ok(());
         }
-        self.connection = Some(Connection::open(&*self.transport, self.own, self.to).await?);
+        self.connection = Some(Connection::open(&*self.transport, self.local, self.remote).await?);
         Ok(())
     }
 
-    /// Calls over a connection that stands, or over a new one.
+    /// Makes a call over the open connection, or over a new one if there is none.
     ///
     /// # Errors
     ///
-    /// As [`EngineClient::send`], and where no connection came up.
+    /// As [`EngineClient::send`], or the connection could not be established.
     pub async fn call(
         &mut self,
         method: http::Method,
         path: &str,
         headers: &[(&str, &str)],
         body: Vec<u8>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Answer, CallError> {
-        let done = async {
+        let response = async {
             self.open().await?;
             self.exchange(method, path, headers, body).await
         };
-        tokio::time::timeout(limit, done).await.map_err(|_| CallError::Timeout)?
+        tokio::time::timeout(timeout, response).await.map_err(|_| CallError::Timeout)?
     }
 
-    /// Calls over the connection that was opened, and never over another: what was found to hold before
-    /// the call can't grow old while one comes up. Past the limit nothing of the call is sent any more.
+    /// Makes a call over the connection opened before, and never over a new one, so that a condition the caller checked
+    /// before the call cannot become outdated while a connection is established. After the timeout nothing more of the
+    /// call is sent.
     ///
     /// # Errors
     ///
-    /// The connection broke, the time was over, or the answer can't be read. The engine may have carried the call out.
+    /// The connection was lost, the call timed out, or the response is too large. The remote end may have executed the
+    /// call nevertheless.
     pub async fn send(
         &mut self,
         method: http::Method,
         path: &str,
         headers: &[(&str, &str)],
         body: Vec<u8>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Answer, CallError> {
-        tokio::time::timeout(limit, self.exchange(method, path, headers, body))
+        tokio::time::timeout(timeout, self.exchange(method, path, headers, body))
             .await
             .map_err(|_| CallError::Timeout)?
     }
@@ -156,27 +164,28 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
     ) -> Result<Answer, CallError> {
-        let mut connection = self.connection.take().ok_or(CallError::Broken)?;
+        let mut connection = self.connection.take().ok_or(CallError::ConnectionLost)?;
         let mut request = http::Request::builder()
             .method(method)
             .uri(path)
-            .header(http::header::HOST, self.to.to_string());
+            .header(http::header::HOST, self.remote.to_string());
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
         if !body.is_empty() {
             request = request.header(http::header::CONTENT_TYPE, "application/json");
         }
-        let request = request.body(Body::new(body.into())).map_err(|_| CallError::Unreadable)?;
-        let answer =
-            connection.sender.send_request(request).await.map_err(|_| CallError::Broken)?;
-        let status = answer.status();
-        let location = answer.headers().get(http::header::LOCATION);
-        let location = location.and_then(|v| v.to_str().ok()).map(str::to_owned);
-        let body = http_body_util::Limited::new(answer.into_body(), self.most);
+        let request =
+            request.body(Body::new(body.into())).map_err(|_| CallError::InvalidMessage)?;
+        let response =
+            connection.sender.send_request(request).await.map_err(|_| CallError::ConnectionLost)?;
+        let status = response.status();
+        let location = response.headers().get(http::header::LOCATION);
+        let location = location.and_then(|value| value.to_str().ok()).map(str::to_owned);
+        let body = http_body_util::Limited::new(response.into_body(), self.max_response_bytes);
         let body = body.collect().await.map_err(|error| {
-            let too_long = error.is::<http_body_util::LengthLimitError>();
-            if too_long { CallError::Unreadable } else { CallError::Broken }
+            let is_too_large = error.is::<http_body_util::LengthLimitError>();
+            if is_too_large { CallError::InvalidMessage } else { CallError::ConnectionLost }
         })?;
         self.connection = Some(connection);
         Ok(Answer { status, body: body.to_bytes(), location })
--- a/crates/control-plane/src/engines/client_tests.rs
+++ b/crates/control-plane/src/engines/client_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `outside`.
+//! Tests of `client`.
 
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -9,51 +9,51 @@
     (listener, client)
 }
 
-/// More than the buffers of both ends hold, so that some of it waits to be sent.
-const BODY: usize = 32 << 20;
-/// For a busy machine; nothing is measured by it.
-const LIMIT: Duration = Duration::from_secs(20);
+/// Larger than the buffers of both ends together, so that part of it remains unsent.
+const BODY_BYTES: usize = 32 << 20;
+/// Generous timeout for busy machines; no test depends on its length.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[tokio::test]
-async fn a_call_given_up_takes_back_what_was_not_sent() {
+async fn abandoned_call_resets_the_connection_and_discards_unsent_data() {
     let (listener, mut client) = listener().await;
-    let call = client.call(http::Method::POST, "/o", &[], vec![b'x'; BODY], LIMIT);
-    let begun = async {
+    let call = client.call(http::Method::POST, "/o", &[], vec![b'x'; BODY_BYTES], CALL_TIMEOUT);
+    let accepted = async {
         let (mut peer, _) = listener.accept().await.unwrap();
         peer.read_exact(&mut [0; 64]).await.unwrap();
         peer
     };
     let mut peer = tokio::select! {
         answer = call => panic!("answered: {}", answer.is_ok()),
-        peer = begun => peer,
+        peer = accepted => peer,
     };
-    let mut got = Vec::new();
-    let end = peer.read_to_end(&mut got).await;
-    assert_eq!(end.map_err(|e| e.kind()), Err(std::io::ErrorKind::ConnectionReset));
-    assert!(got.len() < BODY, "{} bytes came", got.len());
+    let mut received = Vec::new();
+    let end = peer.read_to_end(&mut received).await;
+    assert_eq!(end.map_err(|error| error.kind()), Err(std::io::ErrorKind::ConnectionReset));
+    assert!(received.len() < BODY_BYTES, "{} bytes were received", received.len());
 }
 
 #[tokio::test]
-async fn a_send_connects_nowhere() {
+async fn send_never_opens_a_connection() {
     let (listener, mut client) = listener().await;
-    let sent = client.send(http::Method::GET, "/o", &[], Vec::new(), LIMIT).await;
-    assert!(matches!(sent, Err(CallError::Broken)), "nothing was opened");
+    let sent = client.send(http::Method::GET, "/o", &[], Vec::new(), CALL_TIMEOUT).await;
+    assert!(matches!(sent, Err(CallError::ConnectionLost)), "no connection was opened");
     client.open().await.unwrap();
     drop(listener.accept().await.unwrap());
-    let sent = client.send(http::Method::GET, "/o", &[], Vec::new(), LIMIT).await;
-    assert!(sent.is_err(), "what was opened is closed");
+    let sent = client.send(http::Method::GET, "/o", &[], Vec::new(), CALL_TIMEOUT).await;
+    assert!(sent.is_err(), "the open connection was closed");
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
-    let more = tokio::time::timeout(Duration::ZERO, listener.accept()).await;
-    assert!(more.is_err(), "no second connection");
+    let second = tokio::time::timeout(Duration::ZERO, listener.accept()).await;
+    assert!(second.is_err(), "no second connection");
 }
 
 #[tokio::test]
-async fn an_answer_of_more_bytes_than_bounded_is_not_read() {
+async fn response_above_the_size_limit_is_rejected() {
     let (listener, client) = listener().await;
     let mut client = client.with_most(100);
-    let answer = async {
+    let server = async {
         let (mut peer, _) = listener.accept().await.unwrap();
         for length in [100, 101] {
             let mut request = [0; 512];
@@ -65,11 +65,11 @@
         peer
     };
     let calls = async {
-        let first = client.call(http::Method::GET, "/e", &[], Vec::new(), LIMIT).await;
-        assert_eq!(first.map(|a| a.body.len()).ok(), Some(100));
-        client.call(http::Method::GET, "/e", &[], Vec::new(), LIMIT).await
+        let first = client.call(http::Method::GET, "/e", &[], Vec::new(), CALL_TIMEOUT).await;
+        assert_eq!(first.map(|answer| answer.body.len()).ok(), Some(100));
+        client.call(http::Method::GET, "/e", &[], Vec::new(), CALL_TIMEOUT).await
     };
-    let (_peer, second) = tokio::join!(answer, calls);
-    let second = second.map(|a| a.body.len());
-    assert!(matches!(second, Err(CallError::Unreadable)), "{second:?}");
+    let (_peer, second) = tokio::join!(server, calls);
+    let second = second.map(|answer| answer.body.len());
+    assert!(matches!(second, Err(CallError::InvalidMessage)), "{second:?}");
 }
--- a/crates/control-plane/src/engines/departure_recorder.rs
+++ b/crates/control-plane/src/engines/departure_recorder.rs
@@ -1,4 +1,4 @@
-//! Has departures of engines recorded by a majority before they are acknowledged.
+//! Records departures of engines on a majority before they are acknowledged.
 
 use super::departures::Departures;
 use crate::cluster_state::ClusterStateStore;
@@ -7,28 +7,29 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-/// Records departures, one change at a time; those that come meanwhile go together with the next one.
+/// Records departures by one change at a time. Departures that arrive while a change is in progress are batched into the
+/// next one.
 pub struct DepartureRecorder {
     consensus: Arc<Consensus>,
     cluster_state: Arc<ClusterStateStore>,
-    /// Departures that wait for the next change. The lock is a leaf.
+    /// Departures waiting for the next change. No other lock is taken while this one is held.
     pending: Mutex<Vec<Departure>>,
-    /// Held by the change under way.
-    turn: tokio::sync::Mutex<()>,
+    /// Held while a change is in progress.
+    in_progress: tokio::sync::Mutex<()>,
 }
 
 impl DepartureRecorder {
-    /// A recorder with nothing to record.
+    /// Creates a recorder with no pending departures.
     pub fn new(consensus: Arc<Consensus>, cluster_state: Arc<ClusterStateStore>) -> Self {
-        let (pending, turn) = Default::default();
-        DepartureRecorder { consensus, cluster_state, pending, turn }
+        let (pending, in_progress) = Default::default();
+        DepartureRecorder { consensus, cluster_state, pending, in_progress }
     }
 
-    /// Has the departure of this engine recorded; whether it is certain that a majority holds it on disk.
+    /// Records the departure of an engine; true only if a majority is known to have it on disk.
     ///
     /// # Cancel safety
     ///
-    /// The departure may be recorded all the same.
+    /// The departure may be recorded even if the future is dropped.
     pub async fn record(&self, engine: &Engine) -> bool {
         if self.cluster_state.with_departures(|departures| departures.is_leaving(engine)) {
             return true;
@@ -40,7 +41,7 @@
             number: 0,
         };
         self.pending.lock().push(departure.clone());
-        let _turn = self.turn.lock().await;
+        let _in_progress = self.in_progress.lock().await;
         if self.cluster_state.with_departures(|departures| departures.is_recorded(&departure)) {
             return true;
         }
--- a/crates/control-plane/src/engines/departures.rs
+++ b/crates/control-plane/src/engines/departures.rs
@@ -1,8 +1,8 @@
-//! The departures of engines that are known to be recorded by a majority, and what follows from them.
+//! Departures of engines that are known to be recorded by a majority, and their effect on the engines' state.
 //!
-//! The records outlive every controller; the engines themselves are known from heartbeats alone. A heartbeat that
-//! was sent before its engine left may come after all controllers have been started anew: it is taken for what the
-//! record says.
+//! The records survive a restart of all controllers, whereas the engines themselves are known only from heartbeats. A
+//! heartbeat sent before its engine departed may arrive after such a restart. It must not make the engine ready again, so
+//! the recorded departure takes precedence.
 
 use crate::consensus::departure_records::covers;
 use fleet_core::constants;
@@ -11,61 +11,63 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Records up to a number, and when this controller learned of them.
+/// Time at which this controller learned of all records up to a number.
 #[derive(Debug)]
-struct Learned {
-    through: u64,
-    at: Instant,
+struct LearnedThrough {
+    number: u64,
+    learned_at: Instant,
 }
 
-/// Whether an engine has said by a later call than a drain's that it is ready.
+/// Whether an engine has reported itself ready in a later call than the recorded drain.
 pub fn is_resumed(engine: &Engine, departure: &Departure) -> bool {
     departure.state() == EngineState::Draining
         && engine.state() == EngineState::Ready
         && engine.call > departure.call
 }
 
-/// Recorded departures by engine.
+/// Departures of engines that are known to be recorded by a majority.
 #[derive(Debug, Default)]
 pub struct Departures {
     by_engine: HashMap<String, Departure>,
-    /// With rising numbers; at most `DEPARTURES_CAPACITY`, beyond which records become old later.
-    learned: VecDeque<Learned>,
-    /// Records with this number or a lower one have been known for `DEPARTURE_RETENTION`.
-    old_through: u64,
+    /// Ordered by number; at most `DEPARTURES_CAPACITY` entries. While it is full, new records are not entered, and
+    /// expire later.
+    learned: VecDeque<LearnedThrough>,
+    /// Records up to this number have been known for longer than `DEPARTURE_RETENTION`.
+    expired_through: u64,
 }
 
 impl Departures {
-    /// Takes in what a majority holds. A record that an engine has contradicted since by a later call is left out.
+    /// Replaces the known records by those of a majority, without those whose engine has resumed since.
     pub fn learn(&mut self, value: &DeparturesValue, is_resumed: impl Fn(&Departure) -> bool) {
         let kept = value.departures.iter().filter(|departure| !is_resumed(departure));
         self.by_engine =
             kept.map(|departure| (departure.engine.clone(), departure.clone())).collect();
-        let known = self.learned.back().map_or(self.old_through, |newest| newest.through);
+        let known = self.learned.back().map_or(self.expired_through, |newest| newest.number);
         if value.recorded > known && self.learned.len() < constants::DEPARTURES_CAPACITY {
-            self.learned.push_back(Learned { through: value.recorded, at: Instant::now() });
+            self.learned
+                .push_back(LearnedThrough { number: value.recorded, learned_at: Instant::now() });
         }
     }
 
-    /// Takes in a departure that was recorded just now; its number comes with the next value.
+    /// Adds a departure that was just recorded. Its record number becomes known with the next call of `learn`.
     pub fn add(&mut self, departure: Departure) {
         self.by_engine.insert(departure.engine.clone(), departure);
     }
 
-    /// Whether a departure is recorded: no call of its engine up to that one can undo it.
+    /// Whether a departure is recorded, so that no call of its engine up to that one can revert it.
     pub fn is_recorded(&self, departure: &Departure) -> bool {
         let record = self.by_engine.get(&departure.engine);
         record.is_some_and(|record| covers(record, departure))
     }
 
-    /// Whether an engine is known to leave in this way, whichever call said so first.
+    /// Whether this or a stronger departure of the engine is recorded, whichever call reported it first.
     pub fn is_leaving(&self, engine: &Engine) -> bool {
         let record = self.by_engine.get(&engine.id);
         record.is_some_and(|record| record.state >= engine.state)
     }
 
-    /// Makes of an update from before a departure what it would be after it. An engine that says by a later call that
-    /// it is ready does not leave any more, unless it was deregistered.
+    /// Applies the recorded departure to an update that was sent before it. If the engine has reported itself ready in a
+    /// later call, its record is dropped instead, unless it was deregistered.
     pub fn apply(&mut self, update: &mut Engine) {
         let Some(record) = self.by_engine.get(&update.id) else { return };
         let is_final = record.state() == EngineState::Deregistered;
@@ -77,13 +79,14 @@
         }
     }
 
-    /// The records that may be forgotten, up to this number.
+    /// The number up to which records have expired and may be deleted.
     pub fn forget_through(&mut self) -> u64 {
-        let is_old = |learned: &Learned| learned.at.elapsed() > constants::DEPARTURE_RETENTION;
-        while let Some(learned) = self.learned.pop_front_if(|learned| is_old(learned)) {
-            self.old_through = learned.through;
+        let is_expired =
+            |entry: &LearnedThrough| entry.learned_at.elapsed() > constants::DEPARTURE_RETENTION;
+        while let Some(entry) = self.learned.pop_front_if(|entry| is_expired(entry)) {
+            self.expired_through = entry.number;
         }
-        self.old_through
+        self.expired_through
     }
 }
 
--- a/crates/control-plane/src/engines/departures_tests.rs
+++ b/crates/control-plane/src/engines/departures_tests.rs
@@ -20,7 +20,7 @@
     departures
 }
 
-/// What becomes of an update of an engine whose departure is recorded.
+/// Call number and state of an engine's update after the recorded departure was applied to it.
 fn applied(departures: &mut Departures, call: u64, state: EngineState) -> (u64, EngineState) {
     let mut update = engine(call, state);
     departures.apply(&mut update);
@@ -28,17 +28,17 @@
 }
 
 #[test]
-fn a_heartbeat_from_before_a_recorded_drain_is_taken_for_the_drain() {
+fn heartbeat_sent_before_a_recorded_drain_is_applied_as_draining() {
     use EngineState::{Draining, Ready};
     let mut departures = learned(7, Draining);
     assert_eq!(applied(&mut departures, 6, Ready), (7, Draining));
     assert_eq!(applied(&mut departures, 8, Draining), (8, Draining));
-    assert_eq!(applied(&mut departures, 9, Ready), (9, Ready), "a later call may end the drain");
-    assert!(!departures.is_leaving(&engine(10, Draining)), "the next drain is recorded anew");
+    assert_eq!(applied(&mut departures, 9, Ready), (9, Ready), "a later call ends the drain");
+    assert!(!departures.is_leaving(&engine(10, Draining)), "the next drain needs a new record");
 }
 
 #[test]
-fn nothing_comes_after_a_recorded_deregistration() {
+fn recorded_deregistration_is_final() {
     use EngineState::{Deregistered, Draining, Ready};
     let mut departures = learned(1, Deregistered);
     for (call, state) in [(0, Ready), (5, Ready), (6, Draining)] {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_drain_that_goes_on_needs_no_record_of_each_call_and_the_deregistration_one_more() {
+fn continued_drain_needs_no_new_record_but_deregistration_does() {
     let departures = learned(7, EngineState::Draining);
     assert!(departures.is_leaving(&engine(8, EngineState::Draining)));
     assert!(!departures.is_leaving(&engine(9, EngineState::Deregistered)));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_drain_that_the_engine_has_ended_since_is_not_learned_again() {
+fn drain_that_the_engine_has_ended_is_not_learned_again() {
     let mut departures = Departures::default();
     let record = departure(7, EngineState::Draining);
     let value = DeparturesValue { recorded: 1, departures: vec![record] };
@@ -66,17 +66,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn records_may_be_forgotten_once_they_have_been_known_for_the_retention() {
+async fn records_expire_once_they_have_been_known_for_the_retention_period() {
     let mut departures = Departures::default();
     let value = |recorded| DeparturesValue { recorded, departures: Vec::new() };
     departures.learn(&value(4), |_| false);
     tokio::time::advance(DEPARTURE_RETENTION).await;
     departures.learn(&value(4), |_| false);
     departures.learn(&value(6), |_| false);
-    assert_eq!(departures.forget_through(), 0, "not yet for longer than that");
+    assert_eq!(departures.forget_through(), 0, "not yet longer than the retention period");
     tokio::time::advance(Duration::from_millis(1)).await;
-    assert_eq!(departures.forget_through(), 4, "later ones are younger");
+    assert_eq!(departures.forget_through(), 4, "later records have not expired");
     tokio::time::advance(DEPARTURE_RETENTION).await;
     assert_eq!(departures.forget_through(), 6);
-    assert_eq!(departures.forget_through(), 6, "it stays");
+    assert_eq!(departures.forget_through(), 6, "the result does not decrease");
 }
--- a/crates/control-plane/src/engines/mod.rs
+++ b/crates/control-plane/src/engines/mod.rs
@@ -1,9 +1,9 @@
-//! The engines: who they are, and calls to them.
+//! Registry of the engines, and HTTP calls to them.
 //!
-//! The [`registry`] is rebuilt from heartbeats and never stored. Routine heartbeats reach the other controllers in batches.
-//! A drain and a deregistration are acknowledged once a majority has them, in memory and on disk: [`departure_recorder`] has
-//! them recorded, and [`departures`] is what is known to be recorded. [`client`] carries orders and reports, each with
-//! a limit after which its connection is reset.
+//! The [`registry`] is rebuilt from heartbeats and never stored. Routine heartbeats are sent to the other controllers in
+//! batches. A drain or a deregistration is acknowledged only once a majority has it both in memory and on disk:
+//! [`departure_recorder`] records it, and [`departures`] holds the records known to this controller. [`client`] sends
+//! commands and reads reports; a call that exceeds its timeout resets its connection.
 
 pub mod client;
 pub mod departure_recorder;
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -1,8 +1,8 @@
-//! The engines by instance, rebuilt from their heartbeats after each start.
+//! Registry of engine instances, rebuilt from their heartbeats after each start.
 //!
-//! The highest call number of an instance wins, and deregistration is final. A routine heartbeat reaches the other
-//! controllers in batches; that an engine drains or is deregistered is acknowledged only once a majority has it, in memory for
-//! the routers' sake and on disk for the time after a restart of all.
+//! The highest call number of an instance wins, and deregistration is final. Routine heartbeats are sent to the other
+//! controllers in batches. A drain or a deregistration is acknowledged only once a majority has it: in memory, so that
+//! routers learn of it, and on disk, so that it survives a restart of all controllers.
 
 use super::departure_recorder::DepartureRecorder;
 use crate::cluster_state::ClusterStateStore;
@@ -20,17 +20,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Who reported an engine's state to this controller.
+/// Sender of a heartbeat that this controller received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The engine itself: the other controllers have to hear of it.
+    /// The engine itself; the heartbeat has to be shared with the other controllers.
     Engine,
-    /// Another controller, which notifies the others itself.
+    /// Another controller, which shares the heartbeat with the others itself.
     Controller,
 }
 
-/// When engines sent their last heartbeat, and what the other controllers have yet to be sent. The engines themselves are part
-/// of the cluster state. Its locks are leaves.
+/// Tracks the engines' heartbeats and shares them with the other controllers. The engines themselves are stored in the
+/// cluster state. No other lock is taken while one of its locks is held.
 pub struct EngineRegistry {
     process: Arc<Process>,
     consensus: Arc<Consensus>,
@@ -38,12 +38,12 @@
     cluster_state: Arc<ClusterStateStore>,
     departures: DepartureRecorder,
     last_heartbeat: Mutex<HashMap<String, Instant>>,
-    /// Engines that go with the next batch.
+    /// Engines to send with the next batch, by ID.
     outbox: Mutex<BTreeMap<String, Engine>>,
 }
 
 impl EngineRegistry {
-    /// A registry without an engine.
+    /// Creates an empty registry.
     pub fn new(
         process: Arc<Process>,
         consensus: Arc<Consensus>,
@@ -61,17 +61,17 @@
         }
     }
 
-    /// The agreement that this registry replicates through.
+    /// The consensus through which departures are recorded.
     pub fn consensus(&self) -> &Arc<Consensus> {
         &self.consensus
     }
 
-    /// What is known of an engine.
+    /// The known state of an engine; `None` if it is unknown.
     pub fn get(&self, id: &str) -> Option<Engine> {
         self.cluster_state.read(|state| state.engines.get(id).cloned())
     }
 
-    /// Takes in the state of an engine; gives what is known of it now.
+    /// Merges a heartbeat into the known state of its engine; returns the merged state.
     pub fn record_heartbeat(&self, update: Engine, source: HeartbeatSource) -> Engine {
         let merged = self.cluster_state.merge_engine(update);
         if merged.is_newer {
@@ -95,8 +95,9 @@
         fleet_core::log_event!(self.process.log, event, "id" => &engine.id, "at" => &engine.address);
     }
 
-    /// What another controller is sent when a link comes up. An engine whose heartbeats are missed here may have
-    /// announced its end to others: only its own next heartbeat proves that it is still ready.
+    /// Engines to send to another controller when a link comes up. A ready engine that misses its heartbeats here is left
+    /// out, because it may have announced its departure to other controllers: only its own next heartbeat shows that it
+    /// is still ready.
     pub fn engines_to_share(&self) -> Vec<Engine> {
         let is_shareable =
             |engine: &&Engine| !engine.heartbeat_missed || engine.state() != EngineState::Ready;
@@ -104,7 +105,7 @@
             .read(|state| state.engines.values().filter(is_shareable).cloned().collect())
     }
 
-    /// Tells a majority that an engine leaves, and has it recorded there; whether both are certain now.
+    /// Replicates a departure to a majority and has it recorded on disk there; true only if both are confirmed.
     pub async fn record_departure(&self, engine: Engine) -> bool {
         let recording = self.departures.record(&engine);
         let (is_recorded, is_replicated) =
@@ -112,7 +113,7 @@
         is_recorded && is_replicated
     }
 
-    /// Sends an engine's state to the other voters at once; whether a majority has it now.
+    /// Sends an engine's state to the other voters immediately; true if a majority has confirmed it.
     pub async fn replicate_now(&self, engine: Engine) -> bool {
         self.outbox.lock().remove(&engine.id);
         let membership = self.consensus.membership();
@@ -120,13 +121,13 @@
         let is_voter = membership.members.iter().any(|member| member.addr() == own_ip);
         let body =
             Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine], request_all: false });
-        let is_taken = |answer| matches!(answer, Body::EngineHeartbeats(_));
+        let is_confirmed = |answer| matches!(answer, Body::EngineHeartbeats(_));
         let timeout = constants::HEARTBEAT_SHARE_TIMEOUT;
-        self.consensus.majority_agrees(&membership, timeout, body, is_voter, is_taken).await
+        self.consensus.majority_agrees(&membership, timeout, body, is_voter, is_confirmed).await
     }
 
-    /// Before this controller ends: sends all that it knows to the others, since some of it may have been sent to
-    /// it and one other only. Returns once they have it or the time for it is over.
+    /// Sends all shareable engines to the other controllers before this one shuts down, since some of their state may be
+    /// held by this controller and just one other. Returns once they have confirmed it or the timeout has passed.
     pub async fn share_all(&self) {
         let heartbeats = EngineHeartbeats { engines: self.engines_to_share(), request_all: false };
         let calls = self.links.all().into_iter().map(|(_, link)| {
@@ -136,16 +137,17 @@
         futures_util::future::join_all(calls).await;
     }
 
-    /// Exchanges all engines with a controller whose link has come up.
+    /// Exchanges the known engines with a controller whose link has just come up.
     async fn exchange_all(&self, link: Arc<Link>) {
         let heartbeats = EngineHeartbeats { engines: self.engines_to_share(), request_all: true };
-        let Some(answer) = share(&link, heartbeats).await else { return };
-        for engine in answer.engines {
+        let Some(response) = share(&link, heartbeats).await else { return };
+        for engine in response.engines {
             self.record_heartbeat(engine, HeartbeatSource::Controller);
         }
     }
 
-    /// Marks engines whose heartbeats are missed, and forgets those that were deregistered long ago.
+    /// Marks engines that missed their heartbeats, and removes engines whose deregistration has passed its retention
+    /// period.
     fn check_heartbeats(&self) {
         let timeout = self.process.settings().heartbeat.mul_f64(constants::MISSED_HEARTBEATS);
         let now = Instant::now();
@@ -154,14 +156,14 @@
         for engine in engines {
             let age = now - *self.last_heartbeat.lock().entry_ref(&engine.id).or_insert(now);
             if engine.state() == EngineState::Deregistered {
-                self.forget_if_old(&engine.id, age);
+                self.remove_if_expired(&engine.id, age);
             } else {
-                self.mark_missed(&engine, age > timeout);
+                self.set_heartbeat_missed(&engine, age > timeout);
             }
         }
     }
 
-    fn forget_if_old(&self, id: &str, age: Duration) {
+    fn remove_if_expired(&self, id: &str, age: Duration) {
         if age > constants::DEPARTURE_RETENTION {
             self.last_heartbeat.lock().remove(id);
             self.cluster_state.amend(|state| {
@@ -170,7 +172,7 @@
         }
     }
 
-    fn mark_missed(&self, engine: &Engine, is_missed: bool) {
+    fn set_heartbeat_missed(&self, engine: &Engine, is_missed: bool) {
         if is_missed == engine.heartbeat_missed {
             return;
         }
@@ -181,7 +183,7 @@
     }
 }
 
-/// Sends engines to another controller; its answer, if it took them in time.
+/// Sends engines to another controller; returns its response, or `None` if it did not confirm in time.
 async fn share(link: &Link, heartbeats: EngineHeartbeats) -> Option<EngineHeartbeats> {
     let body = Body::EngineHeartbeats(heartbeats);
     match link.call(body, constants::HEARTBEAT_SHARE_TIMEOUT).await {
@@ -190,20 +192,20 @@
     }
 }
 
-/// Sends routine heartbeats to the other controllers in batches; with one whose link has come up, all engines are
-/// exchanged.
+/// Sends routine heartbeats to the other controllers in batches, and exchanges the known engines with a controller whose
+/// link has come up.
 pub async fn run_heartbeat_sharing(registry: Arc<EngineRegistry>) {
-    let mut up = HashSet::new();
+    let mut connected = HashSet::new();
     loop {
         tokio::time::sleep(constants::HEARTBEAT_SHARE_INTERVAL).await;
         let outbox = std::mem::take(&mut *registry.outbox.lock());
         let engines: Vec<Engine> = outbox.into_values().collect();
         let links = registry.links.all();
-        up.retain(|ip| links.iter().any(|(of, link)| of == ip && link.is_up()));
+        connected.retain(|ip| links.iter().any(|(peer_ip, link)| peer_ip == ip && link.is_up()));
         for (ip, link) in links {
-            if link.is_up() && up.insert(ip) {
+            if link.is_up() && connected.insert(ip) {
                 let registry = registry.clone();
-                // ends with the time-out of its call
+                // The task ends at the latest when its call times out.
                 tokio::spawn(async move { registry.exchange_all(link).await });
             } else if !engines.is_empty() {
                 let heartbeats = EngineHeartbeats { engines: engines.clone(), request_all: false };
@@ -213,7 +215,7 @@
     }
 }
 
-/// Watches the engines' heartbeats.
+/// Checks periodically for missed heartbeats and expired deregistrations.
 pub async fn run_failure_detection(registry: Arc<EngineRegistry>) {
     loop {
         tokio::time::sleep(constants::ANTI_ENTROPY_INTERVAL).await;
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -1,135 +1,151 @@
-//! Duty leases as pure state: what a member grants and what a node holds. No clock, task or message is in
-//! here; whoever drives it passes the time in.
+//! Rules of leases as pure state machines, for the voter that grants a lease and for the node that holds it. There is no
+//! I/O, clock or task in this module: the caller passes in the current time.
 
 use fleet_core::constants;
 use fleet_core::wire::{LeaseRequest, RaiseId};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How a lease is granted.
+/// Rules that a lease is granted by.
 #[derive(Debug, Clone, Copy)]
 pub struct LeasePolicy {
-    /// length of the lease
+    /// Duration of the lease.
     pub lease: Duration,
-    /// its holder gives orders to engines, which must never come from two nodes within one lease
+    /// Whether the holder commands engines. Such commands must never come from two nodes within one lease duration.
     pub commands_engines: bool,
 }
 
 impl LeasePolicy {
-    /// What the holder leaves unused at the end.
+    /// Time at the end of the lease in which the holder must not act.
     pub fn margin(&self) -> Duration {
         self.lease.mul_f64(constants::LEASE_MARGIN)
     }
 
-    /// What the holder uses, counted from before it asked.
+    /// Time in which the holder may act, measured from before it sent the request.
     pub fn usable(&self) -> Duration {
         self.lease - self.margin()
     }
 }
 
-/// A lease that one incarnation was granted.
+/// A grant of a lease to one incarnation of a node.
 struct Grant {
     node: String,
     incarnation: u64,
-    /// of the newest message that came
+    /// Sequence number of the newest message received from this incarnation.
     number: u64,
     until: Instant,
 }
 
-/// A grant that has not ended.
+/// A grant that has not expired.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunningGrant {
-    /// Name of the node that has it.
+    /// Name of the node that it was granted to.
     pub node: String,
-    /// When it ends.
+    /// Time at which it expires.
     pub until: Instant,
 }
 
-/// What a member granted. After a restart, and after it became a voter, it grants no lease that gives
-/// orders for a whole lease: it may have granted one that it no longer knows, or its predecessor may.
+/// The grants of one voter, kept in memory. After a restart, and after becoming a voter, it grants no lease whose holder
+/// commands engines until a full lease duration has passed, because it or its predecessor may have granted one that it
+/// no longer knows.
 #[derive(Default)]
 pub struct Grantor {
-    table: hashbrown::HashMap<String, Vec<Grant>>,
-    closed_until: Option<Instant>,
+    grants_by_lease: hashbrown::HashMap<String, Vec<Grant>>,
+    blocked_until: Option<Instant>,
 }
 
 impl Grantor {
-    /// Of a member whose former grants, if there were any, have ended by then.
-    pub fn new(closed_until: Option<Instant>) -> Self {
-        Grantor { closed_until, ..Grantor::default() }
+    /// Creates a grantor without grants. If grants of a former incarnation may still run, they have expired by
+    /// `blocked_until`.
+    pub fn new(blocked_until: Option<Instant>) -> Self {
+        Grantor { blocked_until, ..Grantor::default() }
     }
 
-    /// Grants nothing that gives orders before then: what others granted may still run.
-    pub fn close_until(&mut self, end: Instant) {
-        self.closed_until = self.closed_until.max(Some(end));
+    /// Grants no lease whose holder commands engines before `end`, because grants of other voters may still run.
+    pub fn block_until(&mut self, end: Instant) {
+        self.blocked_until = self.blocked_until.max(Some(end));
     }
 
-    /// Grants or takes back. A message that is older than another of its sender changes nothing.
-    pub fn answer(&mut self, l: &LeaseRequest, now: Instant, policy: LeasePolicy) -> bool {
-        let grants = self.table.entry_ref(l.lease_name.as_str()).or_default();
-        grants.retain(|g| now < g.until + policy.lease);
-        let own = grants.iter().position(|g| g.incarnation == l.incarnation);
-        if own.is_some_and(|i| grants[i].number >= l.number) {
+    /// Grants or releases a lease as requested; true if it did. A message older than one already received from the same
+    /// incarnation is ignored.
+    pub fn handle_request(
+        &mut self,
+        request: &LeaseRequest,
+        now: Instant,
+        policy: LeasePolicy,
+    ) -> bool {
+        let grants = self.grants_by_lease.entry_ref(request.lease_name.as_str()).or_default();
+        grants.retain(|grant| now < grant.until + policy.lease);
+        let sender_index = grants.iter().position(|grant| grant.incarnation == request.incarnation);
+        if sender_index.is_some_and(|index| grants[index].number >= request.number) {
             return false;
         }
-        let closed = policy.commands_engines && self.closed_until.is_some_and(|t| now < t);
-        let granted_elsewhere = grants.iter().any(|g| g.node != l.node && now < g.until);
-        if !l.release && (closed || granted_elsewhere) {
+        let blocked =
+            policy.commands_engines && self.blocked_until.is_some_and(|until| now < until);
+        let granted_elsewhere =
+            grants.iter().any(|grant| grant.node != request.node && now < grant.until);
+        if !request.release && (blocked || granted_elsewhere) {
             return false;
         }
-        // orders that were on their way when it was given back have ended by then
-        let acted = l.ms > 0;
-        let cool_down =
-            if policy.commands_engines && acted { policy.margin() } else { Duration::ZERO };
-        let before = own.map_or(now, |i| grants.swap_remove(i).until);
-        let until = if l.release { before.min(now + cool_down) } else { now + policy.lease };
-        let (node, incarnation, number) = (l.node.clone(), l.incarnation, l.number);
+        // After a release, commands that the holder had already sent may still be in flight for this long.
+        let may_have_acted = request.ms > 0;
+        let in_flight_time = if policy.commands_engines && may_have_acted {
+            policy.margin()
+        } else {
+            Duration::ZERO
+        };
+        let former_end = sender_index.map_or(now, |index| grants.swap_remove(index).until);
+        let until =
+            if request.release { former_end.min(now + in_flight_time) } else { now + policy.lease };
+        let (node, incarnation, number) =
+            (request.node.clone(), request.incarnation, request.number);
         grants.push(Grant { node, incarnation, number, until });
         true
     }
 
-    /// Whom a lease is granted to by this voter, if a grant still runs.
+    /// The unexpired grant of a lease that ends last, if there is one.
     pub fn granted(&self, lease_name: &str, now: Instant) -> Option<RunningGrant> {
-        let running = self.table.get(lease_name)?.iter().filter(|grant| now < grant.until);
+        let running =
+            self.grants_by_lease.get(lease_name)?.iter().filter(|grant| now < grant.until);
         let latest = running.max_by_key(|grant| grant.until)?;
         Some(RunningGrant { node: latest.node.clone(), until: latest.until })
     }
 
-    /// Nobody of another node is known to hold it.
+    /// Whether no other node is known to have an unexpired grant of a lease.
     pub fn is_free(&self, lease_name: &str, node: &str, now: Instant) -> bool {
-        let grants = self.table.get(lease_name);
-        grants.is_none_or(|g| g.iter().all(|g| g.node == node || now >= g.until))
+        let grants = self.grants_by_lease.get(lease_name);
+        grants.is_none_or(|all| all.iter().all(|grant| grant.node == node || now >= grant.until))
     }
 }
 
-/// A lease that this node holds, and the fencing token that it raised under it.
+/// A lease that this node holds, with the fencing token raised for it.
 #[derive(Debug, Clone, Copy)]
 struct CurrentLease {
     until: Instant,
-    /// former holders' leases have ended by then
-    from: Instant,
+    /// Time by which the leases of former holders have expired.
+    usable_from: Instant,
     fencing_token: u64,
-    raise: RaiseId,
-    /// it is on record that this node may act
-    acts: bool,
+    raise_id: RaiseId,
+    /// Whether this node may act under the lease: its takeover is recorded, or no record is needed.
+    may_act: bool,
 }
 
-/// What is to be done for a lease now.
+/// What the holder of a lease, or a candidate for it, has to do next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
-    /// ask for a lease, if it looks free
+pub enum LeaseStep {
+    /// Request the lease, if it appears to be free.
     Acquire,
-    /// ask again, well before the end
+    /// Renew the lease, well before it expires.
     Renew,
-    /// put on record that this node acts from now on
-    Record(RaiseId),
-    /// the lease ran out
+    /// Record on a majority that this node acts under the lease from now on.
+    RecordTakeover(RaiseId),
+    /// Stop acting, because the lease has expired.
     Expired,
-    /// nothing before this
+    /// Nothing to do until this time, or until the next renewal if there is none.
     Idle(Option<Instant>),
 }
 
-/// One lease, as a node holds it or doesn't.
+/// One lease from the point of view of a node that may hold it.
 #[derive(Debug)]
 pub struct LeaseHolder {
     incarnation: u64,
@@ -138,97 +154,103 @@
 }
 
 impl LeaseHolder {
-    /// Of one incarnation of a node; it holds nothing.
+    /// Creates the state for one incarnation of a node, which does not hold the lease yet.
     pub fn new(incarnation: u64) -> Self {
         LeaseHolder { incarnation, attempt: 1, lease: None }
     }
 
-    /// What to do at this time.
-    pub fn step(&self, now: Instant, policy: LeasePolicy) -> Step {
-        let Some(h) = &self.lease else { return Step::Acquire };
-        if now >= h.until {
-            return Step::Expired;
+    /// What to do now.
+    pub fn next_step(&self, now: Instant, policy: LeasePolicy) -> LeaseStep {
+        let Some(current) = &self.lease else { return LeaseStep::Acquire };
+        if now >= current.until {
+            return LeaseStep::Expired;
         }
-        if h.until - now <= policy.usable().mul_f64(1.0 - constants::LEASE_RENEW) {
-            return Step::Renew;
+        if current.until - now <= policy.usable().mul_f64(1.0 - constants::LEASE_RENEW) {
+            return LeaseStep::Renew;
         }
-        if !h.acts && now >= h.from {
-            return Step::Record(h.raise);
+        if !current.may_act && now >= current.usable_from {
+            return LeaseStep::RecordTakeover(current.raise_id);
         }
-        Step::Idle((!h.acts).then_some(h.from))
+        LeaseStep::Idle((!current.may_act).then_some(current.usable_from))
     }
 
-    /// Names the raise to make: the last one again while it got no answer.
-    pub fn raise(&self) -> RaiseId {
+    /// ID of the next raise of the fencing token. It stays the same until the lease is acquired, so that a raise whose
+    /// answer was lost is retried under the same ID.
+    pub fn next_raise_id(&self) -> RaiseId {
         RaiseId { incarnation: self.incarnation, attempt: self.attempt }
     }
 
-    /// A majority granted what was asked for at `requested_at`, all of it by `granted`, and the raise gave this
-    /// fencing token; `alone`: nobody but this node can have acted within a lease.
+    /// The lease was acquired: a majority answered the request sent at `requested_at` by the time `granted_at`, and the
+    /// raise returned `fencing_token`. If `was_last_holder` is set, no other node can have acted within the last lease
+    /// duration.
     pub fn acquired(
         &mut self,
         requested_at: Instant,
-        granted: Instant,
+        granted_at: Instant,
         fencing_token: u64,
-        alone: bool,
+        was_last_holder: bool,
         policy: LeasePolicy,
     ) {
-        let raise = self.raise();
+        let raise_id = self.next_raise_id();
         self.attempt += 1;
-        let acts = alone || !policy.commands_engines;
-        let from = if acts { granted } else { granted + policy.usable() };
+        let may_act = was_last_holder || !policy.commands_engines;
+        let usable_from = if may_act { granted_at } else { granted_at + policy.usable() };
         self.lease = Some(CurrentLease {
             until: requested_at + policy.usable(),
-            from,
+            usable_from,
             fencing_token,
-            raise,
-            acts,
+            raise_id,
+            may_act,
         });
     }
 
-    /// A majority granted it again. An answer that comes after the end is none: others may have held it.
+    /// A majority renewed the lease. Answers that arrive after it has expired are ignored, since another node may have
+    /// held it in the meantime.
     pub fn renewed(&mut self, requested_at: Instant, now: Instant, policy: LeasePolicy) {
-        if let Some(h) = &mut self.lease
-            && now < h.until
+        if let Some(current) = &mut self.lease
+            && now < current.until
         {
-            h.until = h.until.max(requested_at + policy.usable());
+            current.until = current.until.max(requested_at + policy.usable());
         }
     }
 
-    /// It is on record that this node acts under this raise.
-    pub fn recorded(&mut self, raise: RaiseId) {
-        if let Some(h) = self.lease.as_mut().filter(|h| h.raise == raise) {
-            h.acts = true;
+    /// A majority has recorded that this node acts under the fencing token of this raise.
+    pub fn takeover_recorded(&mut self, raise_id: RaiseId) {
+        if let Some(current) = self.lease.as_mut().filter(|lease| lease.raise_id == raise_id) {
+            current.may_act = true;
         }
     }
 
-    /// Holds it no longer; whether it did.
+    /// Gives up the lease; true if it was held.
     pub fn drop_lease(&mut self) -> bool {
         self.lease.take().is_some()
     }
 
-    /// Holds it no longer if it was acted under this fencing token; whether it did.
-    pub fn drop_refused(&mut self, fencing_token: u64) -> bool {
-        let is_refused = self.lease.is_some_and(|lease| lease.fencing_token <= fencing_token);
-        is_refused && self.drop_lease()
+    /// Gives up the lease if its fencing token is not above a rejected one; true if it was given up.
+    pub fn drop_if_rejected(&mut self, fencing_token: u64) -> bool {
+        let is_rejected = self.lease.is_some_and(|lease| lease.fencing_token <= fencing_token);
+        is_rejected && self.drop_lease()
     }
 
-    /// The fencing token to act under and until when, if the lease surely stands and a former holder's has
-    /// surely ended.
+    /// The fencing token and the time until which to act under it, if the lease certainly holds and that of any former
+    /// holder has certainly expired.
     pub fn fenced_lease(&self, now: Instant) -> Option<FencedLease> {
-        let h = self
-            .lease
-            .filter(|h| h.acts && h.fencing_token > 0 && now >= h.from && now < h.until)?;
-        Some(FencedLease { fencing_token: h.fencing_token, until: h.until })
+        let current = self.lease.filter(|lease| {
+            lease.may_act
+                && lease.fencing_token > 0
+                && now >= lease.usable_from
+                && now < lease.until
+        })?;
+        Some(FencedLease { fencing_token: current.fencing_token, until: current.until })
     }
 }
 
-/// The right to act, until its end.
+/// Permission to act under a lease until it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FencedLease {
-    /// to be sent with each order
+    /// Fencing token to send with each command.
     pub fencing_token: u64,
-    /// nothing may reach an engine from here on
+    /// Time from which no command may reach an engine.
     pub until: Instant,
 }
 
--- a/crates/control-plane/src/leases/lease_holder.rs
+++ b/crates/control-plane/src/leases/lease_holder.rs
@@ -1,6 +1,6 @@
-//! Acquires leases, renews them and releases them, as [`super::lease`] says.
+//! Acquires, renews and releases leases by the rules of [`super::lease`].
 
-use super::lease::{LeasePolicy, Step};
+use super::lease::{LeasePolicy, LeaseStep};
 use super::{INDEX_OWNER_LEASE, LeaseManager, ROLLOUT_LEASE};
 use crate::consensus::forward;
 use fleet_core::constants;
@@ -13,70 +13,71 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Shortest wait of a candidate that finds a lease free, and how much longer it may be at random: candidates that
-/// find it free at the same time don't all request it at once.
+/// Minimum delay before a candidate requests a free lease, and the upper bound of the random delay added to it, which
+/// keeps candidates that see the lease become free at the same time from requesting it at once.
 const CANDIDATE_DELAY_MS: u64 = 50;
-const CANDIDATE_DELAY_SPREAD_MS: u64 = 400;
+const CANDIDATE_JITTER_MS: u64 = 400;
 
-/// What is sent to the voters about a lease.
-enum Message {
-    /// Requests it, or renews it.
+/// A message about a lease to the voters.
+enum VoterMessage {
+    /// Requests or renews the lease.
     Request,
-    /// Releases a lease that this node may have acted under.
+    /// Releases a lease under which this node may have acted.
     Release,
-    /// Takes an attempt back that never held the lease: nothing can have been sent under it, so that others may
-    /// request it at once.
+    /// Cancels a request that did not lead to a held lease. Nothing can have been sent under it, so others may acquire
+    /// the lease immediately.
     Withdraw,
 }
 
 impl LeaseManager {
-    /// Sends a message to all voters; true once a majority has agreed.
-    async fn broadcast(&self, name: &str, message: Message, timeout: Duration) -> bool {
+    /// Sends a message to all voters; true if a majority agrees within the timeout.
+    async fn broadcast(&self, name: &str, message: VoterMessage, timeout: Duration) -> bool {
         let membership = self.consensus.membership();
         let request = self.request(name, &message, membership.epoch);
-        let own_answer = self.grant(&request).ok;
+        let own_grant = self.grant(&request).ok;
         let is_granted = |answer| matches!(answer, Body::LeaseResponse(LeaseResponse { ok: true }));
         let body = Body::LeaseRequest(request);
-        self.consensus.majority_agrees(&membership, timeout, body, own_answer, is_granted).await
+        self.consensus.majority_agrees(&membership, timeout, body, own_grant, is_granted).await
     }
 
-    fn request(&self, name: &str, message: &Message, membership: u64) -> LeaseRequest {
+    fn request(&self, name: &str, message: &VoterMessage, membership: u64) -> LeaseRequest {
         let lease = match message {
-            Message::Request | Message::Release => self.policy(name).lease,
-            Message::Withdraw => Duration::ZERO,
+            VoterMessage::Request | VoterMessage::Release => self.policy(name).lease,
+            VoterMessage::Withdraw => Duration::ZERO,
         };
         LeaseRequest {
             lease_name: name.to_owned(),
             incarnation: self.process.node.incarnation,
             ms: lease.as_millis() as u64,
-            release: !matches!(message, Message::Request),
+            release: !matches!(message, VoterMessage::Request),
             node: self.process.node.name.clone(),
-            number: self.next_message(),
+            number: self.take_message_number(),
             membership,
         }
     }
 
     async fn withdraw(&self, name: &str) {
-        self.broadcast(name, Message::Withdraw, constants::PHASE_TIMEOUT).await;
+        self.broadcast(name, VoterMessage::Withdraw, constants::PHASE_TIMEOUT).await;
     }
 
-    /// Releases all leases: nothing is done under them from here on.
+    /// Releases all held leases. This node stops acting under them before it notifies the voters.
     pub async fn release_all(&self) {
         for name in [ROLLOUT_LEASE, INDEX_OWNER_LEASE] {
             if self.stop_acting(name) {
-                self.broadcast(name, Message::Release, constants::PHASE_TIMEOUT).await;
+                self.broadcast(name, VoterMessage::Release, constants::PHASE_TIMEOUT).await;
             }
         }
     }
 
-    /// Somebody refused what was sent under this fencing token, since another node has used a higher one: nothing more is
-    /// done under it, whatever the voters granted. The lease is requested anew, with a token above both.
+    /// A command sent under `fencing_token` was rejected, because another node has used a higher token. This node stops
+    /// acting under its token even if the voters' grants still run, and requests the lease again with a token higher than
+    /// both.
     pub fn refused(&self, name: &'static str, fencing_token: u64) {
-        let was_held = self.with_holder(name, |holder| holder.drop_refused(fencing_token));
+        let was_held = self.with_holder(name, |holder| holder.drop_if_rejected(fencing_token));
         self.log_release(name, was_held);
     }
 
-    /// Acts under the lease no longer; whether this node held it.
+    /// Stops acting under a lease; true if this node held it.
     fn stop_acting(&self, name: &'static str) -> bool {
         let was_held = self.with_holder(name, |holder| holder.drop_lease());
         self.log_release(name, was_held);
@@ -89,36 +90,36 @@
         }
     }
 
-    fn may_acquire(&self, name: &str) -> bool {
+    fn appears_free(&self, name: &str) -> bool {
         self.grantor.lock().is_free(name, &self.process.node.name, Instant::now())
     }
 
     async fn try_acquire(&self, name: &'static str, policy: LeasePolicy) {
-        let can_hold = self.consensus.votes() && !self.consensus.is_disk_broken();
-        if !self.may_acquire(name) || !can_hold {
+        let is_eligible = self.consensus.votes() && !self.consensus.is_disk_broken();
+        if !self.appears_free(name) || !is_eligible {
             return;
         }
-        let spread = self.process.random_below(CANDIDATE_DELAY_SPREAD_MS);
-        tokio::time::sleep(Duration::from_millis(CANDIDATE_DELAY_MS + spread)).await;
-        if self.may_acquire(name) && !self.process.is_shutting_down() {
+        let jitter = self.process.random_below(CANDIDATE_JITTER_MS);
+        tokio::time::sleep(Duration::from_millis(CANDIDATE_DELAY_MS + jitter)).await;
+        if self.appears_free(name) && !self.process.is_shutting_down() {
             self.acquire(name, policy).await;
         }
     }
 
     async fn acquire(&self, name: &'static str, policy: LeasePolicy) {
         let requested_at = Instant::now();
-        if !self.broadcast(name, Message::Request, constants::PHASE_TIMEOUT).await {
+        if !self.broadcast(name, VoterMessage::Request, constants::PHASE_TIMEOUT).await {
             return self.withdraw(name).await;
         }
         let granted_at = Instant::now();
-        let id = self.with_holder(name, |holder| holder.raise());
-        let raised = self.raise(name, id, false).await;
+        let raise_id = self.with_holder(name, |holder| holder.next_raise_id());
+        let raised = self.raise_fencing_token(name, raise_id, false).await;
         if raised.outcome() != Outcome::Done {
             return self.withdraw(name).await;
         }
-        let alone = raised.holder == self.process.node.name;
+        let was_last_holder = raised.holder == self.process.node.name;
         self.with_holder(name, |holder| {
-            holder.acquired(requested_at, granted_at, raised.number, alone, policy);
+            holder.acquired(requested_at, granted_at, raised.number, was_last_holder, policy);
         });
         fleet_core::log_event!(self.process.log, Event::LeaseAcquired,
             "duty" => name, "fence" => raised.number);
@@ -126,17 +127,19 @@
 
     async fn renew(&self, name: &'static str, requested_at: Instant, policy: LeasePolicy) {
         let timeout = constants::LEASE_RENEWAL_TIMEOUT;
-        if !self.consensus.is_disk_broken() && self.broadcast(name, Message::Request, timeout).await
+        if !self.consensus.is_disk_broken()
+            && self.broadcast(name, VoterMessage::Request, timeout).await
         {
             self.with_holder(name, |holder| holder.renewed(requested_at, Instant::now(), policy));
         }
     }
 
-    /// Puts on record that this node acts from now on; without that nobody lets its lease pass. A raise that is
-    /// not the newest any more can't be recorded: the lease is requested anew.
-    async fn record(&self, name: &'static str, id: RaiseId) {
-        match self.raise(name, id, true).await.outcome() {
-            Outcome::Done => self.with_holder(name, |holder| holder.recorded(id)),
+    /// Records on a majority that this node acts under the lease from now on. Without the record, the next holder might
+    /// not wait until this node's lease has expired. The record fails if the fencing token has been raised again since;
+    /// then the lease is dropped and requested again.
+    async fn record_takeover(&self, name: &'static str, raise_id: RaiseId) {
+        match self.raise_fencing_token(name, raise_id, true).await.outcome() {
+            Outcome::Done => self.with_holder(name, |holder| holder.takeover_recorded(raise_id)),
             Outcome::Stale => {
                 self.stop_acting(name);
             }
@@ -144,36 +147,36 @@
         }
     }
 
-    async fn raise(&self, name: &str, id: RaiseId, acts: bool) -> ChangeResponse {
+    async fn raise_fencing_token(&self, name: &str, id: RaiseId, acts: bool) -> ChangeResponse {
         let holder = self.process.node.name.clone();
         let raise = RaiseFencingToken { lease_name: name.to_owned(), holder, id, acts };
         forward::submit(&self.consensus, ChangeKind::Raise(raise)).await
     }
 
-    /// Does what is due for a lease; returns how long nothing is due afterwards.
+    /// Performs the next action for a lease; returns the time until the next one is due.
     async fn step(&self, name: &'static str) -> Duration {
         let policy = self.policy(name);
         let now = Instant::now();
         let interval = constants::LEASE_CHECK_INTERVAL;
-        match self.with_holder(name, |holder| holder.step(now, policy)) {
-            Step::Acquire => self.try_acquire(name, policy).await,
-            Step::Renew => {
+        match self.with_holder(name, |holder| holder.next_step(now, policy)) {
+            LeaseStep::Acquire => self.try_acquire(name, policy).await,
+            LeaseStep::Renew => {
                 self.renew(name, now, policy).await;
                 return constants::LEASE_RENEWAL_INTERVAL;
             }
-            Step::Record(id) => self.record(name, id).await,
-            Step::Expired => {
+            LeaseStep::RecordTakeover(raise_id) => self.record_takeover(name, raise_id).await,
+            LeaseStep::Expired => {
                 self.stop_acting(name);
             }
-            Step::Idle(Some(until)) => return interval.min(until.saturating_duration_since(now)),
-            Step::Idle(None) => {}
+            LeaseStep::Idle(Some(due)) => return interval.min(due.saturating_duration_since(now)),
+            LeaseStep::Idle(None) => {}
         }
         interval
     }
 }
 
-/// Acquires a lease whenever it is free, and renews it. A task of its own that waits for nothing but the answers
-/// of voters, so that no work done under the lease is in the way of its renewal.
+/// Acquires a lease whenever it is free, and renews it. This task waits only for answers of voters, so that work done
+/// under the lease cannot delay its renewal.
 pub async fn run_lease_holder(leases: Arc<LeaseManager>, name: &'static str) {
     let mut interval = constants::LEASE_CHECK_INTERVAL;
     while !leases.process.is_shutting_down() {
--- a/crates/control-plane/src/leases/lease_tests.rs
+++ b/crates/control-plane/src/leases/lease_tests.rs
@@ -4,181 +4,215 @@
 use crate::consensus::state_machine::{Decision, decide};
 use fleet_core::wire::{ChangeKind, ChangeResponse, Outcome, RaiseFencingToken};
 
-const L: Duration = Duration::from_secs(3);
-const ORDERS: LeasePolicy = LeasePolicy { lease: L, commands_engines: true };
-const OTHER: LeasePolicy = LeasePolicy { lease: L, commands_engines: false };
+const LEASE: Duration = Duration::from_secs(3);
+const COMMANDING: LeasePolicy = LeasePolicy { lease: LEASE, commands_engines: true };
+const NON_COMMANDING: LeasePolicy = LeasePolicy { lease: LEASE, commands_engines: false };
 
-fn lease(incarnation: u64, number: u64) -> LeaseRequest {
+fn lease_request(incarnation: u64, number: u64) -> LeaseRequest {
     let node = format!("n{incarnation}");
     LeaseRequest { lease_name: "d".into(), incarnation, number, node, ..Default::default() }
 }
 
-/// Of a holder that has acted.
+/// A release by a holder that may have acted under the lease.
 fn release(incarnation: u64, number: u64) -> LeaseRequest {
-    LeaseRequest { release: true, ms: L.as_millis() as u64, ..lease(incarnation, number) }
+    LeaseRequest {
+        release: true,
+        ms: LEASE.as_millis() as u64,
+        ..lease_request(incarnation, number)
+    }
 }
 
-/// Candidates that fail must not keep each other out: with a rest for each of them, several could go on for ever.
+/// Candidates whose attempts fail must not block each other. If each failed attempt blocked the lease for a while, several
+/// candidates could keep each other from acquiring it indefinitely.
 #[test]
-fn an_attempt_that_never_acted_is_taken_back_at_once() {
-    let t = Instant::now();
-    let mut g = Grantor::new(None);
-    assert!(g.answer(&lease(1, 1), t, ORDERS));
-    assert!(g.answer(&LeaseRequest { ms: 0, ..release(1, 2) }, t, ORDERS));
-    assert!(g.answer(&lease(2, 1), t, ORDERS));
+fn withdrawn_request_frees_the_lease_immediately() {
+    let start = Instant::now();
+    let mut grantor = Grantor::new(None);
+    assert!(grantor.handle_request(&lease_request(1, 1), start, COMMANDING));
+    assert!(grantor.handle_request(&LeaseRequest { ms: 0, ..release(1, 2) }, start, COMMANDING));
+    assert!(grantor.handle_request(&lease_request(2, 1), start, COMMANDING));
 }
 
 #[test]
-fn one_incarnation_at_a_time_and_none_after_a_restart() {
-    let t = Instant::now();
-    let mut g = Grantor::new(Some(t + L));
-    assert!(!g.answer(&lease(1, 1), t, ORDERS));
-    let other_lease = LeaseRequest { lease_name: "e".into(), ..lease(1, 1) };
-    assert!(g.answer(&other_lease, t, OTHER), "no orders are given under it");
-    assert!(g.answer(&lease(1, 2), t + L, ORDERS));
-    assert!(!g.answer(&lease(2, 1), t + L, ORDERS));
-    assert!(g.answer(&lease(1, 3), t + L * 3 / 2, ORDERS));
-    assert!(!g.answer(&lease(2, 2), t + L * 2, ORDERS));
-    assert!(g.answer(&lease(2, 3), t + L * 5 / 2, ORDERS));
-    assert!(g.answer(&release(2, 4), t + L * 5 / 2, ORDERS));
-    let cool_down = ORDERS.margin();
-    assert!(!g.answer(&lease(3, 1), t + L * 5 / 2, ORDERS), "orders may be on their way");
-    assert!(g.answer(&lease(3, 2), t + L * 5 / 2 + cool_down, ORDERS));
-    let again = LeaseRequest { incarnation: 9, ..lease(3, 1) };
+fn grants_to_one_incarnation_at_a_time_and_none_after_a_restart() {
+    let start = Instant::now();
+    let mut grantor = Grantor::new(Some(start + LEASE));
+    assert!(!grantor.handle_request(&lease_request(1, 1), start, COMMANDING));
+    let other_lease = LeaseRequest { lease_name: "e".into(), ..lease_request(1, 1) };
+    assert!(
+        grantor.handle_request(&other_lease, start, NON_COMMANDING),
+        "its holder commands no engines"
+    );
+    assert!(grantor.handle_request(&lease_request(1, 2), start + LEASE, COMMANDING));
+    assert!(!grantor.handle_request(&lease_request(2, 1), start + LEASE, COMMANDING));
+    assert!(grantor.handle_request(&lease_request(1, 3), start + LEASE * 3 / 2, COMMANDING));
+    assert!(!grantor.handle_request(&lease_request(2, 2), start + LEASE * 2, COMMANDING));
+    assert!(grantor.handle_request(&lease_request(2, 3), start + LEASE * 5 / 2, COMMANDING));
+    assert!(grantor.handle_request(&release(2, 4), start + LEASE * 5 / 2, COMMANDING));
+    let in_flight_time = COMMANDING.margin();
+    assert!(
+        !grantor.handle_request(&lease_request(3, 1), start + LEASE * 5 / 2, COMMANDING),
+        "commands may be in flight"
+    );
+    assert!(grantor.handle_request(
+        &lease_request(3, 2),
+        start + LEASE * 5 / 2 + in_flight_time,
+        COMMANDING
+    ));
+    let again = LeaseRequest { incarnation: 9, ..lease_request(3, 1) };
     assert!(
-        g.answer(&again, t + L * 5 / 2 + cool_down, ORDERS),
-        "the holder's own node, restarted"
+        grantor.handle_request(&again, start + LEASE * 5 / 2 + in_flight_time, COMMANDING),
+        "a new incarnation of the holder's node"
     );
-    assert!(!g.answer(&lease(2, 5), t + L * 5 / 2 + cool_down, ORDERS));
+    assert!(!grantor.handle_request(
+        &lease_request(2, 5),
+        start + LEASE * 5 / 2 + in_flight_time,
+        COMMANDING
+    ));
 }
 
 #[test]
-fn a_late_leave_takes_no_later_grant() {
-    let t = Instant::now();
-    let mut g = Grantor::new(None);
-    assert!(g.answer(&lease(1, 1), t, OTHER));
-    assert!(g.answer(&lease(1, 3), t, OTHER), "the second try overtakes the leave of the first");
-    assert!(!g.answer(&release(1, 2), t, OTHER));
-    assert!(!g.answer(&lease(2, 1), t, OTHER));
+fn late_release_does_not_end_a_later_grant() {
+    let start = Instant::now();
+    let mut grantor = Grantor::new(None);
+    assert!(grantor.handle_request(&lease_request(1, 1), start, NON_COMMANDING));
+    assert!(
+        grantor.handle_request(&lease_request(1, 3), start, NON_COMMANDING),
+        "the second request overtakes the release of the first"
+    );
+    assert!(!grantor.handle_request(&release(1, 2), start, NON_COMMANDING));
+    assert!(!grantor.handle_request(&lease_request(2, 1), start, NON_COMMANDING));
 }
 
 #[test]
-fn a_former_incarnation_takes_nothing_from_the_next_one() {
-    let t = Instant::now();
-    let mut g = Grantor::new(None);
-    let second = |l| LeaseRequest { node: "n1".into(), ..l };
-    assert!(g.answer(&second(lease(2, 1)), t, OTHER));
-    assert!(g.answer(&lease(1, 7), t, OTHER), "late, of the same node");
-    assert!(g.answer(&release(1, 8), t, OTHER));
-    assert!(!g.answer(&lease(3, 1), t, OTHER));
+fn release_by_a_former_incarnation_does_not_end_the_grant_of_the_next() {
+    let start = Instant::now();
+    let mut grantor = Grantor::new(None);
+    let from_n1 = |request| LeaseRequest { node: "n1".into(), ..request };
+    assert!(grantor.handle_request(&from_n1(lease_request(2, 1)), start, NON_COMMANDING));
+    assert!(
+        grantor.handle_request(&lease_request(1, 7), start, NON_COMMANDING),
+        "late, from the same node"
+    );
+    assert!(grantor.handle_request(&release(1, 8), start, NON_COMMANDING));
+    assert!(!grantor.handle_request(&lease_request(3, 1), start, NON_COMMANDING));
 }
 
-/// {A,B,C} moves to {B,C,D} while A holds: neither C with D nor B with D may grant it to another.
+/// The membership changes from {A,B,C} to {B,C,D} while A holds the lease: neither C and D nor B and D may grant it to
+/// another node.
 #[test]
-fn a_newcomer_grants_nothing_while_a_lease_of_former_members_may_run() {
-    let t = Instant::now();
-    let mut g = Grantor::new(None);
-    let index_owner = LeaseRequest { lease_name: "e".into(), ..lease(2, 1) };
-    assert!(g.answer(&index_owner, t, OTHER));
-    g.close_until(t + L);
-    g.close_until(t + L / 2);
-    assert!(!g.answer(&lease(2, 2), t + L * 3 / 4, ORDERS));
-    assert!(g.answer(&lease(2, 3), t + L, ORDERS));
+fn new_voter_withholds_grants_while_grants_of_former_members_may_run() {
+    let start = Instant::now();
+    let mut grantor = Grantor::new(None);
+    let index_owner = LeaseRequest { lease_name: "e".into(), ..lease_request(2, 1) };
+    assert!(grantor.handle_request(&index_owner, start, NON_COMMANDING));
+    grantor.block_until(start + LEASE);
+    grantor.block_until(start + LEASE / 2);
+    assert!(!grantor.handle_request(&lease_request(2, 2), start + LEASE * 3 / 4, COMMANDING));
+    assert!(grantor.handle_request(&lease_request(2, 3), start + LEASE, COMMANDING));
 }
 
 #[test]
-fn a_pause_ends_the_mandate_before_any_order() {
-    let t = Instant::now();
-    let mut h = LeaseHolder::new(1);
-    h.acquired(t, t, 5, true, ORDERS);
-    let until = t + ORDERS.usable();
-    assert_eq!(h.fenced_lease(t), Some(FencedLease { fencing_token: 5, until }));
-    assert_eq!(h.fenced_lease(until), None);
-    h.renewed(t + L / 2, until, ORDERS);
-    assert_eq!(h.step(until, ORDERS), Step::Expired, "an answer after the end is none");
+fn expired_lease_permits_no_action_after_a_pause() {
+    let start = Instant::now();
+    let mut holder = LeaseHolder::new(1);
+    holder.acquired(start, start, 5, true, COMMANDING);
+    let until = start + COMMANDING.usable();
+    assert_eq!(holder.fenced_lease(start), Some(FencedLease { fencing_token: 5, until }));
+    assert_eq!(holder.fenced_lease(until), None);
+    holder.renewed(start + LEASE / 2, until, COMMANDING);
+    assert_eq!(
+        holder.next_step(until, COMMANDING),
+        LeaseStep::Expired,
+        "an answer after the expiry is ignored"
+    );
 }
 
 #[test]
-fn a_new_holder_acts_a_lease_after_the_former_one_and_once_that_is_on_record() {
-    let t = Instant::now();
-    let mut h = LeaseHolder::new(1);
-    let id = h.raise();
-    h.acquired(t, t, 6, false, ORDERS);
-    let from = t + ORDERS.usable();
-    assert_eq!(h.step(t, ORDERS), Step::Idle(Some(from)));
-    h.renewed(t + L * 2 / 3, t + L * 2 / 3, ORDERS);
-    assert_eq!(h.step(from, ORDERS), Step::Record(id));
-    assert_eq!(h.fenced_lease(from), None);
-    h.recorded(id);
-    assert_eq!(h.fenced_lease(from).map(|m| m.fencing_token), Some(6));
-    assert_ne!(h.raise(), id, "the next raise is another one");
+fn new_holder_acts_only_after_the_former_lease_expired_and_its_takeover_is_recorded() {
+    let start = Instant::now();
+    let mut holder = LeaseHolder::new(1);
+    let id = holder.next_raise_id();
+    holder.acquired(start, start, 6, false, COMMANDING);
+    let from = start + COMMANDING.usable();
+    assert_eq!(holder.next_step(start, COMMANDING), LeaseStep::Idle(Some(from)));
+    holder.renewed(start + LEASE * 2 / 3, start + LEASE * 2 / 3, COMMANDING);
+    assert_eq!(holder.next_step(from, COMMANDING), LeaseStep::RecordTakeover(id));
+    assert_eq!(holder.fenced_lease(from), None);
+    holder.takeover_recorded(id);
+    assert_eq!(holder.fenced_lease(from).map(|lease| lease.fencing_token), Some(6));
+    assert_ne!(holder.next_raise_id(), id, "the next raise has a new ID");
 }
 
-/// On a busy machine answers come late, though the holder goes on asking: two tries may fail, and the third
-/// still comes well before the end.
+/// On a busy machine, answers of voters may arrive after the timeout of a renewal. Two renewals may fail, and the third
+/// one still has to complete before the lease expires.
 #[test]
 fn the_shortest_lease_outlasts_two_failed_renewals() {
-    let t = Instant::now();
-    for policy in
-        [LeasePolicy { lease: constants::INDEX_LEASE_DURATION, commands_engines: false }, ORDERS]
-    {
-        let mut h = LeaseHolder::new(1);
-        h.acquired(t, t, 1, true, policy);
-        let mut now = t;
-        let mut failed = 0;
-        while failed < 2 {
-            assert_ne!(h.step(now, policy), Step::Expired);
-            if h.step(now, policy) == Step::Renew {
+    let start = Instant::now();
+    for policy in [
+        LeasePolicy { lease: constants::INDEX_LEASE_DURATION, commands_engines: false },
+        COMMANDING,
+    ] {
+        let mut holder = LeaseHolder::new(1);
+        holder.acquired(start, start, 1, true, policy);
+        let mut now = start;
+        let mut failed_renewals = 0;
+        while failed_renewals < 2 {
+            assert_ne!(holder.next_step(now, policy), LeaseStep::Expired);
+            if holder.next_step(now, policy) == LeaseStep::Renew {
                 now += constants::LEASE_RENEWAL_TIMEOUT + constants::LEASE_RENEWAL_INTERVAL;
-                failed += 1;
+                failed_renewals += 1;
             } else {
                 now += constants::LEASE_CHECK_INTERVAL;
             }
         }
-        assert_eq!(h.step(now, policy), Step::Renew);
+        assert_eq!(holder.next_step(now, policy), LeaseStep::Renew);
         let answered = now + constants::LEASE_RENEWAL_TIMEOUT / 2;
-        h.renewed(now, answered, policy);
-        assert_eq!(h.fenced_lease(answered).map(|m| m.until), Some(now + policy.usable()));
+        holder.renewed(now, answered, policy);
+        assert_eq!(
+            holder.fenced_lease(answered).map(|lease| lease.until),
+            Some(now + policy.usable())
+        );
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Goal {
-    Take,
+enum Purpose {
+    Acquire,
     Renew,
 }
 
-/// What a node waits for.
+/// A request for which a node is collecting grants.
 #[derive(Debug, Clone)]
-struct Pending {
+struct PendingRequest {
     requested_at: Instant,
     number: u64,
-    have: usize,
-    goal: Goal,
+    grants: usize,
+    purpose: Purpose,
 }
 
 #[derive(Debug, Clone)]
 enum Message {
     Acquire(usize, LeaseRequest),
     Granted(usize, u64, u64),
-    Raise(Raising),
-    Raised(Raising, ChangeResponse),
+    Raise(RaiseInFlight),
+    Raised(RaiseInFlight, ChangeResponse),
 }
 
-/// A raise on its way, with when its lease was asked for and granted.
+/// A raise of the fencing token in flight, with the times at which the lease was requested and granted.
 #[derive(Debug, Clone, Copy)]
-struct Raising {
-    who: usize,
+struct RaiseInFlight {
+    node: usize,
     id: RaiseId,
     acts: bool,
     requested_at: Instant,
-    granted: Instant,
+    granted_at: Instant,
 }
 
-impl Raising {
+impl RaiseInFlight {
     fn change(&self) -> ChangeKind {
         let (id, acts) = (self.id, self.acts);
-        let holder = format!("n{}", self.who);
+        let holder = format!("n{}", self.node);
         ChangeKind::Raise(RaiseFencingToken { lease_name: "d".into(), holder, id, acts })
     }
 }
@@ -188,163 +222,185 @@
     holder: LeaseHolder,
     incarnation: u64,
     number: u64,
-    pending: Option<Pending>,
+    pending: Option<PendingRequest>,
 }
 
-/// Three nodes that drive the states as the program does, over a wire that loses, delays and reorders.
-struct World {
+/// Three nodes that drive the state machines as `lease_holder` does, over a network that loses, delays and reorders
+/// messages.
+struct Cluster {
     now: Instant,
     nodes: Vec<SimNode>,
-    wire: Vec<Message>,
+    network: Vec<Message>,
     register: bytes::Bytes,
-    commands_engines: Vec<(Instant, usize, u64)>,
-    restarts: u64,
+    /// Time, sending node and fencing token of each command.
+    commands: Vec<(Instant, usize, u64)>,
+    last_incarnation: u64,
 }
 
-impl World {
-    fn new() -> World {
-        let node = |i: u64| SimNode {
+impl Cluster {
+    fn new() -> Cluster {
+        let node = |index: u64| SimNode {
             grantor: Grantor::new(None),
-            holder: LeaseHolder::new(i + 1),
-            incarnation: i + 1,
+            holder: LeaseHolder::new(index + 1),
+            incarnation: index + 1,
             number: 0,
             pending: None,
         };
-        World {
+        Cluster {
             now: Instant::now(),
             nodes: (0..3).map(node).collect(),
-            wire: Vec::new(),
+            network: Vec::new(),
             register: bytes::Bytes::new(),
-            commands_engines: Vec::new(),
-            restarts: 3,
+            commands: Vec::new(),
+            last_incarnation: 3,
         }
     }
 
-    /// `acted`: the sender may have given orders under the lease.
-    fn send(&mut self, who: usize, release: bool, acted: bool) -> u64 {
-        let n = &mut self.nodes[who];
-        n.number += 1;
-        let l = LeaseRequest {
+    /// Sends a lease request to all nodes. `may_have_acted` tells whether the sender may have sent commands under the
+    /// lease.
+    fn send(&mut self, sender: usize, release: bool, may_have_acted: bool) -> u64 {
+        let node = &mut self.nodes[sender];
+        node.number += 1;
+        let request = LeaseRequest {
             lease_name: "d".into(),
-            incarnation: n.incarnation,
-            node: format!("n{who}"),
-            number: n.number,
+            incarnation: node.incarnation,
+            node: format!("n{sender}"),
+            number: node.number,
             release,
-            ms: if acted { L.as_millis() as u64 } else { 0 },
+            ms: if may_have_acted { LEASE.as_millis() as u64 } else { 0 },
             ..Default::default()
         };
-        let number = n.number;
-        self.wire.extend((0..3).map(|to| Message::Acquire(to, l.clone())));
+        let number = node.number;
+        self.network.extend((0..3).map(|to| Message::Acquire(to, request.clone())));
         number
     }
 
-    fn begin(&mut self, who: usize, goal: Goal) {
-        let number = self.send(who, false, true);
+    fn begin_request(&mut self, node: usize, purpose: Purpose) {
+        let number = self.send(node, false, true);
         let requested_at = self.now;
-        self.nodes[who].pending = Some(Pending { requested_at, number, have: 0, goal });
+        self.nodes[node].pending =
+            Some(PendingRequest { requested_at, number, grants: 0, purpose });
     }
 
-    fn tick(&mut self, who: usize) {
+    /// Lets a node perform its next action.
+    fn tick(&mut self, index: usize) {
         let now = self.now;
-        if let Some(p) = self.nodes[who].pending.clone() {
-            if now - p.requested_at > Duration::from_millis(1300) {
-                self.nodes[who].pending = None;
-                if p.goal == Goal::Take {
-                    self.send(who, true, false);
+        if let Some(pending) = self.nodes[index].pending.clone() {
+            if now - pending.requested_at > Duration::from_millis(1300) {
+                self.nodes[index].pending = None;
+                if pending.purpose == Purpose::Acquire {
+                    self.send(index, true, false);
                 }
             }
             return;
         }
-        let node = &mut self.nodes[who];
-        match node.holder.step(now, ORDERS) {
-            Step::Acquire if node.grantor.is_free("d", &format!("n{who}"), now) => {
-                self.begin(who, Goal::Take);
+        let node = &mut self.nodes[index];
+        match node.holder.next_step(now, COMMANDING) {
+            LeaseStep::Acquire if node.grantor.is_free("d", &format!("n{index}"), now) => {
+                self.begin_request(index, Purpose::Acquire);
             }
-            Step::Renew => self.begin(who, Goal::Renew),
-            Step::Record(id) => self.raise(who, id, true, now),
-            Step::Expired => {
+            LeaseStep::Renew => self.begin_request(index, Purpose::Renew),
+            LeaseStep::RecordTakeover(id) => self.raise(index, id, true, now),
+            LeaseStep::Expired => {
                 node.holder.drop_lease();
             }
-            Step::Acquire | Step::Idle(_) => {}
+            LeaseStep::Acquire | LeaseStep::Idle(_) => {}
         }
     }
 
-    fn raise(&mut self, who: usize, id: RaiseId, acts: bool, requested_at: Instant) {
-        let granted = self.now;
-        self.wire.push(Message::Raise(Raising { who, id, acts, requested_at, granted }));
+    fn raise(&mut self, node: usize, id: RaiseId, acts: bool, requested_at: Instant) {
+        let granted_at = self.now;
+        self.network.push(Message::Raise(RaiseInFlight {
+            node,
+            id,
+            acts,
+            requested_at,
+            granted_at,
+        }));
     }
 
-    fn deliver(&mut self, m: Message) {
-        match m {
-            Message::Acquire(to, l) => {
-                let g = &mut self.nodes[to].grantor;
-                if g.answer(&l, self.now, ORDERS) && !l.release {
-                    let who = l.node[1..].parse().unwrap();
-                    self.wire.push(Message::Granted(who, l.incarnation, l.number));
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Acquire(to, request) => {
+                let grantor = &mut self.nodes[to].grantor;
+                if grantor.handle_request(&request, self.now, COMMANDING) && !request.release {
+                    let sender = request.node[1..].parse().unwrap();
+                    self.network.push(Message::Granted(
+                        sender,
+                        request.incarnation,
+                        request.number,
+                    ));
                 }
             }
-            Message::Granted(who, incarnation, number) => self.granted(who, incarnation, number),
-            Message::Raise(r) => {
-                let answer = match decide(&r.change(), &self.register) {
-                    Decision::Answer(c) => c,
-                    Decision::Write(value, c) => {
+            Message::Granted(node, incarnation, number) => self.granted(node, incarnation, number),
+            Message::Raise(raise) => {
+                let answer = match decide(&raise.change(), &self.register) {
+                    Decision::Answer(response) => response,
+                    Decision::Write(value, response) => {
                         self.register = value;
-                        c
+                        response
                     }
                 };
-                self.wire.push(Message::Raised(r, answer));
+                self.network.push(Message::Raised(raise, answer));
             }
-            Message::Raised(r, c) => self.raised(r, &c),
+            Message::Raised(raise, response) => self.raised(raise, &response),
         }
     }
 
-    fn granted(&mut self, who: usize, incarnation: u64, number: u64) {
+    fn granted(&mut self, index: usize, incarnation: u64, number: u64) {
         let now = self.now;
-        let node = &mut self.nodes[who];
-        let Some(p) = &mut node.pending else { return };
-        if node.incarnation != incarnation || p.number != number {
+        let node = &mut self.nodes[index];
+        let Some(pending) = &mut node.pending else { return };
+        if node.incarnation != incarnation || pending.number != number {
             return;
         }
-        p.have += 1;
-        let p = p.clone();
-        match (p.have, p.goal) {
-            (2, Goal::Take) => {
-                let id = node.holder.raise();
-                self.raise(who, id, false, p.requested_at);
+        pending.grants += 1;
+        let pending = pending.clone();
+        match (pending.grants, pending.purpose) {
+            (2, Purpose::Acquire) => {
+                let id = node.holder.next_raise_id();
+                self.raise(index, id, false, pending.requested_at);
             }
-            (2, Goal::Renew) => {
-                node.holder.renewed(p.requested_at, now, ORDERS);
+            (2, Purpose::Renew) => {
+                node.holder.renewed(pending.requested_at, now, COMMANDING);
                 node.pending = None;
             }
             _ => {}
         }
     }
 
-    fn raised(&mut self, r: Raising, c: &ChangeResponse) {
-        let SimNode { holder, pending, .. } = &mut self.nodes[r.who];
-        if r.acts {
-            match c.outcome() {
-                Outcome::Done => holder.recorded(r.id),
-                _ if holder.raise().attempt == r.id.attempt + 1 => {
+    fn raised(&mut self, raise: RaiseInFlight, response: &ChangeResponse) {
+        let SimNode { holder, pending, .. } = &mut self.nodes[raise.node];
+        if raise.acts {
+            match response.outcome() {
+                Outcome::Done => holder.takeover_recorded(raise.id),
+                _ if holder.next_raise_id().attempt == raise.id.attempt + 1 => {
                     holder.drop_lease();
                 }
                 _ => {}
             }
             return;
         }
-        let waits = pending.as_ref().is_some_and(|p| p.requested_at == r.requested_at);
-        if waits && holder.raise() == r.id {
+        let is_pending =
+            pending.as_ref().is_some_and(|request| request.requested_at == raise.requested_at);
+        if is_pending && holder.next_raise_id() == raise.id {
             *pending = None;
-            let alone = c.holder == format!("n{}", r.who);
-            holder.acquired(r.requested_at, r.granted, c.number, alone, ORDERS);
+            let was_last_holder = response.holder == format!("n{}", raise.node);
+            holder.acquired(
+                raise.requested_at,
+                raise.granted_at,
+                response.number,
+                was_last_holder,
+                COMMANDING,
+            );
         }
     }
 
-    fn restart(&mut self, who: usize) {
-        self.restarts += 1;
-        let incarnation = self.restarts;
-        self.nodes[who] = SimNode {
-            grantor: Grantor::new(Some(self.now + L)),
+    fn restart(&mut self, node: usize) {
+        self.last_incarnation += 1;
+        let incarnation = self.last_incarnation;
+        self.nodes[node] = SimNode {
+            grantor: Grantor::new(Some(self.now + LEASE)),
             holder: LeaseHolder::new(incarnation),
             incarnation,
             number: 0,
@@ -352,112 +408,117 @@
         };
     }
 
-    fn step(&mut self, op: u8, arg: usize) {
-        match op {
+    /// Performs the operation that a random number encodes.
+    fn step(&mut self, operation: u8, arg: usize) {
+        match operation {
             0..=3 => self.now += Duration::from_millis(arg as u64 % 120),
             4 => self.now += Duration::from_millis(arg as u64 * 4),
             5..=9 => self.tick(arg % 3),
             10 if arg.is_multiple_of(3) => {
                 let now = self.now;
-                let holds = self.nodes.iter().position(|n| n.holder.fenced_lease(now).is_some());
-                if let Some(who) = holds.filter(|who| self.nodes[*who].holder.drop_lease()) {
-                    self.send(who, true, true);
+                let holder =
+                    self.nodes.iter().position(|node| node.holder.fenced_lease(now).is_some());
+                if let Some(index) = holder.filter(|index| self.nodes[*index].holder.drop_lease()) {
+                    self.send(index, true, true);
                 }
             }
             11 if arg.is_multiple_of(4) => self.restart(arg / 4 % 3),
-            12 if !self.wire.is_empty() => {
-                let at = arg % self.wire.len();
-                self.wire.swap_remove(at);
+            12 if !self.network.is_empty() => {
+                let index = arg % self.network.len();
+                self.network.swap_remove(index);
             }
-            13 if !self.wire.is_empty() => {
-                // decided twice, as by an owner that answers late and by the node itself
-                let m = self.wire[arg % self.wire.len()].clone();
-                if matches!(m, Message::Raise(..)) {
-                    self.deliver(m);
+            13 if !self.network.is_empty() => {
+                // A raise may be decided twice, by an owner that answers late and by the requesting node itself.
+                let message = self.network[arg % self.network.len()].clone();
+                if matches!(message, Message::Raise(..)) {
+                    self.deliver(message);
                 }
             }
-            14.. if !self.wire.is_empty() => {
-                let at = if arg.is_multiple_of(3) { arg / 3 % self.wire.len() } else { 0 };
-                let m = self.wire.remove(at);
-                self.deliver(m);
+            14.. if !self.network.is_empty() => {
+                let index = if arg.is_multiple_of(3) { arg / 3 % self.network.len() } else { 0 };
+                let message = self.network.remove(index);
+                self.deliver(message);
             }
             _ => {}
         }
     }
 
-    /// Every node that may act does so.
+    /// Lets every node that may act send a command, and checks it against all earlier commands.
     fn act(&mut self) -> Result<(), String> {
-        for (who, n) in self.nodes.iter().enumerate() {
-            let Some(m) = n.holder.fenced_lease(self.now) else { continue };
-            for (at, other, fencing_token) in &self.commands_engines {
-                if *other != who && self.now - *at < L {
-                    return Err(format!("n{who} {:?} after n{other}", self.now - *at));
+        for (index, node) in self.nodes.iter().enumerate() {
+            let Some(lease) = node.holder.fenced_lease(self.now) else { continue };
+            for (sent_at, sender, fencing_token) in &self.commands {
+                if *sender != index && self.now - *sent_at < LEASE {
+                    return Err(format!(
+                        "n{index} acted {:?} after n{sender}",
+                        self.now - *sent_at
+                    ));
                 }
-                if *fencing_token > m.fencing_token
-                    || (*fencing_token == m.fencing_token && *other != who)
+                if *fencing_token > lease.fencing_token
+                    || (*fencing_token == lease.fencing_token && *sender != index)
                 {
                     return Err(format!(
-                        "n{who} under {} after n{other} under {fencing_token}",
-                        m.fencing_token
+                        "n{index} acted with token {} after n{sender} with token {fencing_token}",
+                        lease.fencing_token
                     ));
                 }
             }
-            self.commands_engines.push((self.now, who, m.fencing_token));
+            self.commands.push((self.now, index, lease.fencing_token));
         }
         Ok(())
     }
 }
 
-/// How many orders were given, or what was wrong.
+/// Runs a sequence of operations. Returns the number of commands sent, or the rule that was violated.
 fn run(steps: &[(u8, usize)]) -> Result<usize, String> {
-    let mut w = World::new();
-    for (op, arg) in steps {
-        w.step(*op, *arg);
-        w.act()?;
+    let mut cluster = Cluster::new();
+    for (operation, arg) in steps {
+        cluster.step(*operation, *arg);
+        cluster.act()?;
     }
-    Ok(w.commands_engines.len())
+    Ok(cluster.commands.len())
 }
 
-/// A node that is let alone gets to act, and so does the next one after it.
+/// A single active node acquires the lease and acts; when it stops, the next node takes over.
 #[test]
-fn duties_are_taken_and_taken_over() {
-    let mut w = World::new();
-    for i in 0..2000 {
-        if i < 1000 {
-            w.tick(0);
+fn a_lease_is_acquired_and_taken_over() {
+    let mut cluster = Cluster::new();
+    for round in 0..2000 {
+        if round < 1000 {
+            cluster.tick(0);
         } else {
-            w.tick(1);
+            cluster.tick(1);
         }
-        while !w.wire.is_empty() {
-            let m = w.wire.remove(0);
-            w.deliver(m);
+        while !cluster.network.is_empty() {
+            let message = cluster.network.remove(0);
+            cluster.deliver(message);
         }
-        w.now += Duration::from_millis(20);
-        w.act().unwrap();
+        cluster.now += Duration::from_millis(20);
+        cluster.act().unwrap();
     }
-    let by = |n: usize| w.commands_engines.iter().filter(|o| o.1 == n).count();
-    assert!(by(0) > 900 && by(1) > 500, "{} {}", by(0), by(1));
+    let sent_by = |node: usize| cluster.commands.iter().filter(|command| command.1 == node).count();
+    assert!(sent_by(0) > 900 && sent_by(1) > 500, "{} {}", sent_by(0), sent_by(1));
 }
 
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config { cases: 4000, failure_persistence: None, ..Default::default() })]
 
-    /// Whatever pauses, restarts, losses and late messages do, two nodes never act within one lease, and
-    /// fences rise and are used by one node each.
+    /// Under pauses, restarts, lost and late messages, two nodes never act within one lease duration, and fencing tokens
+    /// never decrease and are each used by one node.
     #[test]
-    fn holders_keep_a_lease_apart(steps in proptest::collection::vec((0u8..24, 0usize..997), 50..500)) {
+    fn actions_of_different_holders_are_a_lease_duration_apart(steps in proptest::collection::vec((0u8..24, 0usize..997), 50..500)) {
         run(&steps).map_err(proptest::test_runner::TestCaseError::fail)?;
     }
 }
 
 #[test]
-fn a_refusal_ends_the_lease_that_it_is_about_and_no_later_one() {
+fn rejected_token_ends_its_own_lease_and_no_later_one() {
     let now = Instant::now();
     let mut holder = LeaseHolder::new(1);
-    holder.acquired(now, now, 7, true, ORDERS);
-    assert!(!holder.drop_refused(6), "of a lease that was held before");
+    holder.acquired(now, now, 7, true, COMMANDING);
+    assert!(!holder.drop_if_rejected(6), "the token of an earlier lease");
     assert!(holder.fenced_lease(now).is_some());
-    assert!(holder.drop_refused(7));
+    assert!(holder.drop_if_rejected(7));
     assert_eq!(holder.fenced_lease(now), None);
-    assert!(!holder.drop_refused(7), "there is none to drop");
+    assert!(!holder.drop_if_rejected(7), "no lease is held any more");
 }
--- a/crates/control-plane/src/leases/mod.rs
+++ b/crates/control-plane/src/leases/mod.rs
@@ -1,13 +1,14 @@
-//! Leases: the right to do something that one node does at a time, with a fencing token.
+//! Leases with fencing tokens, for work that only one node at a time may do.
 //!
-//! A lease is granted by a majority of the voters, from memory; the fencing token is a key of the control state
-//! (`duty/NAME`) and rises on a majority of disks with each new holder. The holder counts the lease from before it
-//! asked and leaves a margin unused; a voter counts it from when it granted, and after a restart grants no lease
-//! whose holder commands engines for a whole lease. So two holders never act at the same time, and an engine can
-//! refuse what a former holder has sent late.
+//! A lease is granted by a majority of the voters, who keep their grants in memory. The fencing token is stored in the
+//! replicated register `duty/NAME` and is raised on a majority of disks for each new holder. The holder measures the
+//! lease from before it sent the request and leaves a margin at its end unused, whereas a voter measures it from the
+//! moment of its grant. After a restart, a voter grants no lease whose holder commands engines until a full lease
+//! duration has passed. Therefore two holders never act at the same time, and an engine can reject late commands of a
+//! former holder.
 //!
-//! [`lease`] is that as pure state, [`LeaseManager`] owns it, `lease_holder` drives it. What runs under a lease
-//! stands apart: [`crate::rollout`] and [`crate::index_owner`].
+//! [`lease`] implements the rules as pure state machines, [`LeaseManager`] owns their state, and `lease_holder` drives
+//! them. The work done under the leases is in [`crate::rollout`] and [`crate::index_owner`].
 
 pub mod lease;
 mod lease_holder;
@@ -26,86 +27,98 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Updates engines to target weights; the only lease whose holder commands engines. The name is stored and sent.
+/// Lease for updating engines to target weights, the only one whose holder commands engines. The name is stored and
+/// sent to other nodes, so it must not change.
 pub const ROLLOUT_LEASE: &str = "roll-out";
-/// Owns the ring of invalidations and the index of cached prefixes. The name is stored and sent.
+/// Lease for owning the invalidation ring and the index of cached prefixes. The name is stored and sent to other nodes,
+/// so it must not change.
 pub const INDEX_OWNER_LEASE: &str = "index-keeper";
 
-/// The leases that this node granted, and those that it holds. Its locks are leaves.
+/// Leases that this node has granted to others, and leases that it holds itself. No other lock is taken while one of
+/// its locks is held.
 pub struct LeaseManager {
     process: Arc<Process>,
     consensus: Arc<Consensus>,
     grantor: Mutex<Grantor>,
     holders: Mutex<HashMap<&'static str, LeaseHolder>>,
-    /// Number of the next message to voters.
-    messages: AtomicU64,
+    /// Sequence number of the next lease message; voters ignore messages that arrive out of order.
+    next_message_number: AtomicU64,
 }
 
 impl LeaseManager {
-    /// Of a node that starts. Its former incarnation may have granted what ends only after `closed_for`; none at
-    /// the first start of all.
+    /// Creates the leases of a starting node. Grants of its former incarnation may still run for `grant_block`, which is
+    /// `None` at the very first start.
     pub fn new(
         process: Arc<Process>,
         consensus: Arc<Consensus>,
-        closed_for: Option<Duration>,
+        grant_block: Option<Duration>,
     ) -> LeaseManager {
         let incarnation = process.node.incarnation;
         let holder = |name| (name, LeaseHolder::new(incarnation));
-        let closed_until = closed_for.map(|duration| Instant::now() + duration);
+        let blocked_until = grant_block.map(|duration| Instant::now() + duration);
         LeaseManager {
             process,
             consensus,
-            grantor: Mutex::new(Grantor::new(closed_until)),
+            grantor: Mutex::new(Grantor::new(blocked_until)),
             holders: Mutex::new([ROLLOUT_LEASE, INDEX_OWNER_LEASE].map(holder).into()),
-            messages: AtomicU64::new(1),
+            next_message_number: AtomicU64::new(1),
         }
     }
 
-    /// Answers a node that requests a lease or releases it. Only a voter grants, and only where it and the
-    /// requester know the same membership: a majority of an older one doesn't exclude a majority of this one.
+    /// Answers a request for a lease or a release of one. Only a voter grants, and only if it and the requester know the
+    /// same membership, because a majority of an older membership need not overlap with a majority of the current one.
     pub fn grant(&self, request: &LeaseRequest) -> LeaseResponse {
         let policy = self.policy(&request.lease_name);
         let may_grant =
             self.consensus.with_acceptor(|acceptor| acceptor.may_grant(request.membership));
         LeaseResponse {
-            ok: may_grant && self.grantor.lock().answer(request, Instant::now(), policy),
+            ok: may_grant && self.grantor.lock().handle_request(request, Instant::now(), policy),
         }
     }
 
-    /// A member that has just got its vote doesn't know what the former members granted.
-    pub fn close_for(&self, lease: Duration) {
-        self.grantor.lock().close_until(Instant::now() + lease);
+    /// Grants no lease whose holder commands engines for the given duration. Called for a member that becomes a voter: it
+    /// does not know what former members granted.
+    pub fn block_grants_for(&self, lease: Duration) {
+        self.grantor.lock().block_until(Instant::now() + lease);
     }
 
-    /// The right to act under a lease, if this node holds it now.
+    /// The fencing token and the end of a lease, if this node currently holds the lease and may act under it.
     pub fn fenced_lease(&self, name: &str) -> Option<FencedLease> {
         self.holders.lock().get(name).and_then(|holder| holder.fenced_lease(Instant::now()))
     }
 
-    /// The fencing token to act under, if this node holds the lease now.
+    /// The fencing token of a lease, if this node currently holds the lease and may act under it.
     pub fn fencing_token(&self, name: &str) -> Option<u64> {
         self.fenced_lease(name).map(|lease| lease.fencing_token)
     }
 
-    /// Whom this voter granted a lease to, if that grant still runs.
+    /// This voter's unexpired grant of a lease, if there is one.
     pub fn granted(&self, name: &str, now: Instant) -> Option<RunningGrant> {
         self.grantor.lock().granted(name, now)
     }
 
-    /// How a lease is granted: as the platform bounds commands to engines, or short where there are none.
+    /// Rules for a lease. It lasts as configured if its holder commands engines, and is capped to a short duration
+    /// otherwise.
     fn policy(&self, name: &str) -> LeasePolicy {
-        let bound = self.process.settings().bounds.lease;
+        let configured = self.process.settings().bounds.lease;
         let commands_engines = name == ROLLOUT_LEASE;
-        let lease =
-            if commands_engines { bound } else { bound.min(constants::INDEX_LEASE_DURATION) };
+        let lease = if commands_engines {
+            configured
+        } else {
+            configured.min(constants::INDEX_LEASE_DURATION)
+        };
         LeasePolicy { lease, commands_engines }
     }
 
-    fn with_holder<T>(&self, name: &'static str, f: impl FnOnce(&mut LeaseHolder) -> T) -> T {
-        f(self.holders.lock().entry(name).or_insert_with(|| LeaseHolder::new(0)))
+    fn with_holder<T>(
+        &self,
+        name: &'static str,
+        use_holder: impl FnOnce(&mut LeaseHolder) -> T,
+    ) -> T {
+        use_holder(self.holders.lock().entry(name).or_insert_with(|| LeaseHolder::new(0)))
     }
 
-    fn next_message(&self) -> u64 {
-        self.messages.fetch_add(1, Ordering::Relaxed)
+    fn take_message_number(&self) -> u64 {
+        self.next_message_number.fetch_add(1, Ordering::Relaxed)
     }
 }
--- a/crates/control-plane/src/membership/candidates.rs
+++ b/crates/control-plane/src/membership/candidates.rs
@@ -1,4 +1,4 @@
-//! Controllers that ask to be taken in.
+//! Controllers that ask to become members.
 
 use super::replacement::Candidate;
 use fleet_core::constants;
@@ -7,38 +7,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Who asked lately, by address: the order can change what is sent.
+/// Recent join requests by address. The map is ordered because the iteration order affects which membership is proposed,
+/// and simulated runs have to be reproducible.
 #[derive(Debug, Default)]
 pub struct Candidates {
-    attempts: BTreeMap<String, JoinAttempt>,
+    requests: BTreeMap<String, ReceivedRequest>,
 }
 
 #[derive(Debug)]
-struct JoinAttempt {
-    join: JoinRequest,
-    last_attempt: Instant,
+struct ReceivedRequest {
+    request: JoinRequest,
+    received_at: Instant,
 }
 
-impl JoinAttempt {
+impl ReceivedRequest {
     fn candidate(&self, now: Instant) -> Candidate {
-        let running = Duration::from_millis(self.join.running_ms);
-        Candidate { member: self.join.member.clone(), running: running + (now - self.last_attempt) }
+        let running = Duration::from_millis(self.request.running_ms);
+        Candidate {
+            member: self.request.member.clone(),
+            running: running + (now - self.received_at),
+        }
     }
 }
 
 impl Candidates {
-    /// One asks, for the first time or again.
-    pub fn record(&mut self, join: JoinRequest, now: Instant) {
-        self.attempts.insert(join.member.ip.clone(), JoinAttempt { join, last_attempt: now });
+    /// Records a join request, which replaces an earlier one from the same address.
+    pub fn record(&mut self, request: JoinRequest, now: Instant) {
+        self.requests
+            .insert(request.member.ip.clone(), ReceivedRequest { request, received_at: now });
     }
 
-    /// Those outside this membership that still ask.
+    /// Candidates that are not members and have asked recently. Requests older than six join intervals are dropped.
     pub fn waiting(&mut self, membership: &Membership, now: Instant) -> Vec<Candidate> {
-        self.attempts
-            .retain(|_, attempt| now - attempt.last_attempt < constants::JOIN_INTERVAL * 6);
-        let outside = |ip: &str| membership.members.iter().all(|member| member.ip != ip);
-        let waiting = self.attempts.iter().filter(|(ip, _)| outside(ip));
-        waiting.map(|(_, attempt)| attempt.candidate(now)).collect()
+        self.requests.retain(|_, entry| now - entry.received_at < constants::JOIN_INTERVAL * 6);
+        let is_outside = |ip: &str| membership.members.iter().all(|member| member.ip != ip);
+        let waiting = self.requests.iter().filter(|(ip, _)| is_outside(ip));
+        waiting.map(|(_, entry)| entry.candidate(now)).collect()
     }
 }
 
--- a/crates/control-plane/src/membership/failure_domains.rs
+++ b/crates/control-plane/src/membership/failure_domains.rs
@@ -1,64 +1,70 @@
-//! How members are spread over zones and regions: as many of these as may be lost together should
-//! leave a quorum.
+//! Distribution of the members over failure domains. The loss of as many zones or regions as configured should leave a
+//! quorum of the members.
 
 use fleet_core::wire::Member;
 use std::collections::BTreeMap;
 
-/// What may be lost together with every rule kept.
+/// Number of failures that the cluster has to tolerate.
 #[derive(Debug, Clone, Default)]
 pub struct Tolerance {
-    /// Counted machines.
+    /// Tolerated number of lost machines.
     pub machines: usize,
-    /// Whole zones.
+    /// Tolerated number of lost zones.
     pub zones: usize,
-    /// Whole regions.
+    /// Tolerated number of lost regions.
     pub regions: usize,
-    /// Each zone with its region.
+    /// Pairs of a zone and its region.
     pub regions_of_zones: Vec<(String, String)>,
 }
 
 impl Tolerance {
-    /// Members of a whole membership: a majority outlives the losses that are to be borne.
+    /// Number of members at which a majority survives the tolerated losses, if each loss takes one member.
     pub fn target_size(&self) -> usize {
         2 * self.machines.max(self.zones).max(self.regions).max(1) + 1
     }
 }
 
-/// What is wrong with where members are; less is better, in the order of the fields.
+/// By how much the tolerated losses of failure domains exceed what the members survive. Lower is better; values are
+/// compared in the order of the fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Exposure {
-    /// Members that the tolerated loss of regions takes beyond what leaves a quorum.
+    /// Members lost beyond a minority when the largest regions fail, as many as are tolerated.
     pub regions: usize,
-    /// Members that the tolerated loss of zones takes beyond what leaves a quorum.
+    /// Members lost beyond a minority when the largest zones fail, as many as are tolerated.
     pub zones: usize,
 }
 
-/// How exposed these members are. A member whose zone isn't known counts as in one of its own.
+/// Exposure of a set of members. A member whose zone is unknown counts as being in a zone of its own, and a zone of
+/// unknown region as a region of its own.
 pub fn exposure(members: &[Member], tolerance: &Tolerance) -> Exposure {
-    let spare = members.len().saturating_sub(1) / 2;
+    let minority = members.len().saturating_sub(1) / 2;
     let zone = |m: &Member| if m.zone.is_empty() { format!("?{}", m.ip) } else { m.zone.clone() };
     let region = |m: &Member| {
         let known = tolerance.regions_of_zones.iter().find(|(zone, _)| *zone == m.zone);
         known.map_or_else(|| zone(m), |(_, region)| region.clone())
     };
     Exposure {
-        regions: largest(members, region, tolerance.regions).saturating_sub(spare),
-        zones: largest(members, zone, tolerance.zones).saturating_sub(spare),
+        regions: members_in_largest(members, region, tolerance.regions).saturating_sub(minority),
+        zones: members_in_largest(members, zone, tolerance.zones).saturating_sub(minority),
     }
 }
 
-/// Members in the fullest `count` places.
-fn largest(members: &[Member], place: impl Fn(&Member) -> String, count: usize) -> usize {
-    let mut places: BTreeMap<String, usize> = BTreeMap::new();
+/// Number of members in the `count` largest domains.
+fn members_in_largest(
+    members: &[Member],
+    domain: impl Fn(&Member) -> String,
+    count: usize,
+) -> usize {
+    let mut sizes_by_domain: BTreeMap<String, usize> = BTreeMap::new();
     for member in members {
-        *places.entry(place(member)).or_default() += 1;
+        *sizes_by_domain.entry(domain(member)).or_default() += 1;
     }
-    let mut sizes: Vec<usize> = places.into_values().collect();
+    let mut sizes: Vec<usize> = sizes_by_domain.into_values().collect();
     sizes.sort_unstable_by(|a, b| b.cmp(a));
     sizes.into_iter().take(count).sum()
 }
 
-/// Members in the zone of this one, itself not counted.
-pub fn neighbours(members: &[Member], of: &Member) -> usize {
-    members.iter().filter(|m| m.zone == of.zone && m.ip != of.ip).count()
+/// Number of other members in the zone of a member.
+pub fn others_in_zone(members: &[Member], member: &Member) -> usize {
+    members.iter().filter(|other| other.zone == member.zone && other.ip != member.ip).count()
 }
--- a/crates/control-plane/src/membership/load_reports.rs
+++ b/crates/control-plane/src/membership/load_reports.rs
@@ -1,7 +1,8 @@
-//! Loads of engines: each controller adds up what its routers report, and gives them the sum over all.
+//! Aggregation of engine loads: each controller sums up the reports of its routers, and sends the routers the total over
+//! all controllers.
 //!
-//! A router reports to one controller only. Controllers exchange their sums, so that each can add up the whole,
-//! without its routers' own parts counted twice.
+//! A router reports to only one controller. The controllers exchange the sums over their own routers, so that each can
+//! compute the total without counting a router twice.
 
 use super::peer_links::MemberLink;
 use super::routers::Routers;
@@ -16,68 +17,68 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// An engine that has run less than this lately is dropped from the mix.
-const MIX_FLOOR: f32 = 0.01;
+/// An engine whose average number of running requests falls below this is no longer tracked.
+const MIN_TRACKED_RUNNING: f32 = 0.01;
 
-/// Requests at an engine over the last seconds, as moving averages.
+/// Exponential moving averages of the requests at an engine over the last seconds.
 #[derive(Default)]
-struct Mix {
-    runs: f32,
-    /// Of these, requests that somebody waits for.
+struct RequestMix {
+    running: f32,
+    /// Those of them that are interactive.
     interactive: f32,
 }
 
-impl Mix {
+impl RequestMix {
     fn decay(&mut self) {
-        self.runs *= constants::MIX_DECAY;
+        self.running *= constants::MIX_DECAY;
         self.interactive *= constants::MIX_DECAY;
     }
 
     fn add(&mut self, load: &Load) {
-        self.runs += load.runs as f32 * (1.0 - constants::MIX_DECAY);
+        self.running += load.runs as f32 * (1.0 - constants::MIX_DECAY);
         self.interactive += load.interactive as f32 * (1.0 - constants::MIX_DECAY);
     }
 
     fn interactive_share(&self) -> f64 {
-        f64::from(self.interactive / self.runs.max(MIX_FLOOR))
+        f64::from(self.interactive / self.running.max(MIN_TRACKED_RUNNING))
     }
 }
 
-/// The loads that were reported to this controller. Its locks are leaves.
+/// Engine loads reported to this controller. No other lock is taken while one of its locks is held.
 pub struct LoadReports {
     consensus: Arc<Consensus>,
     routers: Arc<Routers>,
     from_routers: Mutex<LoadTable>,
     from_peers: Mutex<LoadTable>,
-    /// By engine.
-    mix: Mutex<HashMap<u32, Mix, ahash::RandomState>>,
+    /// Averages by engine.
+    request_mixes: Mutex<HashMap<u32, RequestMix, ahash::RandomState>>,
 }
 
 impl LoadReports {
-    /// Nothing was reported as yet.
+    /// Creates tables without reports.
     pub fn new(consensus: Arc<Consensus>, routers: Arc<Routers>) -> LoadReports {
         LoadReports {
             consensus,
             routers,
             from_routers: Mutex::default(),
             from_peers: Mutex::default(),
-            mix: Mutex::default(),
+            request_mixes: Mutex::default(),
         }
     }
 
-    /// Takes in a report of a router, or the sum of another controller.
+    /// Records a report of a router, or the sum reported by another controller.
     pub fn record(&self, peer: &Peer, report: LoadReport) {
         let is_controller = peer.handshake.role == Role::Controller as u32;
         let table = if is_controller { &self.from_peers } else { &self.from_routers };
         table.lock().record(peer.handshake.incarnation, Instant::now(), report);
     }
 
-    /// Share of an engine's recent requests that somebody waits for.
+    /// Fraction of an engine's recent requests that are interactive; 0 if the engine had hardly any.
     pub fn interactive_share(&self, engine: u32) -> f64 {
-        self.mix.lock().get(&engine).map_or(0.0, Mix::interactive_share)
+        self.request_mixes.lock().get(&engine).map_or(0.0, RequestMix::interactive_share)
     }
 
-    /// Loads over all routers, as far as they were reported lately.
+    /// Loads by engine, summed over all routers with recent reports.
     pub fn total(&self) -> ByEngine {
         let now = Instant::now();
         let own = self.from_routers.lock().sum(now);
@@ -91,18 +92,18 @@
         total
     }
 
-    fn update_mix(&self, total: &ByEngine) {
-        let mut mix = self.mix.lock();
-        mix.retain(|_, mix| {
+    fn update_request_mixes(&self, total: &ByEngine) {
+        let mut request_mixes = self.request_mixes.lock();
+        request_mixes.retain(|_, mix| {
             mix.decay();
-            mix.runs > MIX_FLOOR
+            mix.running > MIN_TRACKED_RUNNING
         });
         for (engine, load) in total {
-            mix.entry(*engine).or_default().add(load);
+            request_mixes.entry(*engine).or_default().add(load);
         }
     }
 
-    /// Sends the sum over the own routers to the other voters, if that is due.
+    /// Sends the sum over this controller's routers to the other voters, if a report is due.
     fn share_with_peers(&self, sum: &ByEngine, schedule: &mut ReportSchedule, now: Instant) {
         let report = load::pack(sum);
         if !schedule.is_due(now, &report) {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Sends the sum over all to the own routers, if that is due.
+    /// Sends the total over all routers to this controller's routers, if a report is due.
     fn share_with_routers(&self, total: &ByEngine, schedule: &mut ReportSchedule, now: Instant) {
         let report = load::pack(total);
         if !schedule.is_due(now, &report) {
@@ -124,7 +125,7 @@
     }
 }
 
-/// Shares loads with the other controllers and with the own routers.
+/// Periodically shares loads with the other controllers and with this controller's routers.
 pub async fn run_load_sharing(reports: Arc<LoadReports>) {
     let (mut to_peers, mut to_routers) = (ReportSchedule::default(), ReportSchedule::default());
     loop {
@@ -133,7 +134,7 @@
         let sum = reports.from_routers.lock().sum(now);
         reports.share_with_peers(&sum, &mut to_peers, now);
         let total = reports.with_peers(sum, now);
-        reports.update_mix(&total);
+        reports.update_request_mixes(&total);
         reports.share_with_routers(&total, &mut to_routers, now);
     }
 }
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -1,19 +1,20 @@
-//! Who the controllers are: joining, replacement of lost members, recovery of lost disks, and the links.
+//! Membership of the controllers: joining, replacement of failed members, recovery after a disk loss, and the links
+//! between processes.
 //!
-//! The membership is a key of the control state, so a change of it is a change like any other, decided by the
-//! voters of the membership before it. One member changes at a time, and a quorum of the next membership always
-//! votes already: a newcomer has to read the state first.
+//! The membership is stored in a replicated register, so it is changed like any other value, by a vote of the current
+//! members. Each change concerns one member, and a quorum of the new membership always consists of members that vote
+//! already, because a new member has to read the state before it can vote.
 //!
-//! | file | what it is | pure |
+//! | module | purpose | pure |
 //! |---|---|---|
-//! | `replacement`, `failure_domains` | which membership follows | yes |
-//! | `candidates` | controllers that ask to be members | yes |
-//! | `reconfiguration` | joins, and proposes the next membership | |
-//! | `recovery` | reads the state back after a disk loss or a join | |
-//! | `state_transfer` | the other side of that: values in chunks | |
-//! | [`peer_links`], [`routers`] | links to controllers and from routers | |
-//! | `peer_service` | answers what comes over links | |
-//! | `register_reads`, `load_reports` | reads of a key by other processes; loads of engines | |
+//! | `replacement`, `failure_domains` | chooses the next membership | yes |
+//! | `candidates` | controllers that ask to become members | yes |
+//! | `reconfiguration` | joins the cluster, and proposes membership changes | |
+//! | `recovery` | reads the state from the other members after a disk loss or a join | |
+//! | `state_transfer` | serves the state in chunks to a member in recovery | |
+//! | [`peer_links`], [`routers`] | links to the other controllers, and links from routers | |
+//! | `peer_service` | answers messages received over the links | |
+//! | `register_reads`, [`load_reports`] | reads of single registers by other processes; loads of engines | |
 
 mod candidates;
 mod failure_domains;
@@ -42,20 +43,21 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// This node's part in keeping the membership. Its locks are leaves.
+/// Handles join requests and recoveries, and proposes membership changes. No other lock is taken while one of its locks is
+/// held.
 pub struct MembershipManager {
     process: Arc<Process>,
     consensus: Arc<Consensus>,
     links: Arc<PeerLinks>,
-    /// A member that gets its vote back grants no leases for a while.
+    /// A member that becomes a voter again has to withhold lease grants for a while.
     leases: Arc<LeaseManager>,
     candidates: Mutex<Candidates>,
-    /// Values that other members read back from here.
+    /// Transfers of values to members in recovery.
     state_transfers: StateTransfers,
 }
 
 impl MembershipManager {
-    /// Nobody has asked for anything as yet.
+    /// Creates a manager without candidates or transfers.
     pub fn new(
         process: Arc<Process>,
         consensus: Arc<Consensus>,
@@ -72,14 +74,14 @@
         }
     }
 
-    /// A controller asks to be a member; one that only observes is not remembered.
+    /// Records a controller that asks to become a member. Observers, and requests with an invalid address, are ignored.
     pub fn on_join_request(&self, request: JoinRequest) {
         if request.member.ip.parse::<IpAddr>().is_ok() && !request.observes {
             self.candidates.lock().record(request, Instant::now());
         }
     }
 
-    /// Part of an accepted value, for the member at `peer` that reads its state back.
+    /// The requested chunk of an accepted value, for the member at address `peer` that is in recovery.
     pub fn value_chunk(&self, peer: &str, request: &ValueChunkRequest) -> ValueChunk {
         let current: Option<Register> =
             self.consensus.with_acceptor(|acceptor| acceptor.register(&request.key).cloned());
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -1,4 +1,4 @@
-//! Links to the other controllers, and what their handshakes tell.
+//! Links to the other controllers, and facts learned from the handshakes of linked processes.
 
 use crate::process::Process;
 use fleet_core::link::Link;
@@ -15,29 +15,30 @@
 /// The link to a member.
 #[derive(Clone)]
 pub struct MemberLink {
-    /// The member's number in ballots.
+    /// Node ID of the member, as used in ballots.
     pub member: u64,
     /// The link to it.
     pub link: Arc<Link>,
 }
 
-/// One link to each controller that this node needs. Tables whose order can change what is sent are ordered, so
-/// that a simulated run can be repeated. All locks are leaves.
+/// Links from this node to other controllers, one for each. Maps whose iteration order affects what is sent are ordered,
+/// so that simulated runs are reproducible. No other lock is taken while one of its locks is held.
 pub struct PeerLinks {
     process: Arc<Process>,
     transport: Arc<dyn Transport>,
     links: Mutex<BTreeMap<Ipv4Addr, Arc<Link>>>,
-    /// No link comes up any more.
+    /// Set by `close`; no link is opened afterwards.
     closed: AtomicBool,
-    /// The zone in the handshake of each address.
+    /// Zones by address, from the handshakes.
     zones: Mutex<BTreeMap<Ipv4Addr, String>>,
-    /// Controllers that opened links to this node: all that one with an empty disk may have, where the seeds of
-    /// its settings no longer exist.
-    callers: Mutex<BTreeSet<Ipv4Addr>>,
+    /// Controllers that opened links to this node. A node with an empty disk may know no others, if the seeds in its
+    /// settings no longer exist.
+    inbound_controllers: Mutex<BTreeSet<Ipv4Addr>>,
     incarnations: Mutex<HashMap<String, Incarnations>>,
 }
 
-/// Incarnations of one address. Those before a disk loss are retired, with all they had on the way.
+/// Incarnations of the controller at one address. Those from before a disk loss are retired: messages of theirs that are
+/// still in flight are rejected.
 #[derive(Default)]
 struct Incarnations {
     observed: HashSet<u64>,
@@ -52,7 +53,7 @@
 }
 
 impl PeerLinks {
-    /// No links as yet.
+    /// Creates a set without links.
     pub fn new(process: Arc<Process>, transport: Arc<dyn Transport>) -> PeerLinks {
         PeerLinks {
             process,
@@ -60,55 +61,55 @@
             links: Mutex::default(),
             closed: AtomicBool::new(false),
             zones: Mutex::default(),
-            callers: Mutex::default(),
+            inbound_controllers: Mutex::default(),
             incarnations: Mutex::default(),
         }
     }
 
-    /// Keeps a link to each member and, while this node does not vote, to the seeds and to the controllers that
-    /// linked to it.
+    /// Opens and closes links so that there is one to each member and, while this node does not vote, to each seed and to
+    /// each controller that opened a link to this node.
     pub fn relink(&self, membership: &Membership, votes: bool) {
         let settings = self.process.settings();
-        let mut wanted: BTreeSet<Ipv4Addr> =
+        let mut required: BTreeSet<Ipv4Addr> =
             membership.members.iter().filter_map(Member::addr).collect();
         if votes {
-            self.callers.lock().clear();
+            self.inbound_controllers.lock().clear();
         } else {
-            wanted.extend(settings.seeds.iter().filter_map(|seed| ipv4(seed.ip())));
-            wanted.extend(self.callers.lock().iter().copied());
+            required.extend(settings.seeds.iter().filter_map(|seed| ipv4(seed.ip())));
+            required.extend(self.inbound_controllers.lock().iter().copied());
         }
-        wanted.remove(&self.process.node.ip);
+        required.remove(&self.process.node.ip);
         let mut links = self.links.lock();
         if self.closed.load(Ordering::Relaxed) {
             return;
         }
-        links.retain(|ip, _| wanted.contains(ip));
-        for ip in wanted {
+        links.retain(|ip, _| required.contains(ip));
+        for ip in required {
             let address = settings.peer_addr(ip.into());
-            let keep =
+            let open =
                 || Link::keep_over(self.transport.clone(), &self.process.node, address, None);
-            links.entry(ip).or_insert_with(keep);
+            links.entry(ip).or_insert_with(open);
         }
     }
 
-    /// Drops all links for good.
+    /// Closes all links; no link is opened afterwards.
     pub fn close(&self) {
         let mut links = self.links.lock();
         self.closed.store(true, Ordering::Relaxed);
         links.clear();
     }
 
-    /// All links, by address.
+    /// All links, ordered by address.
     pub fn all(&self) -> Vec<(Ipv4Addr, Arc<Link>)> {
         self.links.lock().iter().map(|(ip, link)| (*ip, link.clone())).collect()
     }
 
-    /// The link to an address.
+    /// The link to the controller at an address, whether or not it is up.
     pub fn get(&self, ip: Ipv4Addr) -> Option<Arc<Link>> {
         self.links.lock().get(&ip).cloned()
     }
 
-    /// Links to these members but this node.
+    /// Links to those of these members that there is a link to; this node itself is left out.
     pub fn to(&self, members: &[Member]) -> Vec<MemberLink> {
         let links = self.links.lock();
         let link = |member: &Member| {
@@ -118,17 +119,17 @@
         members.iter().filter_map(link).collect()
     }
 
-    /// The zone in the handshake of a process at this address.
+    /// Zone reported in the latest handshake from an address.
     pub fn zone_of(&self, ip: Ipv4Addr) -> Option<String> {
         self.zones.lock().get(&ip).cloned()
     }
 
-    /// A process has linked to this node. A router has an incarnation of its own beside the controller of its
-    /// machine, which no disk loss ends.
+    /// Records the handshake of a process that opened a link to this node. Incarnations are recorded of controllers only:
+    /// a router on the same machine has an incarnation of its own, which a disk loss does not retire.
     pub fn register(&self, handshake: &Handshake) {
         let ip: Option<Ipv4Addr> = handshake.ip.parse().ok();
         if handshake.role == Role::Controller as u32 {
-            self.callers.lock().extend(ip);
+            self.inbound_controllers.lock().extend(ip);
             let mut incarnations = self.incarnations.lock();
             let of_address = incarnations.entry_ref(handshake.ip.as_str()).or_default();
             of_address.observed.insert(handshake.incarnation);
@@ -138,15 +139,17 @@
         }
     }
 
-    /// A controller came back with an empty disk: all its incarnations but this one are retired.
-    pub fn retire_incarnations(&self, ip: &str, but: u64) {
+    /// Retires all observed incarnations of the controller at an address except the current one. Called when a controller
+    /// has restarted with an empty disk.
+    pub fn retire_incarnations(&self, ip: &str, current: u64) {
         let mut incarnations = self.incarnations.lock();
         let of_address = incarnations.entry_ref(ip).or_default();
-        let former = of_address.observed.iter().copied().filter(|incarnation| *incarnation != but);
-        of_address.retired.extend(former);
+        let others =
+            of_address.observed.iter().copied().filter(|incarnation| *incarnation != current);
+        of_address.retired.extend(others);
     }
 
-    /// Whether a process was retired by a later one of its address that came with an empty disk.
+    /// Whether an incarnation was retired, because a later one at its address started with an empty disk.
     pub fn is_retired(&self, handshake: &Handshake) -> bool {
         let incarnations = self.incarnations.lock();
         let of_address = incarnations.get(&handshake.ip);
--- a/crates/control-plane/src/membership/peer_service.rs
+++ b/crates/control-plane/src/membership/peer_service.rs
@@ -1,7 +1,7 @@
-//! Answers the messages of routers and other controllers.
+//! Dispatches messages from routers and other controllers to the components that handle them.
 //!
-//! Each message is handed to the area that decides on it; nothing is decided here. Messages of a process
-//! whose disk was replaced by an empty one are dropped, since its votes no longer count.
+//! Messages of a controller's former incarnation whose disk has been lost since are dropped, because its votes no longer
+//! count.
 
 use super::routers::Routers;
 use super::{MembershipManager, load_reports::LoadReports, peer_links::PeerLinks, register_reads};
@@ -23,45 +23,45 @@
 use std::sync::Arc;
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// The areas that answer messages.
+/// The components that handle messages.
 pub struct PeerServiceParts {
-    /// The process that is linked to.
+    /// Identity, settings and log of this process.
     pub process: Arc<Process>,
-    /// Links from this node, and the handshakes of those to it.
+    /// Links from this node, and handshakes of processes that linked to it.
     pub links: Arc<PeerLinks>,
-    /// Routers that are linked.
+    /// Linked routers.
     pub routers: Arc<Routers>,
-    /// Votes, changes and reads.
+    /// Handles votes, changes and reads.
     pub consensus: Arc<Consensus>,
-    /// Joins and recoveries.
+    /// Handles join requests and recoveries.
     pub membership: Arc<MembershipManager>,
-    /// Grants of leases.
+    /// Grants leases.
     pub leases: Arc<LeaseManager>,
-    /// Heartbeats of engines, shared by other controllers.
+    /// Receives engine heartbeats shared by other controllers.
     pub registry: Arc<EngineRegistry>,
-    /// What is pushed to routers.
+    /// Source of the updates pushed to routers.
     pub cluster_state: Arc<ClusterStateStore>,
-    /// Configurations for routers.
+    /// Serves configurations to routers.
     pub distribution: Arc<ConfigDistribution>,
-    /// Loads of engines.
+    /// Receives engine loads.
     pub load_reports: Arc<LoadReports>,
-    /// The ring of invalidations.
+    /// Owner or relay of the invalidation ring.
     pub index: Arc<IndexOwnership>,
 }
 
-/// The end of the links that routers and other controllers open to this one.
+/// Handler of the links that routers and other controllers open to this controller.
 pub struct PeerService {
     parts: PeerServiceParts,
-    /// Complete states that are on their way to routers: each is in memory until it has gone out, and hundreds of routers
-    /// may link at once.
-    complete_states: Arc<Semaphore>,
+    /// Limits how many complete states are in flight to routers. Each stays in memory until it is sent, and hundreds of
+    /// routers may link at once.
+    complete_state_permits: Arc<Semaphore>,
 }
 
 impl PeerService {
-    /// Answers with these areas.
+    /// Creates a service that dispatches to the given components.
     pub fn new(parts: PeerServiceParts) -> PeerService {
-        let complete_states = Arc::new(Semaphore::new(constants::COMPLETE_STATES_IN_FLIGHT));
-        PeerService { parts, complete_states }
+        let complete_state_permits = Arc::new(Semaphore::new(constants::COMPLETE_STATES_IN_FLIGHT));
+        PeerService { parts, complete_state_permits }
     }
 }
 
@@ -70,10 +70,10 @@
         self.parts.links.register(&peer.handshake);
         if peer.handshake.role == Role::Router as u32 {
             self.parts.routers.connected(peer);
-            // ends when the link does
+            // The task ends when the link is closed.
             let updates = RouterUpdates {
                 cluster_state: self.parts.cluster_state.clone(),
-                complete_states: self.complete_states.clone(),
+                complete_state_permits: self.complete_state_permits.clone(),
                 peer: peer.clone(),
             };
             tokio::spawn(updates.run());
@@ -105,7 +105,7 @@
                 Some(Body::ValueChunk(chunk))
             }
             Body::RegisterRequest(request) => {
-                let response = register_reads::register(&parts.consensus, &request);
+                let response = register_reads::answer_read(&parts.consensus, &request);
                 Some(Body::RegisterResponse(response))
             }
             Body::ConfigRequest(request) => {
@@ -150,7 +150,8 @@
         vote.map(Body::Vote)
     }
 
-    /// A voter that has just voted for an owner takes part in no election for a while.
+    /// Records that the key's owner makes progress: a voter that has just voted for an owner takes part in no election
+    /// for a while.
     fn record_progress(&self, key: &str, vote: Option<&Vote>) {
         if vote.is_some_and(|vote| vote.ok) {
             self.parts.consensus.record_progress(key);
@@ -168,7 +169,8 @@
         report.map(Body::BallotReport)
     }
 
-    /// A member that reads its state back: what its former incarnation sent is dropped from now on.
+    /// Handles the start of a member's recovery. If the membership matches, messages of the member's former incarnations
+    /// are dropped from now on.
     async fn begin_recovery(&self, peer: &Peer, request: &RecoverRequest) -> Option<Body> {
         let consensus = &self.parts.consensus;
         let report = if request.membership == consensus.membership_epoch() {
@@ -214,7 +216,7 @@
         Some(Body::Acknowledged(Empty {}))
     }
 
-    /// A reader that has not read the last answers gets none: it asks again.
+    /// Answers a reader of the invalidation ring, unless too many earlier messages to it are still unsent; it asks again.
     fn ring(&self, peer: &Peer, request: &RingRequest) -> Option<Body> {
         if peer.backlog() >= constants::SLOW_READER_BACKLOG {
             return None;
@@ -224,7 +226,7 @@
         Some(Body::RingResponse(self.parts.index.answer_reader(request, reader)))
     }
 
-    /// Another controller, which owns the index, has published something.
+    /// Records the ring head announced by another controller that owns the index.
     fn owner_head(&self, peer: &Peer, update: FleetUpdate) -> Option<Body> {
         if peer.handshake.role == Role::Controller as u32
             && let Some(head) = update.ring
@@ -235,22 +237,22 @@
     }
 }
 
-/// Pushes what is new to one router, as it comes; to one that reads slowly, all of it in one view once it has
-/// read what waits.
+/// Pushes updates to one router as they occur. For a router that reads slowly, they are combined into one update, sent
+/// once its backlog has shrunk.
 struct RouterUpdates {
     cluster_state: Arc<ClusterStateStore>,
-    complete_states: Arc<Semaphore>,
+    complete_state_permits: Arc<Semaphore>,
     peer: Peer,
 }
 
 impl RouterUpdates {
-    /// Pushes until the link ends.
+    /// Pushes updates until the link is closed.
     async fn run(self) {
         let mut changes = self.cluster_state.subscribe();
         let mut position = None;
         while !self.peer.is_closed() {
             changes.borrow_and_update();
-            self.backlog_below(constants::SLOW_READER_BACKLOG).await;
+            self.wait_for_backlog_below(constants::SLOW_READER_BACKLOG).await;
             let Some(pushed) = self.push_since(position).await else { continue };
             position = Some(pushed);
             tokio::select! {
@@ -261,22 +263,23 @@
         }
     }
 
-    /// Pushes what is new since a position, and returns how far it reaches; none if it was not taken.
+    /// Pushes what changed since a position. Returns the position that the router is up to date with, or `None` if the
+    /// link did not accept the update.
     async fn push_since(&self, position: Option<u64>) -> Option<u64> {
         let permit = self.permit_for_complete_state(position).await;
-        let (head, view) = self.cluster_state.update_since(position);
-        if let Some(view) = view {
-            self.peer.push(Body::FleetUpdate(view)).ok()?;
+        let (head, update) = self.cluster_state.update_since(position);
+        if let Some(update) = update {
+            self.peer.push(Body::FleetUpdate(update)).ok()?;
         }
         if permit.is_some() {
-            // a router behind a cut must not hold up the others
-            let sent = self.backlog_below(1);
-            let _ = tokio::time::timeout(constants::COMPLETE_STATE_TIMEOUT, sent).await;
+            // A router that is cut off by a network partition must not delay the others.
+            let drained = self.wait_for_backlog_below(1);
+            let _ = tokio::time::timeout(constants::COMPLETE_STATE_TIMEOUT, drained).await;
         }
         Some(head)
     }
 
-    /// Waits for its turn if the router has to be sent the complete state.
+    /// If the router needs the complete state, waits for a permit to send one.
     async fn permit_for_complete_state(
         &self,
         position: Option<u64>,
@@ -284,12 +287,12 @@
         if !self.cluster_state.needs_complete_state(position) {
             return None;
         }
-        // it is never closed
-        self.complete_states.acquire().await.ok()
+        // The semaphore is never closed.
+        self.complete_state_permits.acquire().await.ok()
     }
 
-    /// Waits until fewer frames than this wait for the router to read them, or the link has ended.
-    async fn backlog_below(&self, frames: usize) {
+    /// Waits until fewer than `frames` frames are queued for the router, or the link is closed.
+    async fn wait_for_backlog_below(&self, frames: usize) {
         while self.peer.backlog() >= frames && !self.peer.is_closed() {
             tokio::time::sleep(constants::SLOW_READER_POLL_INTERVAL).await;
         }
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -1,9 +1,9 @@
-//! Reading the state back: after a lost disk, or for the first time after joining.
+//! Recovery of a member's state from the other members, after a disk loss or after joining.
 //!
-//! Each value is read once, in pieces, from one of those that hold the highest ballot of its key.
-//! Then a majority goes to a new recovery epoch, which makes owners prepare anew, and gives its
-//! ballots; what has changed since is read again. What was read stays when a holder or the
-//! membership changes midway, so only progress counts and not the whole time.
+//! First, each value is read in chunks from one of the members that have accepted the highest ballot of its register. Then
+//! a majority advances to a new recovery epoch, which forces the owners of keys to prepare again, and reports its ballots.
+//! Values that have changed since are read again. Values read so far are kept when a source or the membership changes
+//! during the recovery, so that a recovery that is interrupted often still completes.
 
 use super::MembershipManager;
 use super::peer_links::MemberLink;
@@ -16,9 +16,9 @@
 };
 use std::sync::Arc;
 
-/// One that values can be read from.
+/// A member that values can be read from.
 pub trait ChunkSource {
-    /// The asked part of a value, or nothing where no answer comes in time.
+    /// Reads the requested chunk of a value; `None` if there is no answer in time.
     fn chunk(&self, request: ValueChunkRequest) -> impl Future<Output = Option<ValueChunk>> + Send;
 }
 
@@ -31,36 +31,38 @@
     }
 }
 
-/// Values read so far.
+/// Values read so far, which are kept across attempts to recover.
 #[derive(Default)]
 pub struct CatchUp {
-    values: std::collections::BTreeMap<String, Partial>,
+    values: std::collections::BTreeMap<String, PartialValue>,
 }
 
-/// What is there of one value.
+/// The part of a value that has been read.
 #[derive(Default)]
-struct Partial {
+struct PartialValue {
     ballot: Ballot,
+    /// Size of the complete value; `None` before the first chunk.
     total: Option<usize>,
     bytes: Vec<u8>,
 }
 
-impl Partial {
-    fn of(ballot: Ballot) -> Partial {
-        Partial { ballot, ..Default::default() }
+impl PartialValue {
+    fn new(ballot: Ballot) -> PartialValue {
+        PartialValue { ballot, ..Default::default() }
     }
 
     fn is_complete(&self) -> bool {
         self.total == Some(self.bytes.len())
     }
 
-    /// False if the piece brings nothing on.
+    /// Appends a chunk. A chunk of a later ballot replaces what was read before. Returns false if the chunk brings no
+    /// progress.
     fn append(&mut self, chunk: &ValueChunk) -> bool {
         if chunk.ballot < self.ballot || chunk.ballot == Ballot::default() {
             return false;
         }
         if chunk.ballot > self.ballot {
-            *self = Partial::of(chunk.ballot);
+            *self = PartialValue::new(chunk.ballot);
         }
         if chunk.offset != self.bytes.len() as u64 {
             return false;
@@ -72,19 +74,19 @@
 }
 
 impl CatchUp {
-    /// Reads one value to its end, at the wanted ballot or one that a holder has gone on to; false
-    /// if no holder has it now. What was read before at any other ballot is dropped: a voter of an
-    /// earlier recovery epoch may have accepted it that no majority knows of.
-    pub async fn fetch<H: ChunkSource>(
+    /// Reads one value completely, at the given ballot or at a later one that a source has accepted meanwhile. Returns
+    /// false if none of the sources could supply the rest. What was read before at another ballot is discarded, because it
+    /// may have been accepted only by a voter of an earlier recovery epoch, without a majority.
+    pub async fn fetch<S: ChunkSource>(
         &mut self,
         key: &str,
-        latest_ballots: Ballot,
-        sources: &[H],
+        ballot: Ballot,
+        sources: &[S],
     ) -> bool {
         let partial =
-            self.values.entry(key.to_owned()).or_insert_with(|| Partial::of(latest_ballots));
-        if partial.ballot != latest_ballots {
-            *partial = Partial::of(latest_ballots);
+            self.values.entry(key.to_owned()).or_insert_with(|| PartialValue::new(ballot));
+        if partial.ballot != ballot {
+            *partial = PartialValue::new(ballot);
         }
         for source in sources {
             while !partial.is_complete() {
@@ -100,15 +102,15 @@
         partial.is_complete()
     }
 
-    /// Puts the values read into the answers, which came with ballots only.
-    fn fill(&mut self, answers: &mut [BallotReport]) {
+    /// Moves the values read into the reports, which contain only ballots.
+    fn fill(&mut self, reports: &mut [BallotReport]) {
         let values: std::collections::BTreeMap<String, (Ballot, bytes::Bytes)> =
             std::mem::take(&mut self.values)
                 .into_iter()
-                .map(|(key, p)| (key, (p.ballot, p.bytes.into())))
+                .map(|(key, partial)| (key, (partial.ballot, partial.bytes.into())))
                 .collect();
-        let registers = answers.iter_mut().flat_map(|answer| &mut answer.registers);
-        for register in registers.filter(|r| r.accepted != Ballot::default()) {
+        let registers = reports.iter_mut().flat_map(|report| &mut report.registers);
+        for register in registers.filter(|register| register.accepted != Ballot::default()) {
             if let Some((ballot, value)) = values.get(&register.key) {
                 register.accepted = *ballot;
                 register.value = value.clone();
@@ -117,16 +119,16 @@
     }
 }
 
-/// Highest accepted ballot of each key, and who has it.
+/// Highest accepted ballot of each key, with the IDs of the members that have accepted it.
 fn latest_ballots(
-    answers: &[(u64, BallotReport)],
+    reports: &[(u64, BallotReport)],
 ) -> std::collections::BTreeMap<String, (Ballot, Vec<u64>)> {
-    let mut out: std::collections::BTreeMap<String, (Ballot, Vec<u64>)> =
+    let mut latest: std::collections::BTreeMap<String, (Ballot, Vec<u64>)> =
         std::collections::BTreeMap::new();
-    let accepted = |r: &&Register| r.accepted != Ballot::default();
-    for (id, answer) in answers {
-        for register in answer.registers.iter().filter(accepted) {
-            let (highest, sources) = out.entry(register.key.clone()).or_default();
+    let is_accepted = |register: &&Register| register.accepted != Ballot::default();
+    for (id, report) in reports {
+        for register in report.registers.iter().filter(is_accepted) {
+            let (highest, sources) = latest.entry(register.key.clone()).or_default();
             if register.accepted > *highest {
                 *highest = register.accepted;
                 sources.clear();
@@ -136,52 +138,54 @@
             }
         }
     }
-    out
+    latest
 }
 
-/// Learns the latest recovery epoch of a majority and reads the values, takes a majority to a later
-/// epoch with its ballots, and reads what is new; the member votes then, if the membership has not moved meanwhile.
+/// Attempts to recover this member's state. Reads the values of a majority, advances a majority to a new recovery epoch,
+/// and reads what has changed since; then the member votes again, unless the membership has changed meanwhile.
 pub async fn recover(manager: &Arc<MembershipManager>, membership: u64, catch_up: &mut CatchUp) {
-    let before =
+    let initial_reports =
         query_all(manager, Body::ReadBallots(ReadBallots { membership, values: false })).await;
     let quorum = manager.consensus.membership().majority();
-    let mut voters = before.clone();
+    let mut voters = initial_reports.clone();
     voters.retain(|(_, report)| report.votes_in(membership));
     if voters.len() < quorum || !fetch_all(manager, &voters, catch_up).await {
         return;
     }
-    let recovery_epoch = before.iter().map(|(_, p)| p.recovery_epoch).max().unwrap_or(0) + 1;
+    let recovery_epoch =
+        initial_reports.iter().map(|(_, report)| report.recovery_epoch).max().unwrap_or(0) + 1;
     let request = Body::RecoverRequest(RecoverRequest {
         membership,
         incarnation: manager.process.node.incarnation,
         recovery_epoch,
     });
-    let mut answers = query_all(manager, request).await;
-    answers.retain(|(_, report)| {
+    let mut reports = query_all(manager, request).await;
+    reports.retain(|(_, report)| {
         report.votes_in(membership) && report.recovery_epoch >= recovery_epoch
     });
-    if answers.len() < quorum || !fetch_all(manager, &answers, catch_up).await {
+    if reports.len() < quorum || !fetch_all(manager, &reports, catch_up).await {
         return;
     }
-    let mut answers: Vec<BallotReport> = answers.into_iter().map(|(_, p)| p).collect();
-    catch_up.fill(&mut answers);
-    manager.leases.close_for(manager.process.settings().bounds.lease);
-    if manager.consensus.persist(|a| a.recover(recovery_epoch, &answers)).await {
+    let mut reports: Vec<BallotReport> = reports.into_iter().map(|(_, report)| report).collect();
+    catch_up.fill(&mut reports);
+    manager.leases.block_grants_for(manager.process.settings().bounds.lease);
+    if manager.consensus.persist(|acceptor| acceptor.recover(recovery_epoch, &reports)).await {
         fleet_core::log_event!(manager.process.log, Event::Voting, "recovery_epoch" => recovery_epoch);
         manager.consensus.relink();
     }
 }
 
-/// Each value from one of its holders; others than the first take turns.
+/// Reads each value from one of its sources. The first source rotates from key to key, to spread the load; the others are
+/// tried if it fails. Returns false if a value could not be read.
 async fn fetch_all(
     manager: &Arc<MembershipManager>,
-    answers: &[(u64, BallotReport)],
+    reports: &[(u64, BallotReport)],
     catch_up: &mut CatchUp,
 ) -> bool {
     let members = manager.consensus.membership().members;
     let links = manager.links.to(&members);
-    for (offset, (key, (ballot, mut ids))) in latest_ballots(answers).into_iter().enumerate() {
-        let first = offset % ids.len();
+    for (index, (key, (ballot, mut ids))) in latest_ballots(reports).into_iter().enumerate() {
+        let first = index % ids.len();
         ids.rotate_left(first);
         let link = |id: &u64| links.iter().find(|link| link.member == *id);
         let sources: Vec<Arc<Link>> =
@@ -193,7 +197,8 @@
     true
 }
 
-/// Asks all other members at once; a later membership among the answers is taken up.
+/// Sends a request to all other members at once and returns their reports. Adopts a later membership if a report contains
+/// one.
 pub async fn query_all(
     manager: &Arc<MembershipManager>,
     request: Body,
@@ -203,15 +208,15 @@
         let request = request.clone();
         async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
     });
-    let mut out = Vec::new();
+    let mut reports = Vec::new();
     for (id, answer) in futures_util::future::join_all(calls).await {
         let Ok(Body::BallotReport(report)) = answer else { continue };
         if let Some(membership) = &report.membership {
             manager.consensus.adopt(membership).await;
         }
-        out.push((id, report));
+        reports.push((id, report));
     }
-    out
+    reports
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/membership/register_reads.rs
+++ b/crates/control-plane/src/membership/register_reads.rs
@@ -1,10 +1,11 @@
-//! Answers other processes that read a key from this node alone.
+//! Reads of single registers by other processes, answered from this node's state without a quorum.
 
 use crate::consensus::{ChosenValue, Consensus};
 use fleet_core::wire::{Register, RegisterRequest, RegisterResponse};
 
 impl Consensus {
-    /// The newest value of a key that is known here: accepted by this voter, or learned as chosen.
+    /// The newest value of a register that this node knows, either accepted by it as a voter or learned as chosen. It may
+    /// be outdated.
     pub fn newest_register(&self, key: &str) -> Option<Register> {
         let learned = self.learned(key);
         let accepted = self.with_acceptor(|acceptor| acceptor.register(key).cloned());
@@ -21,8 +22,8 @@
     }
 }
 
-/// Answers a process that asks for one key.
-pub fn register(consensus: &Consensus, request: &RegisterRequest) -> RegisterResponse {
+/// Answers a read request with this node's newest value of the register.
+pub fn answer_read(consensus: &Consensus, request: &RegisterRequest) -> RegisterResponse {
     let register = consensus.newest_register(&request.key);
     RegisterResponse { is_known: register.is_some(), register }
 }
