--- a/crates/control-plane/src/membership/replacement_tests.rs
+++ b/crates/control-plane/src/membership/replacement_tests.rs
@@ -2,11 +2,11 @@
 
 use super::*;
 
-/// As settings have it.
+/// Value of the setting `bounds.catchUpS`.
 const CATCH_UP: Duration = Duration::from_secs(4);
 
-fn at(n: u8, zone: &str) -> Member {
-    Member { ip: format!("10.0.0.{n}"), zone: zone.into(), ..Default::default() }
+fn member_at(host: u8, zone: &str) -> Member {
+    Member { ip: format!("10.0.0.{host}"), zone: zone.into(), ..Default::default() }
 }
 
 fn membership(members: &[Member]) -> Membership {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Silent and without a vote for this long.
+/// Unreachable and not voting for this long.
 fn unreachable(member: &Member, ms: u64) -> MemberStatus {
     let unreachable_for = Duration::from_millis(ms);
     MemberStatus {
@@ -35,30 +35,32 @@
     }
 }
 
-/// Linked, but without a vote for this long.
-fn not_voting_for(member: &Member, ms: u64) -> MemberStatus {
+/// Reachable, but not voting for this long.
+fn not_voting(member: &Member, ms: u64) -> MemberStatus {
     MemberStatus { votes: false, not_voting_for: Duration::from_millis(ms), ..voting(member) }
 }
 
-fn bears(machines: usize, zones: usize) -> Tolerance {
+fn tolerating(machines: usize, zones: usize) -> Tolerance {
     Tolerance { machines, zones, ..Default::default() }
 }
 
-/// Stood by before anything happened.
+/// A candidate that started long before any member was lost.
 fn standby(member: &Member) -> Candidate {
     Candidate { member: member.clone(), running: Duration::from_secs(3600) }
 }
 
-/// Started this long ago.
-fn newcomer(member: &Member, ms: u64) -> Candidate {
+/// A candidate that started this long ago.
+fn started(member: &Member, ms: u64) -> Candidate {
     Candidate { member: member.clone(), running: Duration::from_millis(ms) }
 }
 
+/// Host numbers of the members that follow if all candidates are standbys.
 fn next(members: &[MemberStatus], candidates: &[Member], tolerance: &Tolerance) -> Option<Vec<u8>> {
     let candidates: Vec<Candidate> = candidates.iter().map(standby).collect();
     next_with(members, &candidates, tolerance)
 }
 
+/// Host numbers of the members that follow.
 fn next_with(
     members: &[MemberStatus],
     candidates: &[Candidate],
@@ -67,158 +69,224 @@
     let all: Vec<Member> = members.iter().map(|status| status.member.clone()).collect();
     let membership = membership(&all);
     let successor_wait = successor_wait(CATCH_UP);
-    let situation =
-        Situation { membership: &membership, members, candidates, tolerance, successor_wait };
-    let next = situation.next()?;
+    let planner = MembershipPlanner {
+        membership: &membership,
+        members,
+        candidates,
+        tolerance,
+        successor_wait,
+    };
+    let next = planner.next()?;
     assert_eq!(next.epoch, 2);
-    let joined: Vec<&Member> = next.members.iter().filter(|m| m.joined_epoch == 2).collect();
-    assert_eq!(joined.len(), 1, "one at a time, with the epoch that took it in");
-    Some(next.members.iter().map(|m| m.ip.rsplit('.').next().unwrap().parse().unwrap()).collect())
+    let joined: Vec<&Member> =
+        next.members.iter().filter(|member| member.joined_epoch == 2).collect();
+    assert_eq!(joined.len(), 1, "one member is added, with the epoch in which it joined");
+    Some(
+        next.members
+            .iter()
+            .map(|member| member.ip.rsplit('.').next().unwrap().parse().unwrap())
+            .collect(),
+    )
 }
 
 #[test]
-fn joiner_stands_in_for_the_silent_one_of_its_zone_first() {
-    let j = [at(9, "b")];
-    let all = |a, b| {
+fn candidate_replaces_an_unreachable_member_of_its_own_zone_first() {
+    let candidates = [member_at(9, "b")];
+    let members = |first_ms, second_ms| {
         [
-            unreachable(&at(1, "a"), a),
-            unreachable(&at(2, "b"), b),
-            voting(&at(3, "c")),
-            voting(&at(4, "d")),
-            voting(&at(5, "e")),
+            unreachable(&member_at(1, "a"), first_ms),
+            unreachable(&member_at(2, "b"), second_ms),
+            voting(&member_at(3, "c")),
+            voting(&member_at(4, "d")),
+            voting(&member_at(5, "e")),
         ]
     };
-    let two = bears(2, 0);
-    assert_eq!(next(&all(0, 0), &j, &two), None);
-    assert_eq!(next(&all(3500, 500), &j, &two), None);
-    assert_eq!(next(&all(9000, 3500), &j, &two), Some(vec![1, 3, 4, 5, 9]));
-    assert_eq!(next(&all(9000, 500), &j, &two), Some(vec![2, 3, 4, 5, 9]));
+    let two = tolerating(2, 0);
+    assert_eq!(next(&members(0, 0), &candidates, &two), None);
+    assert_eq!(next(&members(3500, 500), &candidates, &two), None);
+    assert_eq!(next(&members(9000, 3500), &candidates, &two), Some(vec![1, 3, 4, 5, 9]));
+    assert_eq!(next(&members(9000, 500), &candidates, &two), Some(vec![2, 3, 4, 5, 9]));
 }
 
 #[test]
-fn a_membership_grows_one_at_a_time_into_the_emptiest_zone_then_stands() {
-    let founders = [voting(&at(1, "a")), voting(&at(2, "b")), voting(&at(3, "c"))];
-    let candidates = [at(4, "a"), at(5, "d"), at(6, "b")];
-    assert_eq!(next(&founders, &candidates, &bears(1, 0)), None, "whole for one loss");
-    assert_eq!(next(&founders, &candidates, &bears(2, 0)), Some(vec![1, 2, 3, 5]));
+fn membership_grows_by_one_into_the_emptiest_zone_up_to_its_target_size() {
+    let founders =
+        [voting(&member_at(1, "a")), voting(&member_at(2, "b")), voting(&member_at(3, "c"))];
+    let candidates = [member_at(4, "a"), member_at(5, "d"), member_at(6, "b")];
+    assert_eq!(
+        next(&founders, &candidates, &tolerating(1, 0)),
+        None,
+        "already at the target size for one loss"
+    );
+    assert_eq!(next(&founders, &candidates, &tolerating(2, 0)), Some(vec![1, 2, 3, 5]));
     let [a, b, c] = founders;
-    let two = bears(2, 0);
-    let newcomer = not_voting_for(&at(5, "d"), 400);
-    let four = [a.clone(), b.clone(), c.clone(), newcomer];
-    assert_eq!(next(&four, &candidates, &two), None, "the newcomer reads first");
-    let four = [a.clone(), b.clone(), c.clone(), voting(&at(5, "d"))];
+    let two = tolerating(2, 0);
+    let new_member = not_voting(&member_at(5, "d"), 400);
+    let four = [a.clone(), b.clone(), c.clone(), new_member];
+    assert_eq!(next(&four, &candidates, &two), None, "the new member still reads the state");
+    let four = [a.clone(), b.clone(), c.clone(), voting(&member_at(5, "d"))];
     assert_eq!(next(&four, &candidates, &two), Some(vec![1, 2, 3, 4, 5]));
-    let five = [a, b, c, voting(&at(4, "a")), voting(&at(5, "d"))];
-    assert_eq!(next(&five, &candidates, &two), None, "whole");
+    let five = [a, b, c, voting(&member_at(4, "a")), voting(&member_at(5, "d"))];
+    assert_eq!(next(&five, &candidates, &two), None, "at the target size");
 }
 
-/// Formerly a membership that was not whole only grew, and only while all of it voted.
+/// A membership below its target size must not only grow, and only while all of its members vote: with a lost member it
+/// could then never complete.
 #[test]
 fn a_lost_member_is_replaced_at_any_size() {
-    let [a, b, c] = [voting(&at(1, "a")), voting(&at(2, "b")), voting(&at(3, "c"))];
-    let candidates = [at(7, "d"), at(8, "e")];
-    let two = bears(2, 0);
-    let three = [unreachable(&at(1, "a"), 7000), b.clone(), c.clone()];
+    let [a, b, c] =
+        [voting(&member_at(1, "a")), voting(&member_at(2, "b")), voting(&member_at(3, "c"))];
+    let candidates = [member_at(7, "d"), member_at(8, "e")];
+    let two = tolerating(2, 0);
+    let three = [unreachable(&member_at(1, "a"), 7000), b.clone(), c.clone()];
     assert_eq!(next(&three, &candidates, &two), Some(vec![2, 3, 7]));
-    let four = [a.clone(), b.clone(), c.clone(), unreachable(&at(4, "f"), 7000)];
+    let four = [a.clone(), b.clone(), c.clone(), unreachable(&member_at(4, "f"), 7000)];
     assert_eq!(next(&four, &candidates, &two), Some(vec![1, 2, 3, 7]));
-    let stuck = [a, b, c, not_voting_for(&at(4, "f"), 7000)];
-    assert_eq!(next(&stuck, &candidates, &two), Some(vec![1, 2, 3, 4, 7]), "grows past it");
+    let stuck = [a, b, c, not_voting(&member_at(4, "f"), 7000)];
+    assert_eq!(
+        next(&stuck, &candidates, &two),
+        Some(vec![1, 2, 3, 4, 7]),
+        "it is not replaced yet, so the membership grows"
+    );
 }
 
 #[test]
-fn no_membership_follows_that_lacks_a_quorum_with_the_state() {
-    let [a, b, c] = [voting(&at(1, "a")), voting(&at(2, "b")), voting(&at(3, "c"))];
-    let candidates = [at(7, "d"), at(8, "e")];
-    let reading = not_voting_for(&at(3, "c"), 100);
-    let two_vote = [unreachable(&at(1, "a"), 1000), b.clone(), c.clone()];
-    assert_eq!(next(&two_vote, &candidates, &bears(2, 0)), None, "two of four hold it");
-    let stuck = [not_voting_for(&at(1, "a"), 8000), b.clone(), c.clone()];
-    assert_eq!(next(&stuck, &candidates, &bears(2, 0)), None, "two of four hold it");
-    let one_votes = [unreachable(&at(1, "a"), 9000), b.clone(), reading];
-    assert_eq!(next(&one_votes, &candidates, &bears(1, 0)), None);
+fn next_membership_always_has_a_quorum_with_the_state() {
+    let [a, b, c] =
+        [voting(&member_at(1, "a")), voting(&member_at(2, "b")), voting(&member_at(3, "c"))];
+    let candidates = [member_at(7, "d"), member_at(8, "e")];
+    let reading = not_voting(&member_at(3, "c"), 100);
+    let two_vote = [unreachable(&member_at(1, "a"), 1000), b.clone(), c.clone()];
+    assert_eq!(next(&two_vote, &candidates, &tolerating(2, 0)), None, "two of four hold it");
+    let stuck = [not_voting(&member_at(1, "a"), 8000), b.clone(), c.clone()];
+    assert_eq!(next(&stuck, &candidates, &tolerating(2, 0)), None, "two of four hold it");
+    let one_votes = [unreachable(&member_at(1, "a"), 9000), b.clone(), reading];
+    assert_eq!(next(&one_votes, &candidates, &tolerating(1, 0)), None);
     let five = [
         a,
         b,
-        unreachable(&at(3, "c"), 9000),
-        unreachable(&at(4, "d"), 9000),
-        not_voting_for(&at(5, "e"), 10),
+        unreachable(&member_at(3, "c"), 9000),
+        unreachable(&member_at(4, "d"), 9000),
+        not_voting(&member_at(5, "e"), 10),
     ];
-    assert_eq!(next(&five, &candidates, &bears(2, 0)), None, "two vote of five");
+    assert_eq!(next(&five, &candidates, &tolerating(2, 0)), None, "two vote of five");
 }
 
 #[test]
-fn a_member_that_is_linked_but_never_votes_is_replaced_late() {
-    let full_disk =
-        |ms| [not_voting_for(&at(1, "a"), ms), voting(&at(2, "b")), voting(&at(3, "c"))];
-    let candidates = [at(7, "a")];
-    let one = bears(1, 0);
-    assert_eq!(next(&full_disk(9000), &candidates, &one), None, "it may be reading back");
-    let late = constants::NON_VOTING_TIMEOUT.as_millis() as u64;
-    assert_eq!(next(&full_disk(late), &candidates, &one), Some(vec![2, 3, 7]));
+fn reachable_member_that_never_votes_is_replaced_after_the_longer_timeout() {
+    let members = |ms| {
+        [not_voting(&member_at(1, "a"), ms), voting(&member_at(2, "b")), voting(&member_at(3, "c"))]
+    };
+    let candidates = [member_at(7, "a")];
+    let one = tolerating(1, 0);
+    assert_eq!(next(&members(9000), &candidates, &one), None, "it may be in recovery");
+    let timeout_ms = constants::NON_VOTING_TIMEOUT.as_millis() as u64;
+    assert_eq!(next(&members(timeout_ms), &candidates, &one), Some(vec![2, 3, 7]));
 }
 
 #[test]
-fn a_lost_zone_or_region_leaves_a_quorum_where_the_machines_allow_it() {
-    let crowded = [voting(&at(1, "a")), voting(&at(2, "a")), voting(&at(3, "b"))];
-    let candidates = [at(6, "b"), at(7, "c"), at(8, "a")];
-    assert_eq!(next(&crowded, &candidates, &bears(1, 0)), None, "zones need not be borne");
-    assert_eq!(next(&crowded, &candidates, &bears(1, 1)), Some(vec![2, 3, 7]));
-    assert_eq!(next(&crowded, &candidates[2..], &bears(1, 1)), None, "nothing is gained");
-    let lost = [voting(&at(1, "a")), voting(&at(2, "b")), unreachable(&at(3, "c"), 8000)];
-    assert_eq!(next(&lost, &candidates, &bears(1, 1)), Some(vec![1, 2, 7]), "keeps the spread");
-    let regions_of_zones =
-        [("a", "n"), ("b", "n"), ("c", "s"), ("d", "w")].map(|(z, r)| (z.into(), r.into())).into();
-    let regions = Tolerance { regions: 1, regions_of_zones, ..bears(1, 0) };
-    let failure_domains = [voting(&at(1, "a")), voting(&at(2, "b")), voting(&at(3, "c"))];
-    assert_eq!(next(&failure_domains, &[at(6, "b"), at(9, "d")], &regions), Some(vec![2, 3, 9]));
+fn members_are_redistributed_to_survive_the_loss_of_a_zone_or_region() {
+    let crowded =
+        [voting(&member_at(1, "a")), voting(&member_at(2, "a")), voting(&member_at(3, "b"))];
+    let candidates = [member_at(6, "b"), member_at(7, "c"), member_at(8, "a")];
+    assert_eq!(
+        next(&crowded, &candidates, &tolerating(1, 0)),
+        None,
+        "the loss of a zone need not be tolerated"
+    );
+    assert_eq!(next(&crowded, &candidates, &tolerating(1, 1)), Some(vec![2, 3, 7]));
+    assert_eq!(
+        next(&crowded, &candidates[2..], &tolerating(1, 1)),
+        None,
+        "the exposure would not decrease"
+    );
+    let lost = [
+        voting(&member_at(1, "a")),
+        voting(&member_at(2, "b")),
+        unreachable(&member_at(3, "c"), 8000),
+    ];
+    assert_eq!(
+        next(&lost, &candidates, &tolerating(1, 1)),
+        Some(vec![1, 2, 7]),
+        "the distribution is kept"
+    );
+    let regions_of_zones = [("a", "n"), ("b", "n"), ("c", "s"), ("d", "w")]
+        .map(|(zone, region)| (zone.into(), region.into()))
+        .into();
+    let regions = Tolerance { regions: 1, regions_of_zones, ..tolerating(1, 0) };
+    let one_per_zone =
+        [voting(&member_at(1, "a")), voting(&member_at(2, "b")), voting(&member_at(3, "c"))];
+    assert_eq!(
+        next(&one_per_zone, &[member_at(6, "b"), member_at(9, "d")], &regions),
+        Some(vec![2, 3, 9])
+    );
 }
 
 #[test]
-fn a_newcomer_replaces_a_member_that_fell_silent_before_it_started() {
-    let lost = |ms| [unreachable(&at(1, "a"), ms), voting(&at(2, "b")), voting(&at(3, "c"))];
-    let one = bears(1, 0);
-    let [stands_by, successor] = [standby(&at(8, "d")), newcomer(&at(9, "e"), 700)];
-    let both = [stands_by.clone(), successor.clone()];
-    assert_eq!(next_with(&lost(2999), &both, &one), None);
-    assert_eq!(next_with(&lost(3000), &both, &one), Some(vec![2, 3, 9]));
-    assert_eq!(next_with(&lost(6999), &[stands_by], &one), None, "it may be a restart");
-    let earlier = newcomer(&at(9, "e"), 3000);
-    assert_eq!(next_with(&lost(3000), &[earlier], &one), None, "it ran before");
-    let [first, second, third] = lost(6999);
-    let unheard = [MemberStatus { was_reachable: false, ..first }, second, third];
-    assert_eq!(next_with(&unheard, &[successor], &one), None, "who knows when it fell silent");
+fn successor_replaces_a_member_that_became_unreachable_before_it_started() {
+    let members = |ms| {
+        [
+            unreachable(&member_at(1, "a"), ms),
+            voting(&member_at(2, "b")),
+            voting(&member_at(3, "c")),
+        ]
+    };
+    let one = tolerating(1, 0);
+    let [standby_candidate, successor] =
+        [standby(&member_at(8, "d")), started(&member_at(9, "e"), 700)];
+    let both = [standby_candidate.clone(), successor.clone()];
+    assert_eq!(next_with(&members(2999), &both, &one), None);
+    assert_eq!(next_with(&members(3000), &both, &one), Some(vec![2, 3, 9]));
+    assert_eq!(
+        next_with(&members(6999), &[standby_candidate], &one),
+        None,
+        "the member may be restarting"
+    );
+    let earlier = started(&member_at(9, "e"), 3000);
+    assert_eq!(
+        next_with(&members(3000), &[earlier], &one),
+        None,
+        "it started before the member became unreachable"
+    );
+    let [first, second, third] = members(6999);
+    let never_reachable = [MemberStatus { was_reachable: false, ..first }, second, third];
+    assert_eq!(
+        next_with(&never_reachable, &[successor], &one),
+        None,
+        "it is unknown since when the member has been unreachable"
+    );
 }
 
 #[test]
-fn a_successor_waits_for_what_the_settings_leave_and_no_shorter_than_one_of_the_zone() {
+fn successor_wait_follows_from_the_settings_and_is_never_below_the_same_zone_timeout() {
     let wait = |seconds| successor_wait(Duration::from_secs(seconds));
     assert_eq!(wait(6), Duration::from_millis(3500));
     assert_eq!([wait(4), wait(1)], [constants::MEMBER_TIMEOUT_SAME_ZONE; 2]);
 }
 
 proptest::proptest! {
-    /// Whatever is gone, mute or waiting: a quorum of the next membership votes already.
+    /// Whichever members are unreachable or not voting, and whichever candidates there are, a quorum of the next
+    /// membership votes already.
     #[test]
-    fn every_next_membership_has_a_quorum_that_votes(
-        status in proptest::collection::vec((0u64..25_000, 0u8..4, 0usize..3), 3..6),
-        run_join in proptest::collection::vec(0usize..4, 0..4),
-        zones in 0usize..2,
+    fn every_next_membership_has_a_voting_quorum(
+        states in proptest::collection::vec((0u64..25_000, 0u8..4, 0usize..3), 3..6),
+        candidate_zones in proptest::collection::vec(0usize..4, 0..4),
+        lost_zones in 0usize..2,
     ) {
         let names = ["a", "b", "c", "d"];
-        let members: Vec<MemberStatus> = status.iter().zip(1..).map(|((ms, votes, zone), n)| {
-            let member = at(n, names[*zone]);
-            match votes {
+        let members: Vec<MemberStatus> = states.iter().zip(1..).map(|((ms, kind, zone), host)| {
+            let member = member_at(host, names[*zone]);
+            match kind {
                 0 => unreachable(&member, *ms),
-                1 => not_voting_for(&member, *ms),
+                1 => not_voting(&member, *ms),
                 _ => voting(&member),
             }
         }).collect();
-        let candidates: Vec<Member> = run_join.iter().zip(10..).map(|(z, n)| at(n, names[*z])).collect();
+        let candidates: Vec<Member> = candidate_zones.iter().zip(10..).map(|(zone, host)| member_at(host, names[*zone])).collect();
         let candidates: Vec<Candidate> = candidates.iter().zip([500, 4000, 9000, 90_000])
-            .map(|(candidate, ms)| newcomer(candidate, ms)).collect();
-        if let Some(next) = next_with(&members, &candidates, &bears(2, zones)) {
-            let votes = |n: &&u8| usize::from(**n) <= status.len() && status[usize::from(**n) - 1].1 > 1;
+            .map(|(candidate, ms)| started(candidate, ms)).collect();
+        if let Some(next) = next_with(&members, &candidates, &tolerating(2, lost_zones)) {
+            let votes = |host: &&u8| usize::from(**host) <= states.len() && states[usize::from(**host) - 1].1 > 1;
             proptest::prop_assert!(next.iter().filter(votes).count() > next.len() / 2);
             proptest::prop_assert!(next.len() <= 5 && next.len() >= members.len());
         }
--- a/crates/control-plane/src/membership/routers.rs
+++ b/crates/control-plane/src/membership/routers.rs
@@ -1,4 +1,4 @@
-//! The routers that are linked to this controller or lately were.
+//! Routers that are linked to this controller, and their liveness.
 
 use fleet_core::constants;
 use fleet_core::link::Peer;
@@ -9,29 +9,30 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Linked routers, and when each last sent a heartbeat. Both locks are leaves.
+/// Linked routers, and the time of each router's last heartbeat. No other lock is taken while one of its locks is held.
 #[derive(Default)]
 pub struct Routers {
-    /// By incarnation.
+    /// Links by incarnation.
     links: Mutex<BTreeMap<u64, Peer>>,
-    /// By name.
-    live: Mutex<BTreeMap<String, Live>>,
-    /// Wakes those who wait for a router to go.
+    /// Routers with a recent heartbeat, by name.
+    live: Mutex<BTreeMap<String, LiveRouter>>,
+    /// Notified when a link of a router has ended.
     disconnected: Notify,
 }
 
-struct Live {
+struct LiveRouter {
     incarnation: u64,
     last_heartbeat: Instant,
 }
 
 impl Routers {
-    /// A router has linked to this node.
+    /// Records the link of a router.
     pub fn connected(&self, peer: &Peer) {
         self.links.lock().insert(peer.handshake.incarnation, peer.clone());
     }
 
-    /// The link of a router has ended: it no longer counts as live, unless a later incarnation of it does.
+    /// Removes the link of a router. The router no longer counts as live, unless a later incarnation of it has sent a
+    /// heartbeat.
     pub fn disconnected(&self, peer: &Peer) {
         let (name, incarnation) = (&peer.handshake.name, peer.handshake.incarnation);
         self.links.lock().remove(&incarnation);
@@ -43,16 +44,16 @@
         self.disconnected.notify_waiters();
     }
 
-    /// Waits until no router of a machine is linked; returns at once if none is.
+    /// Waits until no router on a machine is linked; returns immediately if there is none.
     ///
     /// # Cancel safety
     ///
-    /// A wait that is dropped changes nothing.
-    pub async fn wait_until_gone(&self, machine: Ipv4Addr) {
+    /// Cancel safe: dropping the future has no effect.
+    pub async fn wait_until_disconnected(&self, machine: Ipv4Addr) {
         let machine = machine.to_string();
         let is_linked = || self.links.lock().values().any(|peer| peer.handshake.ip == machine);
         loop {
-            // taken before the look, so that an end between the two is not missed
+            // Created before the check, so that a link ending between the check and the wait is not missed.
             let disconnected = self.disconnected.notified();
             if !is_linked() {
                 return;
@@ -61,25 +62,25 @@
         }
     }
 
-    /// Takes in a heartbeat; returns how many routers are live now.
+    /// Records a heartbeat; returns the number of live routers.
     pub fn record_heartbeat(&self, peer: &Peer) -> u32 {
         let mut live = self.live.lock();
         let incarnation = peer.handshake.incarnation;
-        let router = Live { incarnation, last_heartbeat: Instant::now() };
+        let router = LiveRouter { incarnation, last_heartbeat: Instant::now() };
         live.insert(peer.handshake.name.clone(), router);
         live.retain(|_, router| router.last_heartbeat.elapsed() < constants::ROUTER_TIMEOUT);
         live.len() as u32
     }
 
-    /// Pushes a message to one router, if it is linked; what a full link refuses is lost.
+    /// Pushes a message to a router, if it is linked. The message is dropped if the link's queue is full.
     pub fn push(&self, incarnation: u64, body: Body) {
         if let Some(peer) = self.links.lock().get(&incarnation) {
             let _ = peer.push(body);
         }
     }
 
-    /// Pushes a message to those of these routers that read what they are sent; the others get a newer one
-    /// later.
+    /// Pushes a message to those of the given routers that have no backlog. The others are skipped; they receive a newer
+    /// message later.
     pub fn push_to_prompt_readers(&self, incarnations: &[u64], body: &Body) {
         let links = self.links.lock();
         for peer in incarnations.iter().filter_map(|incarnation| links.get(incarnation)) {
--- a/crates/control-plane/src/membership/state_transfer.rs
+++ b/crates/control-plane/src/membership/state_transfer.rs
@@ -1,17 +1,17 @@
-//! The holder's side of catching up: values in pieces, each from one version to its end.
+//! Serves values in chunks to members in recovery. All chunks of one transfer come from the same version of the value.
 
 use fleet_core::constants;
 use fleet_core::wire::{Register, ValueChunk, ValueChunkRequest};
 use tokio::time::Instant;
 
-/// Who reads which key.
-type Reader = (String, String);
+/// Address of the reading member, and the key that it reads.
+type TransferId = (String, String);
 
-/// Values that members are reading; one that is replaced midway is kept for its reader, so that
-/// a key that changes often can be read to its end.
+/// Transfers in progress. The value being read is retained when it is replaced during the transfer, so that a register
+/// that changes often can be read completely.
 #[derive(Default)]
 pub struct StateTransfers {
-    open: parking_lot::Mutex<hashbrown::HashMap<Reader, StateTransfer>>,
+    in_progress: parking_lot::Mutex<hashbrown::HashMap<TransferId, StateTransfer>>,
 }
 
 struct StateTransfer {
@@ -20,39 +20,40 @@
 }
 
 impl StateTransfers {
-    /// The next piece for the member at `peer`; `current` is what is held of the key now.
+    /// The requested chunk for the member at address `peer`; `current` is the register's current value on this node. The
+    /// chunk is empty if the register is unknown here.
     pub fn chunk(
         &self,
         peer: &str,
         request: &ValueChunkRequest,
         current: Option<&Register>,
     ) -> ValueChunk {
-        let mut open = self.open.lock();
-        open.retain(|_, transfer| {
+        let mut in_progress = self.in_progress.lock();
+        in_progress.retain(|_, transfer| {
             transfer.last_requested.elapsed() < constants::STATE_TRANSFER_RETENTION
         });
-        let reader = (peer.to_owned(), request.key.clone());
-        let begun =
-            open.get(&reader).filter(|transfer| transfer.register.accepted == request.ballot);
-        let Some(register) = begun.map(|transfer| &transfer.register).or(current) else {
+        let id = (peer.to_owned(), request.key.clone());
+        let retained =
+            in_progress.get(&id).filter(|transfer| transfer.register.accepted == request.ballot);
+        let Some(register) = retained.map(|transfer| &transfer.register).or(current) else {
             return ValueChunk::default();
         };
         let register = register.clone();
         let chunk = chunk_at(&register, request);
         if chunk.offset + (chunk.bytes.len() as u64) < chunk.total {
-            open.insert(reader, StateTransfer { register, last_requested: Instant::now() });
+            in_progress.insert(id, StateTransfer { register, last_requested: Instant::now() });
         } else {
-            open.remove(&reader);
+            in_progress.remove(&id);
         }
         chunk
     }
 }
 
-/// A value of another ballot than the one asked for begins at its start.
+/// The chunk at the requested offset, or the first chunk if the value has another ballot than the requested one.
 fn chunk_at(register: &Register, request: &ValueChunkRequest) -> ValueChunk {
     let total = register.value.len();
-    let same = register.accepted == request.ballot;
-    let from = if same { total.min(request.offset as usize) } else { 0 };
+    let is_requested_ballot = register.accepted == request.ballot;
+    let from = if is_requested_ballot { total.min(request.offset as usize) } else { 0 };
     let to = total.min(from + constants::CHUNK_BYTES);
     ValueChunk {
         ballot: register.accepted,
