--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -27,7 +27,7 @@
     Config {
         /// Version of the configuration.
         version: u64,
-        /// Isolation generation of its shared prompt prefixes.
+        /// Generation of the prompt-cache isolation that all tenants share that have none of their own.
         isolation: u64,
     },
     /// A new target version was set for a model's weights.
@@ -54,7 +54,7 @@
 pub struct ConfigInForce {
     /// Version of the configuration.
     pub version: u64,
-    /// Isolation generation of its shared prompt prefixes.
+    /// Generation of the prompt-cache isolation that all tenants share that have none of their own.
     pub isolation: u64,
 }
 
--- a/crates/control-plane/src/membership/candidates.rs
+++ b/crates/control-plane/src/membership/candidates.rs
@@ -22,11 +22,8 @@
 
 impl ReceivedRequest {
     fn candidate(&self, now: Instant) -> Candidate {
-        let running = Duration::from_millis(self.request.running_ms);
-        Candidate {
-            member: self.request.member.clone(),
-            running: running + (now - self.received_at),
-        }
+        let uptime = Duration::from_millis(self.request.running_ms);
+        Candidate { member: self.request.member.clone(), uptime: uptime + (now - self.received_at) }
     }
 }
 
--- a/crates/control-plane/src/membership/candidates_tests.rs
+++ b/crates/control-plane/src/membership/candidates_tests.rs
@@ -34,5 +34,5 @@
     let (mut candidates, start) = (Candidates::default(), Instant::now());
     candidates.record(join_request("a", 1000), start);
     let waiting = candidates.waiting(&Membership::default(), start + Duration::from_millis(300));
-    assert_eq!(waiting[0].running, Duration::from_millis(1300));
+    assert_eq!(waiting[0].uptime, Duration::from_millis(1300));
 }
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -159,7 +159,7 @@
     }
 }
 
-/// Members from which something was received recently; they are assumed to vote.
+/// Members from which something was received recently, and this node if it is a member; they are assumed to vote.
 fn recently_heard(manager: &MembershipManager, membership: &Membership) -> Vec<u64> {
     let silent_for = |ip| manager.links.get(ip).and_then(|link| link.time_since_received());
     let is_recent =
@@ -169,7 +169,7 @@
     heard.map(id_of).collect()
 }
 
-/// Members that currently vote in the membership of this epoch, including this node.
+/// Members that currently vote in the membership of this epoch, including this node if it votes.
 async fn query_voters(manager: &Arc<MembershipManager>, membership: u64) -> Vec<u64> {
     let request = Body::ReadBallots(ReadBallots { membership, values: false });
     let answers = recovery::query_all(manager, request).await;
--- a/crates/control-plane/src/membership/recovery_tests.rs
+++ b/crates/control-plane/src/membership/recovery_tests.rs
@@ -42,7 +42,7 @@
     assert!(acceptor.accept(&accept).answer.ok);
 }
 
-/// A source behind a source link, which fails after `remaining` chunks. If `rewrites` is set, its value is replaced after
+/// A source behind a slow link, which fails after `remaining` chunks. If `rewrites` is set, its value is replaced after
 /// each chunk.
 struct SlowSource<'a> {
     acceptor: &'a parking_lot::Mutex<Acceptor>,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Recovers a member that recovering its disk from two others. Returns how long it elapsed, and how many bytes were read.
+/// Recovers a member that lost its disk from two others. Returns the time it took, and how many bytes were read.
 async fn recover_member(size: usize, changes: u64, rewrites: bool) -> (Duration, u64) {
     let mut voters = [voter(1), voter(2)];
     for seq in 1..=changes {
--- a/crates/control-plane/src/membership/replacement.rs
+++ b/crates/control-plane/src/membership/replacement.rs
@@ -27,7 +27,7 @@
     /// The controller's member entry.
     pub member: Member,
     /// Uptime of its process.
-    pub running: Duration,
+    pub uptime: Duration,
 }
 
 impl Candidate {
@@ -35,7 +35,7 @@
     /// became unreachable. A candidate that started earlier is a standby, whose presence does not indicate whether the
     /// member will come back.
     fn is_successor_of(&self, lost: &MemberStatus) -> bool {
-        lost.was_reachable && self.running < lost.unreachable_for
+        lost.was_reachable && self.uptime < lost.unreachable_for
     }
 }
 
--- a/crates/control-plane/src/membership/replacement_tests.rs
+++ b/crates/control-plane/src/membership/replacement_tests.rs
@@ -46,12 +46,12 @@
 
 /// A candidate that started long before any member was lost.
 fn standby(member: &Member) -> Candidate {
-    Candidate { member: member.clone(), running: Duration::from_secs(3600) }
+    Candidate { member: member.clone(), uptime: Duration::from_secs(3600) }
 }
 
 /// A candidate that started this long ago.
 fn started(member: &Member, ms: u64) -> Candidate {
-    Candidate { member: member.clone(), running: Duration::from_millis(ms) }
+    Candidate { member: member.clone(), uptime: Duration::from_millis(ms) }
 }
 
 /// Host numbers of the members that follow if all candidates are standbys.
@@ -130,8 +130,8 @@
     assert_eq!(next(&five, &candidates, &two), None, "at the target size");
 }
 
-/// A membership below its target size must not only grow, and only while all of its members vote: with a lost member it
-/// could then never complete.
+/// Guards against an earlier rule by which a membership below its target size could only grow, and only while all of its
+/// members voted, so that a lost member blocked every change.
 #[test]
 fn a_lost_member_is_replaced_at_any_size() {
     let [a, b, c] =
