--- a/crates/control-plane/src/membership/routers.rs
+++ b/crates/control-plane/src/membership/routers.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Pushes a message to those of the given routers that have no backlog. The others are skipped; they receive a newer
+    /// Pushes a message to those of the given routers whose backlog is small. The others are skipped; they receive a newer
     /// message later.
     pub fn push_to_prompt_readers(&self, incarnations: &[u64], body: &Body) {
         let links = self.links.lock();
