--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -1,10 +1,11 @@
-//! The part of a register that every member holds and votes with, as a pure state machine.
+//! The Paxos acceptor of every register, as a pure state machine.
 //!
-//! After "Paxos Made Simple" (Lamport, 2001), one instance for each key, continued by the sequence numbers of a
-//! ballot. A step gives a record and an answer; the caller puts the record on disk before the answer goes out.
+//! Follows "Paxos Made Simple" (Lamport, 2001) with one instance per key; successive values of a key are ordered by the
+//! sequence number in the ballot. Each step returns a record and an answer, and the caller must make the record durable
+//! before it sends the answer.
 //!
-//! Votes count within one membership and one recovery epoch. `membership` takes memberships in, `recovery`
-//! reads a lost state back; both decide when the voter is one.
+//! Votes count only within one membership and one recovery epoch. `membership` switches memberships, and `recovery`
+//! restores the state of a member that lost its disk; both determine when this node may vote.
 
 mod membership;
 mod recovery;
@@ -18,105 +19,109 @@
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
 
-/// Stores the membership in force; never a key of the control state itself.
-const MEMBERSHIP_IN_FORCE: &str = "\u{1}membership";
-/// Stores the recovery epoch: it rises with each member that reads its lost disk back, and no vote of an earlier
-/// recovery epoch counts together with one of a later.
-const RECOVERY_EPOCH: &str = "\u{1}recovery_epoch";
+/// Register that stores the current membership; not a key of the control state.
+const STORED_MEMBERSHIP_KEY: &str = "\u{1}membership";
+/// Register that stores the recovery epoch, which rises whenever a member recovers from a lost disk. Votes of different
+/// recovery epochs do not count together.
+const STORED_RECOVERY_EPOCH_KEY: &str = "\u{1}recovery_epoch";
 
-/// The voting side of all registers of one member.
+/// The acceptor state of one member, for all registers.
 #[derive(Debug, Clone)]
 pub struct Acceptor {
-    /// By key. A promise never falls, and neither does an accepted ballot; the promise is not below it.
+    /// By key. Promised and accepted ballots never decrease, and the promised ballot is never below the accepted one.
     registers: BTreeMap<String, Register>,
-    /// The latest membership that this node knows to be chosen. Its epoch never falls.
+    /// The latest membership known to be chosen. Its epoch never decreases.
     membership: Membership,
-    /// Whether the registers are all that this member ever voted for: not from a lost disk until it is read back.
+    /// Whether `registers` holds everything that this member ever voted for. False from the loss of the disk until the
+    /// state is recovered.
     voting: bool,
-    /// Votes of an earlier recovery epoch than this are not given. Never falls.
+    /// No vote is given in an earlier recovery epoch than this. Never decreases.
     recovery_epoch: u64,
-    /// This node's number in ballots: its address.
-    own: u64,
+    /// Identifies this node in ballots; derived from its IP address.
+    node_id: u64,
 }
 
-/// What must be on the disk before the answer may go out.
+/// The outcome of a request to the acceptor: an answer, and the record that must be durable before it is sent.
 pub struct Step<T> {
-    /// goes to the disk first
+    /// Must be durable before the answer is sent.
     pub record: Record,
-    /// goes out once the record is on the disk
+    /// To be sent once the record is durable.
     pub answer: T,
 }
 
 impl Acceptor {
-    /// The acceptor of the node with this address, with what its disk holds.
-    pub fn new(own: Ipv4Addr, state: State) -> Self {
+    /// Restores the acceptor of the node with this address from its stored state.
+    pub fn new(ip: Ipv4Addr, state: State) -> Self {
         let mut acceptor = Acceptor {
             registers: BTreeMap::default(),
             membership: Membership::default(),
             voting: state.voting,
             recovery_epoch: 0,
-            own: id_of(own),
+            node_id: id_of(ip),
         };
         for register in state.registers {
             acceptor.load(register);
         }
         if !acceptor.is_member() {
-            acceptor.forget();
+            acceptor.discard_registers();
         }
         acceptor
     }
 
-    /// Takes a register in as it was read from the disk.
+    /// Restores one stored register. The keys `STORED_MEMBERSHIP_KEY` and `STORED_RECOVERY_EPOCH_KEY` hold the
+    /// acceptor's own state.
     fn load(&mut self, register: Register) {
         match register.key.as_str() {
-            MEMBERSHIP_IN_FORCE => {
+            STORED_MEMBERSHIP_KEY => {
                 self.membership = Membership::decode(register.value).unwrap_or_default();
             }
-            RECOVERY_EPOCH => self.recovery_epoch = register.promised.n,
+            STORED_RECOVERY_EPOCH_KEY => self.recovery_epoch = register.promised.n,
             _ => {
                 self.registers.insert(register.key.clone(), register);
             }
         }
     }
 
-    /// Whether it is a member that holds its state.
+    /// Whether this node may vote: it is a member, and its registers are complete.
     pub fn votes(&self) -> bool {
         self.voting && self.is_member()
     }
 
-    /// What is held for a key.
+    /// The register of a key; `None` if nothing was promised or accepted for it.
     pub fn register(&self, key: &str) -> Option<&Register> {
         self.registers.get(key)
     }
 
-    /// Everything that is held.
+    /// All registers, ordered by key.
     pub fn registers(&self) -> impl Iterator<Item = &Register> {
         self.registers.values()
     }
 
-    /// Ballot promised for this key.
+    /// Ballot promised for this key; the default ballot if there is none.
     pub fn promised(&self, key: &str) -> Ballot {
         self.registers.get(key).map(|register| register.promised).unwrap_or_default()
     }
 
-    /// The node that this voter has promised the key to.
+    /// The node whose ballot was promised last for this key.
     pub fn owner(&self, key: &str) -> Option<u64> {
         let promised = self.registers.get(key)?.promised;
         (promised.node != 0).then_some(promised.node)
     }
 
-    /// Epoch that the next owner of this key must go above.
-    pub fn highest(&self, key: &str) -> u64 {
+    /// The highest_epoch epoch promised or accepted for this key, which a new owner must exceed.
+    pub fn highest_epoch(&self, key: &str) -> u64 {
         self.registers.get(key).map_or(0, |register| register.promised.n.max(register.accepted.n))
     }
 
-    /// Whether a ballot of this key can have come about by elections: its epoch is not absurdly far ahead.
-    /// One that is would leave no higher epochs to anybody.
+    /// Whether the epoch of a ballot is at most [`constants::EPOCH_LEAD_MAX`] above the highest_epoch one known for
+    /// this key. Elections don't produce larger gaps, and accepting a corrupt epoch near the maximum would leave no
+    /// higher epochs for later owners.
     pub fn is_plausible(&self, key: &str, ballot: Ballot) -> bool {
-        ballot.n <= self.highest(key).saturating_add(constants::EPOCH_LEAD_MAX)
+        ballot.n <= self.highest_epoch(key).saturating_add(constants::EPOCH_LEAD_MAX)
     }
 
-    /// Phase 1: promises a ballot, if no higher one was promised and its scope is the own one.
+    /// Phase 1: promises a ballot unless an equal or higher epoch was promised, or the request belongs to another
+    /// membership or an earlier recovery epoch.
     pub fn prepare(&mut self, request: &Prepare) -> Step<Vote> {
         let key = &request.key;
         let is_outdated = request.ballot.epoch() <= self.promised(key).epoch();
@@ -128,14 +133,15 @@
         register.promised = request.ballot;
         let mut reported = register.clone();
         let record = self.record_vote(reported.clone(), request.recovery_epoch);
-        // The candidate has this value, or a later one.
+        // The candidate already has this value or a later one.
         if reported.accepted <= request.own_accepted {
             reported.value = Bytes::new();
         }
-        self.agree(record, Some(reported))
+        self.grant(record, Some(reported))
     }
 
-    /// Phase 2: accepts a value under a ballot that is not below the one promised.
+    /// Phase 2: accepts a value unless a higher epoch was promised or an equal or higher ballot was accepted. A request
+    /// with `same_as` carries no value: it refers to the one accepted here under that ballot.
     pub fn accept(&mut self, request: &Accept) -> Step<Vote> {
         let key = &request.key;
         let held = self.registers.get(key);
@@ -143,7 +149,7 @@
         let accepted = held.map(|register| register.accepted).unwrap_or_default();
         let is_outdated = request.ballot.epoch() < promised.epoch();
         let is_repeated = request.ballot <= accepted;
-        let lacks_value = request.same_as.is_some_and(|same| same != accepted);
+        let lacks_value = request.same_as.is_some_and(|ballot| ballot != accepted);
         let may_vote = self.may_vote(request.membership, request.recovery_epoch);
         let is_valid = !is_outdated && !is_repeated && !lacks_value;
         if !may_vote || !is_valid || !self.is_plausible(key, request.ballot) {
@@ -161,13 +167,13 @@
         };
         self.registers.insert(key.clone(), register.clone());
         let record = self.record_vote(register, request.recovery_epoch);
-        self.agree(record, None)
+        self.grant(record, None)
     }
 
-    /// What is held, with or without the values.
-    pub fn read_ballots(&self, values: bool) -> Step<BallotReport> {
+    /// Reports all registers, with or without their values.
+    pub fn read_ballots(&self, include_values: bool) -> Step<BallotReport> {
         let reported = |register: &Register| {
-            if values { register.clone() } else { without_value(register) }
+            if include_values { register.clone() } else { without_value(register) }
         };
         let answer = BallotReport {
             votes: self.votes(),
@@ -178,16 +184,18 @@
         Step { record: self.barrier(), answer }
     }
 
-    /// An empty record: it still waits for all that went before it.
+    /// An empty record. It becomes durable only after all records queued before it.
     pub fn barrier(&self) -> Record {
         self.record(Vec::new())
     }
 
-    fn may_vote(&self, membership: u64, recovery_epoch: u64) -> bool {
-        self.votes() && membership == self.membership.epoch && recovery_epoch >= self.recovery_epoch
+    fn may_vote(&self, membership_epoch: u64, recovery_epoch: u64) -> bool {
+        self.votes()
+            && membership_epoch == self.membership.epoch
+            && recovery_epoch >= self.recovery_epoch
     }
 
-    fn agree(&self, record: Record, register: Option<Register>) -> Step<Vote> {
+    fn grant(&self, record: Record, register: Option<Register>) -> Step<Vote> {
         let recovery_epoch = self.recovery_epoch;
         Step { record, answer: Vote { ok: true, register, membership: None, recovery_epoch } }
     }
@@ -202,7 +210,7 @@
         Step { record: self.barrier(), answer }
     }
 
-    /// A vote of a later recovery epoch takes its voter there.
+    /// The record of a vote. A vote given in a later recovery epoch also moves this node to that epoch.
     fn record_vote(&mut self, register: Register, recovery_epoch: u64) -> Record {
         let mut registers = vec![register];
         if recovery_epoch > self.recovery_epoch {
@@ -217,7 +225,7 @@
     }
 }
 
-/// A key that nothing was promised or accepted for.
+/// The register of a key for which nothing was promised or accepted.
 fn empty_register(key: &str) -> Register {
     Register { key: key.to_owned(), ..Default::default() }
 }
--- a/crates/control-plane/src/consensus/acceptor/recovery.rs
+++ b/crates/control-plane/src/consensus/acceptor/recovery.rs
@@ -1,17 +1,17 @@
-//! Recovery epochs, and how a member that lost its disk becomes a voter again.
+//! Recovery epochs, and how a member that lost its disk regains its vote.
 
-use super::{Acceptor, RECOVERY_EPOCH, Step, empty_register};
+use super::{Acceptor, STORED_RECOVERY_EPOCH_KEY, Step, empty_register};
 use crate::storage::format::Record;
 use fleet_core::wire::{Ballot, BallotReport, Register};
 
 impl Acceptor {
-    /// The latest recovery epoch that this node knows of; it votes in no earlier one.
+    /// The latest recovery epoch known to this node. It gives no votes in an earlier one.
     pub fn recovery_epoch(&self) -> u64 {
         self.recovery_epoch
     }
 
-    /// Goes to a later recovery epoch; what it votes from now on is of that.
-    pub fn advance(&mut self, recovery_epoch: u64) -> Option<Record> {
+    /// Moves to a later recovery epoch, to which all further votes belong. Returns `None` if it is not later.
+    pub fn advance_recovery_epoch(&mut self, recovery_epoch: u64) -> Option<Record> {
         if recovery_epoch <= self.recovery_epoch {
             return None;
         }
@@ -19,53 +19,54 @@
         Some(self.record(vec![self.recovery_epoch_register()]))
     }
 
-    /// All ballots that are held here, for a member that reads its state back; from now on in its
-    /// recovery epoch. The values follow by key.
+    /// Moves to the recovery epoch of a recovering member and reports all ballots held here. The member then fetches
+    /// the values key by key.
     pub fn begin_state_transfer(&mut self, recovery_epoch: u64) -> Step<BallotReport> {
-        let record = self.advance(recovery_epoch).unwrap_or_else(|| self.barrier());
+        let record = self.advance_recovery_epoch(recovery_epoch).unwrap_or_else(|| self.barrier());
         Step { record, answer: self.read_ballots(false).answer }
     }
 
-    /// Takes in what a majority of the membership in force gave, all in the new recovery epoch and with the
-    /// values that were fetched for its ballots: then it votes.
+    /// Restores the registers from the reports of a majority of the current membership, and votes from then on. Only
+    /// reports given in this recovery epoch or a later one count; they carry the values fetched for their ballots.
+    /// Returns `None` if this node votes already, is no member, or has too few valid reports.
     ///
-    /// Nothing that was held before counts: an accepted value that was never chosen may have the higher ballot.
+    /// Registers held before are discarded: a value that was accepted but never chosen may have the higher ballot.
     pub fn recover(&mut self, recovery_epoch: u64, reports: &[BallotReport]) -> Option<Record> {
         let epoch = self.membership.epoch;
-        let counts = |report: &&BallotReport| {
+        let is_valid = |report: &&BallotReport| {
             report.votes_in(epoch) && report.recovery_epoch >= recovery_epoch
         };
-        let counted: Vec<&BallotReport> = reports.iter().filter(counts).collect();
-        if self.voting || !self.is_member() || counted.len() < self.membership.majority() {
+        let valid_reports: Vec<&BallotReport> = reports.iter().filter(is_valid).collect();
+        if self.voting || !self.is_member() || valid_reports.len() < self.membership.majority() {
             return None;
         }
         let latest = reports.iter().map(|report| report.recovery_epoch).max().unwrap_or(0);
         self.recovery_epoch = self.recovery_epoch.max(latest);
         self.registers.clear();
-        for register in counted.iter().flat_map(|report| &report.registers) {
+        for register in valid_reports.iter().flat_map(|report| &report.registers) {
             self.merge(register);
         }
         self.voting = true;
-        let mut all: Vec<Register> = self.registers.values().cloned().collect();
-        all.push(self.recovery_epoch_register());
-        all.push(self.membership_register());
-        Some(Record { reset: true, ..self.record(all) })
+        let mut registers: Vec<Register> = self.registers.values().cloned().collect();
+        registers.push(self.recovery_epoch_register());
+        registers.push(self.membership_register());
+        Some(Record { reset: true, ..self.record(registers) })
     }
 
-    /// Keeps the highest promise and the highest accepted value of a key.
+    /// Keeps the highest promised ballot and the value with the highest accepted ballot of a key.
     fn merge(&mut self, other: &Register) {
-        let own =
+        let merged =
             self.registers.entry(other.key.clone()).or_insert_with(|| empty_register(&other.key));
-        own.promised = own.promised.max(other.promised);
-        if other.accepted > own.accepted {
-            own.accepted = other.accepted;
-            own.value = other.value.clone();
+        merged.promised = merged.promised.max(other.promised);
+        if other.accepted > merged.accepted {
+            merged.accepted = other.accepted;
+            merged.value = other.value.clone();
         }
     }
 
     pub(super) fn recovery_epoch_register(&self) -> Register {
         Register {
-            key: RECOVERY_EPOCH.to_owned(),
+            key: STORED_RECOVERY_EPOCH_KEY.to_owned(),
             promised: Ballot { n: self.recovery_epoch, ..Default::default() },
             ..Default::default()
         }
--- a/crates/control-plane/src/consensus/anti_entropy.rs
+++ b/crates/control-plane/src/consensus/anti_entropy.rs
@@ -1,7 +1,7 @@
-//! Learning what was chosen, also after lost notices and restarts.
+//! Learns chosen values, even after lost commit notices and restarts.
 //!
-//! An owner notifies the voters of what it committed; this task looks for itself besides, so that a lost notice
-//! costs half a second and nothing more. What is learned is folded into the cluster state.
+//! An owner notifies the voters of each value that it commits. A periodic task also queries the voters, so that a lost
+//! notice only delays learning by about half a second. Learned values are applied to the cluster state.
 
 use super::quorum_status::{KeyStatus, QuorumStatus};
 use super::{ChosenValue, Consensus, forward, state_machine};
@@ -18,8 +18,8 @@
 use std::sync::Arc;
 
 impl Consensus {
-    async fn catch_up(self: &Arc<Self>, key: &str, ballot: Ballot, status: &QuorumStatus) {
-        if self.knows(key, ballot) {
+    async fn fetch_and_learn(self: &Arc<Self>, key: &str, ballot: Ballot, status: &QuorumStatus) {
+        if self.has_learned(key, ballot) {
             return;
         }
         if let Some(value) = self.value_at(key, ballot, status).await {
@@ -27,11 +27,11 @@
         }
     }
 
-    fn knows(&self, key: &str, ballot: Ballot) -> bool {
+    fn has_learned(&self, key: &str, ballot: Ballot) -> bool {
         self.learned.lock().get(key).is_some_and(|known| known.ballot >= ballot)
     }
 
-    /// Takes in a value that a majority holds.
+    /// Applies a chosen value, unless an equal or later one of the key was learned.
     async fn learn(&self, key: &str, ballot: Ballot, value: &Bytes) {
         {
             let mut learned = self.learned.lock();
@@ -79,16 +79,17 @@
         self.cluster_state.append(StateChange::Weights { model: model.to_owned(), version });
     }
 
-    /// An own change is chosen: learns it and notifies the other voters.
-    pub(super) async fn committed(&self, key: &str, ballot: Ballot, value: &Bytes) {
+    /// Learns a value that was chosen in a round of this node, and notifies the other voters.
+    pub(super) async fn announce_commit(&self, key: &str, ballot: Ballot, value: &Bytes) {
         self.learn(key, ballot, value).await;
         for MemberLink { link, .. } in self.links_to_voters() {
-            // a voter that misses the notice learns of the value by itself
+            // A voter that misses the notice learns the value from its next query.
             let _ = link.notify(Body::CommitNotice(CommitNotice { key: key.to_owned(), ballot }));
         }
     }
 
-    /// Notified by an owner; a value that this voter lacks comes with the next round of questions.
+    /// Handles the commit notice of an owner. If this voter has not accepted the value, it learns it from its next
+    /// periodic query instead.
     pub async fn on_commit_notice(&self, notice: &CommitNotice) {
         let accepted = self.with_acceptor(|acceptor| {
             let register = acceptor.register(&notice.key);
@@ -101,43 +102,45 @@
     }
 }
 
-/// Keeps this node up to date with what a majority holds.
+/// Learns chosen values periodically, and has the owners complete values that stay undecided for two queries in a row.
 pub async fn run_anti_entropy(consensus: Arc<Consensus>) {
-    let mut open = BTreeMap::new();
+    let mut pending = BTreeMap::new();
     loop {
-        // a node that knows nothing yet looks more often
-        let knows_nothing = consensus.learned.lock().is_empty();
+        // A node that has not learned anything yet queries ten times as often.
+        let has_no_values = consensus.learned.lock().is_empty();
         let interval = constants::ANTI_ENTROPY_INTERVAL;
-        tokio::time::sleep(if knows_nothing { interval / 10 } else { interval }).await;
+        tokio::time::sleep(if has_no_values { interval / 10 } else { interval }).await;
         let status = consensus.query_voters(QuorumStatus::is_complete).await;
-        let still_open = learn_chosen(&consensus, &status).await;
-        let stalled = still_open.iter().filter(|(key, ballot)| open.get(*key) == Some(*ballot));
-        complete(&consensus, stalled.map(|(key, _)| key.clone()).collect()).await;
-        open = still_open;
+        let still_pending = learn_chosen(&consensus, &status).await;
+        let stalled =
+            still_pending.iter().filter(|(key, ballot)| pending.get(*key) == Some(*ballot));
+        confirm_keys(&consensus, stalled.map(|(key, _)| key.clone()).collect()).await;
+        pending = still_pending;
     }
 }
 
-/// Learns every chosen value; returns the keys that are left open, with their highest ballot.
+/// Learns all chosen values. Returns the keys without a known chosen value, with their highest accepted ballots.
 async fn learn_chosen(
     consensus: &Arc<Consensus>,
     status: &QuorumStatus,
 ) -> BTreeMap<String, Ballot> {
-    let mut open = BTreeMap::new();
+    let mut pending = BTreeMap::new();
     for key in status.keys() {
         match status.key_status(key) {
-            Some(KeyStatus::Chosen(ballot)) => consensus.catch_up(key, ballot, status).await,
-            Some(KeyStatus::Open(ballot)) => drop(open.insert(key.to_owned(), ballot)),
+            Some(KeyStatus::Chosen(ballot)) => consensus.fetch_and_learn(key, ballot, status).await,
+            Some(KeyStatus::Pending(ballot)) => drop(pending.insert(key.to_owned(), ballot)),
             None => {}
         }
     }
-    open
+    pending
 }
 
-/// Has the owners complete what has stood open since the last round of questions.
-async fn complete(consensus: &Arc<Consensus>, keys: Vec<String>) {
+/// Has the owners of these keys complete their accepted values, by submitting changes that only confirm the key.
+async fn confirm_keys(consensus: &Arc<Consensus>, keys: Vec<String>) {
     if !consensus.votes() {
         return;
     }
-    let confirms = keys.into_iter().map(|key| forward::submit(consensus, ChangeKind::Confirm(key)));
-    futures_util::future::join_all(confirms).await;
+    let confirmations =
+        keys.into_iter().map(|key| forward::submit(consensus, ChangeKind::Confirm(key)));
+    futures_util::future::join_all(confirmations).await;
 }
--- a/crates/control-plane/src/consensus/campaign.rs
+++ b/crates/control-plane/src/consensus/campaign.rs
@@ -1,6 +1,6 @@
-//! Taking a key from an owner that has timed out: a pre-vote, then a ballot above all that was seen.
+//! Elections: takes over a key whose owner has timed out, with a pre-vote and then a ballot above all known ones.
 //!
-//! The pre-vote only keeps nodes from taking keys from owners at work; safety rests on ballots alone.
+//! The pre-vote only protects active owners from being preempted; safety rests on ballots alone.
 
 use super::Consensus;
 use super::proposer::{ProposalError, Proposer, Scope};
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 impl Consensus {
-    /// Answers whether this voter would take part in electing another owner for the key.
+    /// Answers whether this voter would currently support the election of another owner for the key.
     pub fn pre_vote(&self, request: &PreVoteRequest) -> PreVoteResponse {
         let key = &request.key;
         let (is_eligible, promised, value_bytes) = self.with_acceptor(|acceptor| {
@@ -21,15 +21,15 @@
             (is_eligible, acceptor.promised(key), value_bytes)
         });
         let has_resigned = self.key_owners.has_resigned(key, promised);
-        let is_free = has_resigned || self.key_owners.is_quiet(key, value_bytes);
-        PreVoteResponse { ok: is_eligible && is_free, promised }
+        let has_no_owner = has_resigned || self.key_owners.has_owner_timed_out(key, value_bytes);
+        PreVoteResponse { ok: is_eligible && has_no_owner, promised }
     }
 
-    /// Takes a key over: once its owner has timed out, prepares above all that was seen and completes what was open.
+    /// Acquires the ownership of a key once its owner has timed out, and completes the value that was accepted last.
     ///
     /// # Errors
-    /// [`ProposalError::NoOwnVote`] and [`ProposalError::Preempted`] at once, others after attempts for
-    /// [`constants::CHANGE_TIMEOUT`].
+    /// [`ProposalError::NoOwnVote`] and [`ProposalError::Preempted`] are returned at once, other errors after retries
+    /// for [`constants::CHANGE_TIMEOUT`].
     pub(super) async fn acquire_ownership(
         self: &Arc<Self>,
         key: &str,
@@ -41,56 +41,57 @@
                 Ok(proposer) => return Ok(proposer),
                 Err(error) => error,
             };
-            let wait = self.process.random_backoff(backoff_ms);
+            let backoff = self.process.random_backoff(backoff_ms);
             let is_final = matches!(error, ProposalError::NoOwnVote | ProposalError::Preempted(_));
-            if is_final || Instant::now() + wait >= deadline {
+            if is_final || Instant::now() + backoff >= deadline {
                 return Err(error);
             }
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(backoff).await;
             backoff_ms *= 2;
         }
     }
 
     async fn elect(self: &Arc<Self>, key: &str) -> Result<Proposer, ProposalError> {
-        let (scope, own_highest) = self.scope(key)?;
+        let (scope, local_highest) = self.election_scope(key)?;
         if !self.owner_timed_out(key).await {
             return Err(ProposalError::OwnerActive);
         }
-        let above = self.epoch_to_exceed(key, own_highest);
-        let (mut proposer, first) = Proposer::prepare(self.process.node.id(), key, scope, above);
+        let highest_epoch = self.highest_known_epoch(key, local_highest);
+        let (mut proposer, first) =
+            Proposer::prepare(self.process.node.id(), key, scope, highest_epoch);
         self.run_round(key, &mut proposer, first).await?;
         fleet_core::log_event!(self.process.log, Event::KeyOwnershipAcquired,
             "key" => key, "epoch" => proposer.ballot().n);
         Ok(proposer)
     }
 
-    /// The scope that a campaign's votes must belong to, and the highest epoch seen here when it began.
-    fn scope(&self, key: &str) -> Result<(Scope, u64), ProposalError> {
+    /// The scope that the votes of an election must belong to, and the highest epoch in the local acceptor.
+    fn election_scope(&self, key: &str) -> Result<(Scope, u64), ProposalError> {
         self.with_acceptor(|acceptor| {
             if !acceptor.votes() || !self.may_own() {
                 return Err(ProposalError::NoOwnVote);
             }
             let scope = Scope {
-                membership: acceptor.membership().epoch,
+                membership_epoch: acceptor.membership().epoch,
                 recovery_epoch: acceptor.recovery_epoch(),
                 voters: acceptor.membership().members.len(),
             };
-            Ok((scope, acceptor.highest(key)))
+            Ok((scope, acceptor.highest_epoch(key)))
         })
     }
 
-    /// The epoch that a new ballot has to be above: what is held here or was seen in answers of others, unless
-    /// that is absurdly far ahead.
-    fn epoch_to_exceed(&self, key: &str, own_highest: u64) -> u64 {
+    /// The epoch that a new ballot must exceed: the highest one in the local acceptor or in the answers of other
+    /// voters. An implausibly high epoch of another voter is ignored.
+    fn highest_known_epoch(&self, key: &str, local_highest: u64) -> u64 {
         let observed = self.key_owners.observed_ballot(key);
         if self.with_acceptor(|acceptor| acceptor.is_plausible(key, observed)) {
-            own_highest.max(observed.n)
+            local_highest.max(observed.n)
         } else {
-            own_highest
+            local_highest
         }
     }
 
-    /// Whether a majority has seen no progress of the key's owner for a while.
+    /// Pre-vote: whether a majority has seen no progress of the key's owner for the election time-out.
     async fn owner_timed_out(self: &Arc<Self>, key: &str) -> bool {
         let membership = self.membership();
         let request = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
--- a/crates/control-plane/src/consensus/departure_records.rs
+++ b/crates/control-plane/src/consensus/departure_records.rs
@@ -1,12 +1,13 @@
-//! The records of departures that the key `departures` holds: what a request adds, and what is forgotten.
+//! Records of departed engines in the value of the key `departures`: adding and expiring them.
 //!
-//! There is one record for each engine, the oldest first. A record goes once a controller has known it for
-//! `DEPARTURE_RETENTION`, or when there are more than `DEPARTURES_CAPACITY`, in both cases with the next change.
+//! There is one record per engine, the oldest first. A record is removed once a controller has known it for
+//! `DEPARTURE_RETENTION`, or when there are more than `DEPARTURES_CAPACITY`; both happen only with the next change.
 
 use fleet_core::constants;
 use fleet_core::wire::{Departure, DeparturesValue, EngineState, RecordDepartures};
 
-/// Adds what is new in a request, and forgets what is old; false if nothing is new.
+/// Adds the new departures of a request and removes expired records. Returns false, and changes nothing, if the request
+/// contains nothing new.
 pub fn record(value: &mut DeparturesValue, request: &RecordDepartures) -> bool {
     let recorded_before = value.recorded;
     for departure in &request.departures {
@@ -15,14 +16,14 @@
     if value.recorded == recorded_before {
         return false;
     }
-    value.departures.retain(|kept| kept.number > request.forget_through);
-    let surplus = value.departures.len().saturating_sub(constants::DEPARTURES_CAPACITY);
-    value.departures.drain(..surplus);
+    value.departures.retain(|existing| existing.number > request.forget_through);
+    let excess = value.departures.len().saturating_sub(constants::DEPARTURES_CAPACITY);
+    value.departures.drain(..excess);
     true
 }
 
 fn add(value: &mut DeparturesValue, departure: &Departure) {
-    let known = value.departures.iter().position(|kept| kept.engine == departure.engine);
+    let known = value.departures.iter().position(|existing| existing.engine == departure.engine);
     let mut newest = departure.clone();
     if let Some(index) = known {
         if covers(&value.departures[index], departure) {
@@ -37,7 +38,8 @@
     value.departures.push(newest);
 }
 
-/// Whether a record already says all that a departure does. Deregistration is final.
+/// Whether a record already includes a departure: its state and call number are at least as high. Deregistration is
+/// final and includes every departure.
 pub fn covers(record: &Departure, departure: &Departure) -> bool {
     record.state() == EngineState::Deregistered
         || (record.state >= departure.state && record.call >= departure.call)
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -1,26 +1,29 @@
-//! When a key may be taken from its owner: not while voters see the owner make progress.
+//! Election time-outs: a key may be taken over only once voters have seen no progress of its owner for a while.
 //!
-//! Safety never depends on this, ballots alone decide. It only keeps nodes from unseating an owner whose
-//! round is under way, which would make both rounds fail. Pure: time is passed in.
+//! Safety rests on ballots alone. The time-out only keeps nodes from preempting an owner in the middle of a round,
+//! which can make both rounds fail. Pure state: the time is passed in.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When each key last moved, as one voter saw it.
+/// When the owner of each key last made progress, as seen by one voter.
 #[derive(Debug, Default)]
-pub struct Elections {
-    progress: hashbrown::HashMap<String, Instant>,
+pub struct ProgressTracker {
+    last_progress: hashbrown::HashMap<String, Instant>,
 }
 
-impl Elections {
-    /// The voter has promised or accepted something for the key.
+impl ProgressTracker {
+    /// Records that the owner of the key, or a candidate, made progress: the voter promised or accepted a ballot.
     pub fn record_progress(&mut self, key: &str, now: Instant) {
-        self.progress.insert(key.to_owned(), now);
+        self.last_progress.insert(key.to_owned(), now);
     }
 
-    /// Whether the key has not moved for `quiet`, so that another owner may be elected.
-    pub fn is_quiet(&self, key: &str, now: Instant, quiet: Duration) -> bool {
-        self.progress.get(key).is_none_or(|at| now.duration_since(*at) >= quiet)
+    /// Whether there was no progress on the key for `election_timeout`, so that another owner may be elected. True
+    /// for a key without any recorded progress.
+    pub fn has_timed_out(&self, key: &str, now: Instant, election_timeout: Duration) -> bool {
+        self.last_progress
+            .get(key)
+            .is_none_or(|last_progress| now.duration_since(*last_progress) >= election_timeout)
     }
 }
 
--- a/crates/control-plane/src/consensus/election_tests.rs
+++ b/crates/control-plane/src/consensus/election_tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 #[test]
-fn an_owner_that_makes_progress_is_left_alone() {
+fn owner_times_out_only_without_progress() {
     let start = Instant::now();
-    let quiet = Duration::from_millis(300);
-    let mut elections = Elections::default();
-    assert!(elections.is_quiet("a", start, quiet), "nobody owned it");
-    elections.record_progress("a", start);
-    assert!(!elections.is_quiet("a", start + quiet / 2, quiet));
-    elections.record_progress("a", start + quiet / 2);
-    assert!(!elections.is_quiet("a", start + quiet, quiet));
-    assert!(elections.is_quiet("a", start + quiet * 3 / 2, quiet));
-    assert!(elections.is_quiet("b", start, quiet), "keys have owners of their own");
+    let election_timeout = Duration::from_millis(300);
+    let mut tracker = ProgressTracker::default();
+    assert!(tracker.has_timed_out("a", start, election_timeout), "no owner yet");
+    tracker.record_progress("a", start);
+    assert!(!tracker.has_timed_out("a", start + election_timeout / 2, election_timeout));
+    tracker.record_progress("a", start + election_timeout / 2);
+    assert!(!tracker.has_timed_out("a", start + election_timeout, election_timeout));
+    assert!(tracker.has_timed_out("a", start + election_timeout * 3 / 2, election_timeout));
+    assert!(tracker.has_timed_out("b", start, election_timeout), "progress is tracked per key");
 }
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -1,4 +1,4 @@
-//! Bringing a change to the owner of its key, wherever it comes in.
+//! Forwards a change from the node that received it to the owner of its key.
 
 use super::Consensus;
 use super::proposer::ProposalError;
@@ -9,6 +9,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
+/// Size of the value that a change carries, for its time-outs; 0 for small values.
 fn value_bytes(change: &ChangeKind) -> usize {
     match change {
         ChangeKind::Replace(r) => r.packed.len(),
@@ -17,7 +18,7 @@
     }
 }
 
-/// The node that owns a key, as far as this node knows: it may be behind.
+/// The node that owns a key as far as this node knows. The information may be outdated.
 fn believed_owner(consensus: &Consensus, key: &str) -> Option<u64> {
     let promised = consensus.acceptor.lock().promised(key);
     let learned = consensus.learned(key).map(|known| known.ballot).unwrap_or_default();
@@ -25,66 +26,66 @@
     (highest.node != 0 && !consensus.key_owners.has_resigned(key, highest)).then_some(highest.node)
 }
 
-/// Has a change decided by the owner of its key, which is elected anew if it has timed out.
+/// Submits a change to the owner of its key; a new owner is elected if the current one has timed out.
 ///
-/// An outcome of `Unknown` says that the change may yet be chosen.
+/// With the outcome `Unknown` the change may still be chosen.
 pub async fn submit(consensus: &Arc<Consensus>, change: ChangeKind) -> ChangeResponse {
-    let limit = constants::change_timeout(value_bytes(&change));
-    let run = forward_or_decide(consensus, &change, 0);
-    tokio::time::timeout(limit, run).await.unwrap_or_else(|_| state_machine::unknown())
+    let timeout = constants::change_timeout(value_bytes(&change));
+    let decision = forward_or_decide(consensus, &change, 0);
+    tokio::time::timeout(timeout, decision).await.unwrap_or_else(|_| state_machine::unknown())
 }
 
-/// A change that another consensus passed here.
+/// Submits a change that another node forwarded to this one.
 pub async fn submit_forwarded(
     consensus: &Arc<Consensus>,
     change: &ChangeRequest,
 ) -> ChangeResponse {
     let Some(kind) = &change.kind else { return state_machine::unknown() };
-    let limit = constants::change_timeout(value_bytes(kind));
-    let run = forward_or_decide(consensus, kind, change.hops);
-    tokio::time::timeout(limit, run).await.unwrap_or_else(|_| state_machine::unknown())
+    let timeout = constants::change_timeout(value_bytes(kind));
+    let decision = forward_or_decide(consensus, kind, change.hops);
+    tokio::time::timeout(timeout, decision).await.unwrap_or_else(|_| state_machine::unknown())
 }
 
-/// Passes the change to the owner or decides it here, and goes on to a new owner when one was elected.
+/// Forwards the change to the owner or decides it here, and retries with the new owner after an election.
 async fn forward_or_decide(
     consensus: &Arc<Consensus>,
     change: &ChangeKind,
     hops: u32,
 ) -> ChangeResponse {
     let key = state_machine::key_of(change);
-    let own = consensus.process.node.id();
-    let until = Instant::now() + constants::change_timeout(value_bytes(change));
+    let own_id = consensus.process.node.id();
+    let deadline = Instant::now() + constants::change_timeout(value_bytes(change));
     let mut forwarded_to = None;
     loop {
-        let owner = believed_owner(consensus, &key).filter(|o| *o != own);
+        let owner = believed_owner(consensus, &key).filter(|id| *id != own_id);
         if let Some(owner) =
-            owner.filter(|o| forwarded_to != Some(*o) && hops < constants::CHANGE_HOPS)
+            owner.filter(|id| forwarded_to != Some(*id) && hops < constants::CHANGE_HOPS)
         {
             forwarded_to = Some(owner);
-            if let Some(changed) = forward_to(consensus, change, owner, hops).await {
-                return changed;
+            if let Some(response) = forward_to(consensus, change, owner, hops).await {
+                return response;
             }
         }
         if !can_decide(consensus) {
             return forward_to_any(consensus, change, forwarded_to, hops).await;
         }
-        // Boxed: its state is large, and every message's task would have room for it, changes or not.
-        let proposing =
+        // Boxed because the future is large, and the task of every message would reserve space for it.
+        let proposal =
             Box::pin(consensus.propose_and_commit(&key, |now| state_machine::decide(change, now)));
-        let proposed = proposing.await;
-        match proposed {
-            Ok(changed) => return changed,
+        let result = proposal.await;
+        match result {
+            Ok(response) => return response,
             Err(ProposalError::NoOwnVote) => {
                 return forward_to_any(consensus, change, forwarded_to, hops).await;
             }
             Err(ProposalError::Preempted(_) | ProposalError::OwnerActive) => forwarded_to = None,
             Err(ProposalError::NoQuorum) => return state_machine::unknown(),
         }
-        let wait = consensus.process.random_backoff(constants::ELECTION_BACKOFF_MS);
-        if Instant::now() + wait >= until {
+        let backoff = consensus.process.random_backoff(constants::ELECTION_BACKOFF_MS);
+        if Instant::now() + backoff >= deadline {
             return state_machine::unknown();
         }
-        tokio::time::sleep(wait).await;
+        tokio::time::sleep(backoff).await;
     }
 }
 
@@ -92,7 +93,7 @@
     consensus.may_own() && consensus.acceptor.lock().votes()
 }
 
-/// For a node without a vote: one member after the other brings the change to its owner.
+/// Forwards the change to one member after the other until one of them gets an answer. Used if this node can't vote.
 async fn forward_to_any(
     consensus: &Arc<Consensus>,
     change: &ChangeKind,
@@ -107,14 +108,14 @@
         if id == consensus.process.node.id() || forwarded_to == Some(id) {
             continue;
         }
-        if let Some(changed) = forward_to(consensus, change, id, hops).await {
-            return changed;
+        if let Some(response) = forward_to(consensus, change, id, hops).await {
+            return response;
         }
     }
     state_machine::unknown()
 }
 
-/// The answer of the node that the change was passed to, unless it is unknown there.
+/// Forwards the change to a node. Returns its answer, or `None` if the call fails or the outcome is unknown there.
 async fn forward_to(
     consensus: &Arc<Consensus>,
     change: &ChangeKind,
@@ -125,7 +126,9 @@
     let MemberLink { link, .. } = links.into_iter().find(|link| link.member == to)?;
     let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
     match link.call(body, constants::owner_timeout(value_bytes(change))).await {
-        Ok(Body::ChangeResponse(changed)) if changed.outcome() != Outcome::Unknown => Some(changed),
+        Ok(Body::ChangeResponse(response)) if response.outcome() != Outcome::Unknown => {
+            Some(response)
+        }
         _ => None,
     }
 }
--- a/crates/control-plane/src/consensus/key_owner.rs
+++ b/crates/control-plane/src/consensus/key_owner.rs
@@ -1,8 +1,8 @@
-//! The keys that this node owns, and changes to them: as owner at once, else after a `campaign`.
+//! The keys that this node owns, and changes to them: at once as the owner, otherwise after an election (`campaign`).
 
 use super::Consensus;
 use super::acceptor::Acceptor;
-use super::election::Elections;
+use super::election::ProgressTracker;
 use super::proposer::{ProposalError, Proposer};
 use super::resignation::ResignedBallots;
 use super::state_machine::Decision;
@@ -13,58 +13,59 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The ownership of one key; a change of the key holds the lock from its first step to its answer.
-type Slot = Arc<tokio::sync::Mutex<Option<Proposer>>>;
+/// The ownership of one key. A change holds the lock from its first step until its outcome is known.
+type OwnershipSlot = Arc<tokio::sync::Mutex<Option<Proposer>>>;
 
-/// The keys that this node owns, each under a lock that one change holds at a time.
+/// The ownership of keys, and what this node knows about their owners.
 #[derive(Default)]
 pub struct KeyOwners {
-    slots: Mutex<HashMap<String, Slot>>,
-    /// When each key's owner last made progress, as this voter saw it.
-    elections: Mutex<Elections>,
-    /// Highest promised ballot in the rejections of others, by key: who owns it now. Never falls.
+    slots: Mutex<HashMap<String, OwnershipSlot>>,
+    /// When the owner of each key last made progress, as seen by this voter.
+    progress: Mutex<ProgressTracker>,
+    /// Highest ballot that other voters reported as promised, by key; it names the likely owner. Never decreases.
     observed_ballots: Mutex<HashMap<String, Ballot>>,
-    /// Ballots whose owner gave its keys up before it ended.
+    /// Ballots whose owner has released its keys before shutdown.
     resigned: Mutex<ResignedBallots>,
 }
 
 impl KeyOwners {
-    fn slot(&self, key: &str) -> Slot {
+    fn slot(&self, key: &str) -> OwnershipSlot {
         self.slots.lock().entry_ref(key).or_default().clone()
     }
 
-    /// The own acceptor has voted for another node's request, or this node begins a round as the owner.
+    /// Records that this node voted for another node's request for the key, or is about to run a round as its owner.
     pub fn record_progress(&self, key: &str) {
-        self.elections.lock().record_progress(key, Instant::now());
+        self.progress.lock().record_progress(key, Instant::now());
     }
 
-    /// Another voter has promised this ballot.
+    /// Records that another voter has promised this ballot.
     pub fn observe_ballot(&self, key: &str, promised: Ballot) {
         let mut observed_ballots = self.observed_ballots.lock();
         let highest = observed_ballots.entry_ref(key).or_default();
         *highest = promised.max(*highest);
     }
 
-    /// Highest ballot that another voter is known to have promised.
+    /// Highest ballot that another voter is known to have promised; the default ballot if none is known.
     pub fn observed_ballot(&self, key: &str) -> Ballot {
         self.observed_ballots.lock().get(key).copied().unwrap_or_default()
     }
 
-    /// The owner of this ballot has left.
-    pub fn owner_resigned(&self, key: &str, promised: Ballot) {
+    /// Records that the owner of this ballot has resigned.
+    pub fn record_resigned_ballot(&self, key: &str, promised: Ballot) {
         self.resigned.lock().insert(key, promised);
     }
 
-    /// Whether the owner of this ballot has left.
+    /// Whether the owner of this ballot has resigned.
     pub fn has_resigned(&self, key: &str, promised: Ballot) -> bool {
         self.resigned.lock().contains(key, promised)
     }
 
-    /// Waits for the rounds under way, and owns nothing from then on unless a key is taken over again.
+    /// Releases all keys once their current rounds have ended. A key whose round takes longer than
+    /// [`constants::PHASE_TIMEOUT`] is not released. A later election may acquire a key again.
     ///
-    /// Slots are locked in the order of their keys.
+    /// Slots are locked in key order.
     pub async fn release_keys(&self) {
-        let mut slots: Vec<(String, Slot)> =
+        let mut slots: Vec<(String, OwnershipSlot)> =
             self.slots.lock().iter().map(|(key, slot)| (key.clone(), slot.clone())).collect();
         slots.sort_by(|a, b| a.0.cmp(&b.0));
         let releases = slots.iter().map(|(_, slot)| async move {
@@ -76,29 +77,29 @@
         futures_util::future::join_all(releases).await;
     }
 
-    /// Whether the key's owner has made no progress for so long that another may be elected; a large value takes
-    /// longer to send.
-    pub(super) fn is_quiet(&self, key: &str, value_bytes: usize) -> bool {
-        let span = constants::ELECTION_TIMEOUT + constants::phase_timeout(value_bytes)
+    /// Whether the owner of the key has made no progress for the election time-out, which is longer for large values
+    /// because they take longer to send.
+    pub(super) fn has_owner_timed_out(&self, key: &str, value_bytes: usize) -> bool {
+        let election_timeout = constants::ELECTION_TIMEOUT + constants::phase_timeout(value_bytes)
             - constants::PHASE_TIMEOUT;
-        self.elections.lock().is_quiet(key, Instant::now(), span)
+        self.progress.lock().has_timed_out(key, Instant::now(), election_timeout)
     }
 }
 
-/// Whether an ownership still stands: same scope, and the own acceptor has promised nobody else.
+/// Whether an ownership is still valid: the scope is unchanged, and the local acceptor has promised no other ballot.
 fn is_current(acceptor: &Acceptor, key: &str, proposer: &Proposer) -> bool {
     let scope = proposer.scope();
     proposer.is_owner()
-        && scope.membership == acceptor.membership().epoch
+        && scope.membership_epoch == acceptor.membership().epoch
         && scope.recovery_epoch == acceptor.recovery_epoch()
         && acceptor.promised(key).epoch() == proposer.ballot().epoch()
 }
 
 impl Consensus {
-    /// Changes a key here: as its owner, or after taking it over. `decide` sees the chosen value.
+    /// Changes a key on this node, which becomes its owner if it is not yet. `decide` gets the chosen value.
     ///
     /// # Errors
-    /// The change may have been chosen all the same, except after [`ProposalError::NoOwnVote`] of a take-over.
+    /// The change may have been chosen nevertheless, except after [`ProposalError::NoOwnVote`] from an election.
     pub async fn propose_and_commit(
         self: &Arc<Self>,
         key: &str,
@@ -109,7 +110,7 @@
         if !self.may_own() {
             return Err(ProposalError::NoOwnVote);
         }
-        let mut proposer = self.own(key, slot.take()).await?;
+        let mut proposer = self.ensure_ownership(key, slot.take()).await?;
         let answer = match decide(proposer.value()) {
             Decision::Answer(answer) => {
                 self.confirm(key, &mut proposer).await?;
@@ -121,21 +122,21 @@
                 answer
             }
         };
-        // After an error the slot stays empty: whether the value was chosen is found out by the next election.
+        // After an error the slot stays empty: the next election finds out whether the value was chosen.
         *slot = Some(proposer);
         Ok(answer)
     }
 
-    /// The ownership of a key: the present one if it still stands, else a new one.
-    async fn own(
+    /// The ownership of a key: the current one if it is still valid, otherwise a newly acquired one.
+    async fn ensure_ownership(
         self: &Arc<Self>,
         key: &str,
-        present: Option<Proposer>,
+        current: Option<Proposer>,
     ) -> Result<Proposer, ProposalError> {
         let is_current = |proposer: &Proposer| {
             self.with_acceptor(|acceptor| is_current(acceptor, key, proposer))
         };
-        match present.filter(is_current) {
+        match current.filter(is_current) {
             Some(proposer) => {
                 self.key_owners.record_progress(key);
                 Ok(proposer)
@@ -144,13 +145,14 @@
         }
     }
 
-    /// An answer without a change still needs a quorum that has not moved on.
+    /// Confirms before an answer without a change that the value is still current: a majority holds its ballot, or
+    /// accepts it again.
     async fn confirm(
         self: &Arc<Self>,
         key: &str,
         proposer: &mut Proposer,
     ) -> Result<(), ProposalError> {
-        if self.majority_at(key, proposer.ballot()).await {
+        if self.is_accepted_by_majority(key, proposer.ballot()).await {
             return Ok(());
         }
         let first = proposer.confirm();
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -1,27 +1,27 @@
-//! Agreement on the control state: each key is a Paxos register of its own, with one owner at a time.
+//! Consensus on the control state: each key is a separate Paxos register with one owner (leader) at a time.
 //!
-//! [`Consensus`] is this node's part in it. It owns the node's vote with its disk ([`acceptor`],
-//! [`crate::storage`]), the keys that this node owns ([`key_owner`]), the newest values that it knows to be
-//! chosen, and when each voter answered last ([`quorum_contact`]).
+//! [`Consensus`] is this node's participant. It holds the acceptor and its disk ([`acceptor`], [`crate::storage`]), the
+//! keys that this node owns ([`key_owner`]), the newest values known to be chosen, and the time of each voter's last
+//! answer ([`quorum_contact`]).
 //!
-//! | file | what it is | pure |
+//! | module | responsibility | pure |
 //! |---|---|---|
-//! | [`acceptor`] | the vote: what was promised and accepted, and what has to be on disk before an answer | yes |
-//! | [`round`], [`proposer`] | counting votes; preparing a ballot, completing what was open, proposing | yes |
-//! | [`election`] | when a key may be taken from its owner | yes |
-//! | [`state_machine`], [`config_history`], [`departure_records`] | what a value is and what a change makes of it | yes |
-//! | [`quorum_status`] | what the voters of a membership hold, from their answers | yes |
+//! | [`acceptor`] | promised and accepted ballots, and what must be durable before an answer is sent | yes |
+//! | [`round`], [`proposer`] | counting votes; preparing a ballot, completing an accepted value, proposing | yes |
+//! | [`election`] | whether a key's owner has timed out | yes |
+//! | [`state_machine`], [`config_history`], [`departure_records`] | the keys' values and how changes apply to them | yes |
+//! | [`quorum_status`] | what the voters of a membership have accepted, from their reports | yes |
 //! | [`key_owner`] | the keys that this node owns, and changes to them | |
-//! | `campaign` | taking a key from an owner that has timed out | |
-//! | `rounds`, `voter_calls` | carry out what a proposer asks for; calls to all voters at once | |
-//! | [`forward`] | brings a change to the owner of its key | |
-//! | [`reads`] | reads that a majority confirms | |
-//! | [`anti_entropy`] | learns what was chosen, also where notices were lost | |
-//! | [`resignation`] | gives owned keys up before the process ends | |
-//! | [`quorum_contact`] | whether a majority answered lately | |
+//! | `campaign` | elections: taking over a key whose owner has timed out | |
+//! | `rounds`, `voter_calls` | execute a proposer's actions; calls to all voters in parallel | |
+//! | [`forward`] | forwards a change to the owner of its key | |
+//! | [`reads`] | linearizable reads, confirmed by a majority | |
+//! | [`anti_entropy`] | learns chosen values even if commit notices are lost | |
+//! | [`resignation`] | releases owned keys before shutdown | |
+//! | [`quorum_contact`] | whether a majority answered recently | |
 //!
-//! Order of locks: the slot of a key (async, held over a round), then the acceptor, then the learned values,
-//! then the cluster state; the others are leaves. No lock but a key's slot is held over an await.
+//! Lock order: the slot of a key (async, held for a whole round), the acceptor, the learned values, the cluster state;
+//! no other lock is taken while one of the remaining ones is held. Only a key's slot is held across an await.
 
 pub mod acceptor;
 pub mod anti_entropy;
@@ -52,13 +52,13 @@
 use fleet_core::wire::{Ballot, ConfigValue, Member, Membership};
 use key_owner::KeyOwners;
 use parking_lot::Mutex;
-use quorum_contact::Contact;
+use quorum_contact::QuorumContact;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Is notified of each configuration that this node learns to be chosen.
+/// Is notified of each configuration that this node learns was chosen.
 pub trait ConfigObserver: Send + Sync + 'static {
-    /// A configuration was chosen; a later one may have been chosen since.
+    /// Called with a chosen configuration; a later one may have been chosen in the meantime.
     fn config_committed(&self, value: &ConfigValue);
 }
 
@@ -67,27 +67,27 @@
 pub struct ChosenValue {
     /// Orders the values of one key.
     pub ballot: Ballot,
-    /// The value, encoded as the key demands.
+    /// The value, in the encoding of its key.
     pub value: Bytes,
 }
 
-/// What a node's part in the agreement is built with.
+/// The dependencies and the stored state of a [`Consensus`].
 pub struct ConsensusParts {
-    /// The process that it runs in.
+    /// Identity, settings, log and shutdown state of this node.
     pub process: Arc<Process>,
     /// Links to the other voters.
     pub links: Arc<PeerLinks>,
-    /// Where this node keeps what it learns.
+    /// Receives what is learned from chosen values.
     pub cluster_state: Arc<ClusterStateStore>,
-    /// Who is notified of chosen configurations.
+    /// Notified of chosen configurations.
     pub config_observer: Arc<dyn ConfigObserver>,
-    /// Where votes are kept.
+    /// Stores the acceptor's records.
     pub disk: MonitoredDisk,
-    /// What was on that disk at the start.
+    /// The state read from that disk at startup.
     pub state: State,
 }
 
-/// This node's part in the agreement.
+/// This node's participant in the consensus: acceptor, proposer and learner for all keys.
 pub struct Consensus {
     process: Arc<Process>,
     links: Arc<PeerLinks>,
@@ -95,14 +95,14 @@
     config_observer: Arc<dyn ConfigObserver>,
     disk: MonitoredDisk,
     acceptor: Mutex<Acceptor>,
-    /// Newest value of each key that is known to be chosen.
+    /// Newest value of each key known to be chosen.
     learned: Mutex<BTreeMap<String, ChosenValue>>,
     key_owners: KeyOwners,
-    contact: Mutex<Contact>,
+    contact: Mutex<QuorumContact>,
 }
 
 impl Consensus {
-    /// The part of a node whose disk held this state.
+    /// Restores the participant from its stored state.
     pub fn new(parts: ConsensusParts) -> Consensus {
         Consensus {
             acceptor: Mutex::new(Acceptor::new(parts.process.node.ip, parts.state)),
@@ -117,62 +117,61 @@
         }
     }
 
-    /// The process that this node is.
+    /// Identity, settings, log and shutdown state of this node.
     pub fn process(&self) -> &Process {
         &self.process
     }
 
-    /// Reads the node's vote.
+    /// Calls `read` with the acceptor while its lock is held.
     pub fn with_acceptor<T>(&self, read: impl FnOnce(&Acceptor) -> T) -> T {
         read(&self.acceptor.lock())
     }
 
-    /// The membership in force, as far as this node knows; epoch 0 where it knows none.
+    /// The latest membership known to this node; epoch 0 if it knows none.
     pub fn membership(&self) -> Membership {
         self.acceptor.lock().membership().clone()
     }
 
-    /// Epoch of the membership in force, as far as this node knows.
+    /// Epoch of the latest membership known to this node; 0 if it knows none.
     pub fn membership_epoch(&self) -> u64 {
         self.acceptor.lock().membership().epoch
     }
 
-    /// Whether this node is a voter that holds its state.
+    /// Whether this node may vote: it is a member, and its registers are complete.
     pub fn votes(&self) -> bool {
         self.acceptor.lock().votes()
     }
 
-    /// Links to the other voters of the membership in force.
+    /// Links to the other voters of the current membership.
     pub fn links_to_voters(&self) -> Vec<MemberLink> {
         self.links.to(&self.membership().members)
     }
 
-    /// Links to these members but this node.
+    /// Links to these members, except this node.
     pub fn links_to(&self, members: &[Member]) -> Vec<MemberLink> {
         self.links.to(members)
     }
 
-    /// Whether the disk failed the last write, or a write hangs: this node can't vote then.
+    /// Whether the last disk write failed or a write is overdue. This node can't vote in that state.
     pub fn is_disk_broken(&self) -> bool {
         self.disk.is_broken()
     }
 
-    /// Whether there is no disk: this node never votes, and forwards what it is sent.
+    /// Whether this node has no disk. It then never votes, and forwards the changes sent to it.
     pub fn is_disk_absent(&self) -> bool {
         self.disk.is_absent()
     }
 
-    /// Whether this node may own keys: not without a disk that works, nor once it shuts down.
+    /// Whether this node may own keys: it has a working disk and is not shutting down.
     pub fn may_own(&self) -> bool {
         !self.is_disk_broken() && !self.process.is_shutting_down()
     }
 
-    /// A step of this node's vote; the answer is handed out once its record is on disk, and none if it can't
-    /// be stored.
+    /// Runs a step of this node's acceptor. Returns its answer once the record is durable, and `None` if the record
+    /// can't be stored.
     ///
     /// # Cancel safety
-    /// The step is taken and its record is queued before the first await: dropping the future only drops the
-    /// answer.
+    /// The step runs and its record is queued before the first await, so dropping the future only discards the answer.
     pub async fn vote<T>(&self, step: impl FnOnce(&mut Acceptor) -> Step<T>) -> Option<T> {
         let (stored, answer) = {
             let mut acceptor = self.acceptor.lock();
@@ -183,7 +182,7 @@
         Some(answer)
     }
 
-    /// Stores what a change of the vote's state gives, if it gives anything; whether that is on disk now.
+    /// Changes the acceptor and stores the resulting record. Returns whether there was a record and it is durable.
     pub async fn persist(&self, change: impl FnOnce(&mut Acceptor) -> Option<Record>) -> bool {
         let stored = {
             let mut acceptor = self.acceptor.lock();
@@ -193,7 +192,8 @@
         stored.await.is_ok()
     }
 
-    /// Puts a later membership in force, on disk first.
+    /// Switches to a later membership, which is stored before links and the cluster state follow. Does nothing if it
+    /// is not later than the current one.
     pub async fn adopt(&self, membership: &Membership) {
         if membership.epoch <= self.membership_epoch() {
             return;
@@ -206,19 +206,20 @@
         self.cluster_state.append(StateChange::Membership(membership.clone()));
     }
 
-    /// Keeps the links that this node needs in the membership in force.
+    /// Opens and closes links to match the current membership.
     pub fn relink(&self) {
         let (membership, votes) =
             self.with_acceptor(|acceptor| (acceptor.membership().clone(), acceptor.votes()));
         self.links.relink(&membership, votes);
     }
 
-    /// Newest value of a key that this node knows to be chosen.
+    /// Newest value of a key that this node knows was chosen.
     pub fn learned(&self, key: &str) -> Option<ChosenValue> {
         self.learned.lock().get(key).cloned()
     }
 
-    /// The own vote was given to another node's request for a key: its owner makes progress.
+    /// Records that this node voted for another node's request, which shows that the owner of the key is making
+    /// progress.
     pub fn record_progress(&self, key: &str) {
         self.key_owners.record_progress(key);
     }
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -1,59 +1,59 @@
-//! The proposing side of a register, as a pure state machine: votes go in, what to do next comes out.
+//! The Paxos proposer of a register, as a pure state machine: it takes votes and returns the next action.
 //!
-//! A proposer prepares a ballot with a quorum, completes the highest value that it finds accepted, and then
-//! owns the key: every further value is one accept round under the same ballot, with a rising sequence
-//! number. The own acceptor is always asked first, so that a value is on the owner's disk before any other
-//! voter sees it (docs/control-safety.md says why that is needed). There is no I/O, clock or task in here;
-//! `super::rounds` drives it in the program, the schedule tests and the exhaustive search drive it too.
+//! A proposer prepares a ballot with a quorum, completes the accepted value with the highest ballot, and then owns the
+//! key: each further value takes one accept round under the same epoch, with the next sequence number. The local
+//! acceptor is always asked first, so that a value is on the owner's disk before any other voter sees it
+//! (docs/control-safety.md explains why). The proposer uses no I/O, clock or task: `super::rounds` drives it in the
+//! program, and the schedule tests and the exhaustive search drive it as well.
 
-use super::round::{Round, Verdict};
+use super::round::{Round, RoundStatus};
 use fleet_core::wire::{Accept, Ballot, Prepare, Vote};
 
-/// Where votes count together: one membership, one recovery epoch.
+/// The membership and recovery epoch that the votes of a proposer must belong to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Scope {
     /// Epoch of the membership whose voters are asked.
-    pub membership: u64,
-    /// Recovery epoch of the proposer when it began.
+    pub membership_epoch: u64,
+    /// Recovery epoch of the proposer's node when it prepared.
     pub recovery_epoch: u64,
     /// Number of voters in that membership.
     pub voters: usize,
 }
 
-/// What a voter is asked.
+/// A request to a voter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Request {
-    /// Promise to take part in no lower ballot, and tell what was accepted.
+    /// Promise to accept nothing under a lower epoch, and report the accepted value.
     Prepare(Prepare),
     /// Accept a value under a promised ballot.
     Accept(Accept),
 }
 
-/// What the driver has to do next.
+/// What the driver of a proposer must do next.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Give this to the own acceptor, wait until its record is on disk, and hand the vote back.
+    /// Pass this request to the local acceptor, wait until its record is durable, and report the vote.
     SendToSelf(Request),
-    /// Send each other voter its [`Proposer::request_for`] and hand the votes back.
+    /// Send each other voter its [`Proposer::request_for`] and report the votes.
     Broadcast,
-    /// Nothing until the next vote.
+    /// Wait for the next vote.
     Wait,
-    /// [`Proposer::value`] is chosen under [`Proposer::ballot`]; the key is owned.
+    /// [`Proposer::value`] is chosen under [`Proposer::ballot`], and the proposer owns the key.
     Chosen,
-    /// The proposal is over.
+    /// The proposer has failed and does nothing more.
     Failed(ProposalError),
 }
 
-/// Why a proposal ended without its value being known to be chosen. The value may be chosen all the same.
+/// Why a proposal ended before its value was known to be chosen. The value may have been chosen nevertheless.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ProposalError {
-    /// no quorum of votes in time
+    /// no quorum voted for the proposal in time
     NoQuorum,
-    /// a voter has promised the higher ballot {0:?}
+    /// preempted by a voter that has promised the higher ballot {0:?}
     Preempted(Ballot),
-    /// the own acceptor gives no vote
+    /// the local acceptor did not vote for the proposal
     NoOwnVote,
-    /// voters still follow an owner that makes progress
+    /// the current owner of the key has not timed out
     OwnerActive,
 }
 
@@ -62,41 +62,46 @@
     Preparing(Round),
     Accepting(Round),
     Owning,
-    Over,
+    Ended,
 }
 
 /// One node's attempt to own one key, and its ownership from then on.
 #[derive(Debug, Clone)]
 pub struct Proposer {
-    own: u64,
+    node_id: u64,
     key: String,
     scope: Scope,
     ballot: Ballot,
     value: bytes::Bytes,
-    /// ballot under which `value` is already held by some voters, while it is accepted anew
-    source: Option<Ballot>,
-    /// what each voter is known to have accepted last
+    /// Set while `value` is accepted again: the ballot under which some voters already hold it.
+    source_ballot: Option<Ballot>,
+    /// The last ballot that each voter is known to have accepted.
     accepted_ballots: std::collections::BTreeMap<u64, Ballot>,
     phase: Phase,
-    step: u64,
-    /// accepted ballot of the own acceptor: other voters leave out values that are not newer
+    round_number: u64,
+    /// Accepted ballot of the local acceptor: other voters omit values that are not newer.
     own_accepted: Ballot,
 }
 
 impl Proposer {
-    /// Begins to prepare a ballot above `above`.
-    pub fn prepare(own: u64, key: &str, scope: Scope, above: u64) -> (Proposer, Action) {
-        let ballot = Ballot { n: above + 1, node: own, seq: 0 };
+    /// Starts to prepare a ballot with the epoch that follows `highest_epoch`.
+    pub fn prepare(
+        node_id: u64,
+        key: &str,
+        scope: Scope,
+        highest_epoch: u64,
+    ) -> (Proposer, Action) {
+        let ballot = Ballot { n: highest_epoch + 1, node: node_id, seq: 0 };
         let proposer = Proposer {
-            own,
+            node_id,
             key: key.to_owned(),
             scope,
             ballot,
             value: bytes::Bytes::new(),
-            source: None,
+            source_ballot: None,
             accepted_ballots: std::collections::BTreeMap::new(),
             phase: Phase::Preparing(Round::new(scope.voters)),
-            step: 1,
+            round_number: 1,
             own_accepted: Ballot::default(),
         };
         let request = proposer.prepare_request();
@@ -106,47 +111,47 @@
     fn prepare_request(&self) -> Prepare {
         Prepare {
             key: self.key.clone(),
-            membership: self.scope.membership,
+            membership: self.scope.membership_epoch,
             ballot: self.ballot,
             recovery_epoch: self.scope.recovery_epoch,
             own_accepted: self.own_accepted,
         }
     }
 
-    /// Where its votes count.
+    /// The membership and recovery epoch in which its votes count.
     pub fn scope(&self) -> Scope {
         self.scope
     }
 
-    /// Ballot of the round under way, or of the last one.
+    /// Ballot of the current round, or of the last one.
     pub fn ballot(&self) -> Ballot {
         self.ballot
     }
 
-    /// Value of the round under way, or the last one chosen.
+    /// Value of the current round, or the last one chosen; empty while the proposer prepares.
     pub fn value(&self) -> &bytes::Bytes {
         &self.value
     }
 
-    /// Number of the round under way; votes of other rounds are dropped.
-    pub fn step(&self) -> u64 {
-        self.step
+    /// Number of the current round. Votes of other rounds are ignored.
+    pub fn round_number(&self) -> u64 {
+        self.round_number
     }
 
-    /// Whether the key is owned and no round is under way.
+    /// Whether the key is owned and no round is in progress.
     pub fn is_owner(&self) -> bool {
         matches!(self.phase, Phase::Owning)
     }
 
-    /// Latest recovery epoch among the voters that answered in this round.
+    /// Latest recovery epoch among the voters that answered in the current round.
     pub fn latest_recovery_epoch(&self) -> u64 {
         match &self.phase {
             Phase::Preparing(r) | Phase::Accepting(r) => r.recovery_epoch(),
-            Phase::Owning | Phase::Over => self.scope.recovery_epoch,
+            Phase::Owning | Phase::Ended => self.scope.recovery_epoch,
         }
     }
 
-    /// Begins the round of a new value. Only while the key is owned.
+    /// Starts a round for a new value. Fails unless the key is owned and no round is in progress.
     pub fn propose(&mut self, value: bytes::Bytes) -> Action {
         if !self.is_owner() {
             return Action::Failed(ProposalError::NoQuorum);
@@ -154,7 +159,8 @@
         self.accept(value, None)
     }
 
-    /// Begins a round that has the present value accepted anew, which proves that it is current.
+    /// Starts a round in which the voters accept the current value again, which proves that it is still current. Fails
+    /// unless the key is owned and no round is in progress.
     pub fn confirm(&mut self) -> Action {
         if !self.is_owner() {
             return Action::Failed(ProposalError::NoQuorum);
@@ -162,11 +168,11 @@
         self.accept(self.value.clone(), Some(self.ballot))
     }
 
-    fn accept(&mut self, value: bytes::Bytes, source: Option<Ballot>) -> Action {
+    fn accept(&mut self, value: bytes::Bytes, source_ballot: Option<Ballot>) -> Action {
         self.ballot.seq += 1;
         self.value = value;
-        self.source = source;
-        self.step += 1;
+        self.source_ballot = source_ballot;
+        self.round_number += 1;
         self.phase = Phase::Accepting(Round::new(self.scope.voters));
         Action::SendToSelf(Request::Accept(self.accept_request(None)))
     }
@@ -175,7 +181,7 @@
         let value = if same_as.is_some() { bytes::Bytes::new() } else { self.value.clone() };
         Accept {
             key: self.key.clone(),
-            membership: self.scope.membership,
+            membership: self.scope.membership_epoch,
             ballot: self.ballot,
             value,
             recovery_epoch: self.scope.recovery_epoch,
@@ -183,70 +189,73 @@
         }
     }
 
-    /// The request of this round for another voter: without the value where it is known to hold it.
+    /// The request of the current round for another voter; without the value if that voter is known to hold it.
     pub fn request_for(&self, voter: u64) -> Request {
         if let Phase::Preparing(_) = self.phase {
             return Request::Prepare(self.prepare_request());
         }
-        let same_as = self.source.filter(|s| self.accepted_ballots.get(&voter) == Some(s));
+        let same_as =
+            self.source_ballot.filter(|ballot| self.accepted_ballots.get(&voter) == Some(ballot));
         Request::Accept(self.accept_request(same_as))
     }
 
-    /// Counts a vote of round `step`; `None` is a voter that did not answer.
-    pub fn on_vote(&mut self, step: u64, from: u64, vote: Option<&Vote>) -> Action {
-        if step != self.step {
+    /// Counts a vote of round `round_number`; `None` stands for a voter that did not answer.
+    pub fn on_vote(&mut self, round_number: u64, from: u64, vote: Option<&Vote>) -> Action {
+        if round_number != self.round_number {
             return Action::Wait;
         }
         let (Phase::Preparing(round) | Phase::Accepting(round)) = &mut self.phase else {
             return Action::Wait;
         };
-        let verdict = round.vote(from, vote);
-        if from == self.own && !vote.is_some_and(|v| v.ok) {
+        let status = round.vote(from, vote);
+        if from == self.node_id && !vote.is_some_and(|v| v.ok) {
             return self.fail(ProposalError::NoOwnVote);
         }
-        if let (true, Some(register)) = (from == self.own, vote.and_then(|v| v.register.as_ref())) {
+        if let (true, Some(register)) =
+            (from == self.node_id, vote.and_then(|v| v.register.as_ref()))
+        {
             self.own_accepted = register.accepted;
         }
-        match verdict {
-            Verdict::Open if from == self.own => Action::Broadcast,
-            Verdict::Open => Action::Wait,
-            Verdict::Lost => self.fail(ProposalError::NoQuorum),
-            Verdict::Won => self.won(),
+        match status {
+            RoundStatus::Pending if from == self.node_id => Action::Broadcast,
+            RoundStatus::Pending => Action::Wait,
+            RoundStatus::Lost => self.fail(ProposalError::NoQuorum),
+            RoundStatus::Won => self.on_round_won(),
         }
     }
 
-    /// No more votes come in this round.
+    /// Ends the current round without a quorum: no more votes will arrive.
     pub fn on_end_of_votes(&mut self) -> Action {
         self.fail(ProposalError::NoQuorum)
     }
 
     fn fail(&mut self, error: ProposalError) -> Action {
-        let highest = match &self.phase {
-            Phase::Preparing(r) | Phase::Accepting(r) => r.highest(),
-            Phase::Owning | Phase::Over => Ballot::default(),
+        let highest_promised = match &self.phase {
+            Phase::Preparing(r) | Phase::Accepting(r) => r.highest_promised(),
+            Phase::Owning | Phase::Ended => Ballot::default(),
         };
-        self.phase = Phase::Over;
-        if highest.epoch() > self.ballot.epoch() {
-            return Action::Failed(ProposalError::Preempted(highest));
+        self.phase = Phase::Ended;
+        if highest_promised.epoch() > self.ballot.epoch() {
+            return Action::Failed(ProposalError::Preempted(highest_promised));
         }
         Action::Failed(error)
     }
 
-    fn won(&mut self) -> Action {
-        match std::mem::replace(&mut self.phase, Phase::Over) {
+    fn on_round_won(&mut self) -> Action {
+        match std::mem::replace(&mut self.phase, Phase::Ended) {
             Phase::Preparing(round) => {
-                self.accepted_ballots = round.accepted();
-                let best = round.into_best();
-                let source = best.as_ref().map(|r| r.accepted);
-                self.accept(best.map(|r| r.value).unwrap_or_default(), source)
+                self.accepted_ballots = round.accepted_ballots();
+                let highest_accepted = round.into_highest_accepted();
+                let source_ballot = highest_accepted.as_ref().map(|r| r.accepted);
+                self.accept(highest_accepted.map(|r| r.value).unwrap_or_default(), source_ballot)
             }
             Phase::Accepting(round) => {
                 self.accepted_ballots =
-                    round.voters_for().map(|voter| (voter, self.ballot)).collect();
+                    round.granting_voters().map(|voter| (voter, self.ballot)).collect();
                 self.phase = Phase::Owning;
                 Action::Chosen
             }
-            Phase::Owning | Phase::Over => Action::Wait,
+            Phase::Owning | Phase::Ended => Action::Wait,
         }
     }
 }
--- a/crates/control-plane/src/consensus/quorum_contact.rs
+++ b/crates/control-plane/src/consensus/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! Contact with a majority of the voters, which a consensus needs in order to answer for all of them.
+//! QuorumContact with a majority of the voters, without which a node must not answer on behalf of the cluster.
 
 use super::Consensus;
 use fleet_core::constants;
@@ -8,37 +8,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// When each voter was last known to answer: pure state, with the time passed in. Counted from before the
-/// call began, since what a voter did after its answer left is not known.
+/// When each voter last answered. Pure state: the time is passed in. An answer counts from the start of its call,
+/// because the voter may have answered at any time since then.
 #[derive(Debug, Default)]
-pub struct Contact {
-    answered: hashbrown::HashMap<u64, Instant>,
+pub struct QuorumContact {
+    last_answers: hashbrown::HashMap<u64, Instant>,
 }
 
-impl Contact {
-    /// A voter of the membership in force answered a call that began at this time.
-    pub fn answered(&mut self, voter: u64, begun: Instant) {
-        let at = self.answered.entry(voter).or_insert(begun);
-        *at = begun.max(*at);
+impl QuorumContact {
+    /// Records that a voter of the current membership answered a call that started at this time. Answers may arrive out
+    /// of order.
+    pub fn record_answer(&mut self, voter: u64, call_start: Instant) {
+        let latest = self.last_answers.entry(voter).or_insert(call_start);
+        *latest = call_start.max(*latest);
     }
 
-    /// Until when this node counts as in contact with a majority of these voters.
-    pub fn until(&self, voters: &[u64], span: Duration) -> Option<Instant> {
-        let mut begun: Vec<Instant> =
-            voters.iter().filter_map(|v| self.answered.get(v).copied()).collect();
-        begun.sort_unstable_by(|a, b| b.cmp(a));
+    /// When contact with a majority of these voters expires, if each answer is valid for `span`; `None` if fewer than a
+    /// majority have ever answered.
+    pub fn expires_at(&self, voters: &[u64], span: Duration) -> Option<Instant> {
+        let mut call_starts: Vec<Instant> =
+            voters.iter().filter_map(|voter| self.last_answers.get(voter).copied()).collect();
+        call_starts.sort_unstable_by(|a, b| b.cmp(a));
         let majority = voters.len() / 2 + 1;
-        begun.get(majority - 1).map(|oldest| *oldest + span)
+        call_starts.get(majority - 1).map(|oldest| *oldest + span)
     }
 
-    /// When the last call began that this voter answered.
+    /// Start of the latest call that this voter answered.
     pub fn last_answer(&self, voter: u64) -> Option<Instant> {
-        self.answered.get(&voter).copied()
+        self.last_answers.get(&voter).copied()
     }
 
-    /// Those that vote no longer are forgotten.
+    /// Removes all nodes except these voters.
     pub fn retain(&mut self, voters: &[u64]) {
-        self.answered.retain(|v, _| voters.contains(v));
+        self.last_answers.retain(|voter, _| voters.contains(voter));
     }
 }
 
@@ -48,39 +50,42 @@
         bound.min(constants::CONTACT_SPAN)
     }
 
-    fn contact_until(&self) -> Option<Instant> {
+    fn contact_expires_at(&self) -> Option<Instant> {
         let voters: Vec<u64> = {
             let acceptor = self.acceptor.lock();
             acceptor.membership().members.iter().filter_map(Member::id).collect()
         };
         let mut contact = self.contact.lock();
         contact.retain(&voters);
-        contact.until(&voters, self.contact_span())
+        contact.expires_at(&voters, self.contact_span())
     }
 
-    /// Whether this node may acknowledge, reject or return anything: it had answers of a majority of the voters in
-    /// force a short time ago. Without it, callers have to go on to another node.
+    /// Whether a majority of the current voters answered recently. Without contact this node must not acknowledge,
+    /// reject or return anything, and callers have to try another node.
     pub fn in_contact(&self) -> bool {
-        self.contact_until().is_some_and(|t| Instant::now() < t)
+        self.contact_expires_at().is_some_and(|expiry| Instant::now() < expiry)
     }
 
-    /// Age of the last answer of a voter; none if it has not answered since the start.
+    /// Time since the start of the latest call that this voter answered; `None` if it has not answered since this
+    /// process started.
     pub fn last_answer_age(&self, voter: u64) -> Option<Duration> {
-        self.contact.lock().last_answer(voter).map(|begun| begun.elapsed())
+        self.contact.lock().last_answer(voter).map(|call_start| call_start.elapsed())
     }
 }
 
-/// Looks whether contact stands. The learner's rounds keep it up; only where these are late does this
-/// task ask the voters itself.
+/// Checks the contact periodically and logs when it is gained or lost. The anti-entropy queries normally renew it; this
+/// task queries the voters itself only when contact is about to expire.
 pub async fn run_contact_check(consensus: Arc<Consensus>) {
     let mut was_in_contact = false;
     loop {
         tokio::time::sleep(constants::CONTACT_CHECK_INTERVAL).await;
-        let remaining =
-            consensus.contact_until().map(|t| t.saturating_duration_since(Instant::now()));
-        if remaining.is_some_and(|l| l < consensus.contact_span().mul_f64(constants::CONTACT_RENEW))
+        let remaining = consensus
+            .contact_expires_at()
+            .map(|expiry| expiry.saturating_duration_since(Instant::now()));
+        if remaining
+            .is_some_and(|left| left < consensus.contact_span().mul_f64(constants::CONTACT_RENEW))
         {
-            consensus.contact_majority().await;
+            consensus.renew_contact().await;
         }
         let is_in_contact = consensus.in_contact();
         if is_in_contact != was_in_contact {
--- a/crates/control-plane/src/consensus/quorum_status.rs
+++ b/crates/control-plane/src/consensus/quorum_status.rs
@@ -1,4 +1,4 @@
-//! What the voters of one membership hold, as they answered one round of questions.
+//! What the voters of one membership have accepted, from the reports of one query.
 
 use fleet_core::wire::{Ballot, BallotReport, Membership};
 use std::collections::BTreeMap;
@@ -6,25 +6,25 @@
 /// Whether a key's newest value is known to be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyStatus {
-    /// a quorum has accepted under just this ballot
+    /// a quorum has accepted exactly this ballot
     Chosen(Ballot),
-    /// the highest ballot that a voter has accepted under; a round may be under way
-    Open(Ballot),
+    /// this is the highest accepted ballot, without a known quorum; a round may be in progress
+    Pending(Ballot),
 }
 
-/// Answers of voters to [`fleet_core::wire::ReadBallots`]. They count only within the membership that was asked.
+/// Answers of voters to [`fleet_core::wire::ReadBallots`]. Only answers given in the queried membership count.
 #[derive(Debug)]
 pub struct QuorumStatus {
-    membership: u64,
+    membership_epoch: u64,
     voters: usize,
     accepted: BTreeMap<String, BTreeMap<u64, Ballot>>,
 }
 
 impl QuorumStatus {
-    /// A round of questions to the voters of this membership.
+    /// Starts a query of the voters of this membership.
     pub fn new(membership: &Membership) -> QuorumStatus {
         QuorumStatus {
-            membership: membership.epoch,
+            membership_epoch: membership.epoch,
             voters: membership.members.len(),
             accepted: BTreeMap::new(),
         }
@@ -34,12 +34,12 @@
         self.voters / 2 + 1
     }
 
-    /// Counts an answer; false if it doesn't count: its sender has no vote, or has another membership.
-    pub fn add(&mut self, voter: u64, answer: &BallotReport) -> bool {
-        if !answer.votes_in(self.membership) {
+    /// Adds the report of a voter. Returns false and ignores it if its sender can't vote or has another membership.
+    pub fn add_report(&mut self, voter: u64, report: &BallotReport) -> bool {
+        if !report.votes_in(self.membership_epoch) {
             return false;
         }
-        for register in &answer.registers {
+        for register in &report.registers {
             if register.accepted != Ballot::default() {
                 let ballots = self.accepted.entry(register.key.clone()).or_default();
                 ballots.insert(voter, register.accepted);
@@ -48,36 +48,36 @@
         true
     }
 
-    /// Every key that a voter holds.
+    /// All keys for which a voter has accepted a value.
     pub fn keys(&self) -> impl Iterator<Item = &str> {
         self.accepted.keys().map(String::as_str)
     }
 
-    /// How a key stands; none if no voter that answered holds it.
+    /// Status of a key; `None` if no voter that answered has accepted a value for it.
     pub fn key_status(&self, key: &str) -> Option<KeyStatus> {
-        let top = self.accepted.get(key)?.values().max().copied()?;
-        if self.count_at(key, top) >= self.quorum() {
-            return Some(KeyStatus::Chosen(top));
+        let highest = self.accepted.get(key)?.values().max().copied()?;
+        if self.count_accepted_at(key, highest) >= self.quorum() {
+            return Some(KeyStatus::Chosen(highest));
         }
-        Some(KeyStatus::Open(top))
+        Some(KeyStatus::Pending(highest))
     }
 
-    /// Whether a quorum has accepted the key under just this ballot.
+    /// Whether a quorum has accepted exactly this ballot for the key.
     pub fn has_quorum_at(&self, key: &str, ballot: Ballot) -> bool {
-        self.count_at(key, ballot) >= self.quorum()
+        self.count_accepted_at(key, ballot) >= self.quorum()
     }
 
-    fn count_at(&self, key: &str, ballot: Ballot) -> usize {
+    fn count_accepted_at(&self, key: &str, ballot: Ballot) -> usize {
         let Some(ballots) = self.accepted.get(key) else { return 0 };
-        ballots.values().filter(|b| **b == ballot).count()
+        ballots.values().filter(|accepted| **accepted == ballot).count()
     }
 
-    /// Whether this voter has accepted the key under just this ballot.
+    /// Whether this voter has accepted exactly this ballot for the key.
     pub fn is_accepted_by(&self, key: &str, voter: u64, ballot: Ballot) -> bool {
         self.accepted.get(key).is_some_and(|ballots| ballots.get(&voter) == Some(&ballot))
     }
 
-    /// Whether every voter's ballot is known for some key, so that nothing more can come.
+    /// Whether all voters have answered, which shows in a key for which every voter has reported a ballot.
     pub fn is_complete(&self) -> bool {
         self.voters > 0 && self.accepted.values().any(|ballots| ballots.len() >= self.voters)
     }
--- a/crates/control-plane/src/consensus/quorum_status_tests.rs
+++ b/crates/control-plane/src/consensus/quorum_status_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `status`.
+//! Tests of `quorum_status`.
 
 use super::*;
 use fleet_core::wire::{Member, Register};
@@ -13,7 +13,8 @@
     Membership { epoch, members: vec![Member::default(); size] }
 }
 
-fn holds(n: u64, epoch: u64) -> BallotReport {
+/// The report of a voter that accepted the ballot `n` and is in the membership `epoch`.
+fn report(n: u64, epoch: u64) -> BallotReport {
     let register = Register { key: KEY.into(), accepted: ballot(n), ..Default::default() };
     BallotReport {
         votes: true,
@@ -24,38 +25,45 @@
 }
 
 #[test]
-fn chosen_needs_a_quorum_at_the_highest() {
+fn value_is_chosen_only_with_a_quorum_at_the_highest_ballot() {
     let mut status = QuorumStatus::new(&membership(1, 3));
     assert_eq!(status.key_status(KEY), None);
-    assert!(status.add(1, &holds(3, 1)));
-    assert_eq!(status.key_status(KEY), Some(KeyStatus::Open(ballot(3))));
-    status.add(2, &holds(2, 1));
-    assert_eq!(status.key_status(KEY), Some(KeyStatus::Open(ballot(3))));
-    status.add(3, &holds(3, 1));
+    assert!(status.add_report(1, &report(3, 1)));
+    assert_eq!(status.key_status(KEY), Some(KeyStatus::Pending(ballot(3))));
+    status.add_report(2, &report(2, 1));
+    assert_eq!(status.key_status(KEY), Some(KeyStatus::Pending(ballot(3))));
+    status.add_report(3, &report(3, 1));
     assert_eq!(status.key_status(KEY), Some(KeyStatus::Chosen(ballot(3))));
     assert!(status.is_complete() && status.is_accepted_by(KEY, 2, ballot(2)));
     assert!(!status.has_quorum_at(KEY, ballot(2)));
 }
 
-/// Formerly the size of the quorum was read before the members were, and the own answer counted whatever
-/// membership it was of: two of three, when there were four by then.
+/// Regression test: the quorum size was read before the members, and the local answer counted in any membership. Two
+/// answers then passed for a majority of three, although there were already four members.
 #[test]
 fn answers_of_another_membership_or_without_a_vote_do_not_count() {
     let mut status = QuorumStatus::new(&membership(1, 3));
-    status.add(1, &holds(3, 1));
-    assert!(!status.add(2, &holds(3, 2)), "has moved on");
-    assert!(!status.add(3, &BallotReport { votes: false, ..holds(3, 1) }), "reads its state back");
-    assert_eq!(status.key_status(KEY), Some(KeyStatus::Open(ballot(3))));
+    status.add_report(1, &report(3, 1));
+    assert!(!status.add_report(2, &report(3, 2)), "later membership");
+    assert!(
+        !status.add_report(3, &BallotReport { votes: false, ..report(3, 1) }),
+        "still recovering"
+    );
+    assert_eq!(status.key_status(KEY), Some(KeyStatus::Pending(ballot(3))));
     let mut four = QuorumStatus::new(&membership(2, 4));
-    four.add(1, &holds(3, 2));
-    four.add(2, &holds(3, 2));
-    assert_eq!(four.key_status(KEY), Some(KeyStatus::Open(ballot(3))), "two of four are no quorum");
+    four.add_report(1, &report(3, 2));
+    four.add_report(2, &report(3, 2));
+    assert_eq!(
+        four.key_status(KEY),
+        Some(KeyStatus::Pending(ballot(3))),
+        "two of four is no quorum"
+    );
 }
 
 #[test]
-fn a_voter_counts_once() {
+fn voter_counts_once() {
     let mut status = QuorumStatus::new(&membership(1, 3));
-    status.add(1, &holds(3, 1));
-    status.add(1, &holds(3, 1));
-    assert_eq!(status.key_status(KEY), Some(KeyStatus::Open(ballot(3))));
+    status.add_report(1, &report(3, 1));
+    status.add_report(1, &report(3, 1));
+    assert_eq!(status.key_status(KEY), Some(KeyStatus::Pending(ballot(3))));
 }
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -1,8 +1,8 @@
-//! Reads that a majority confirms: the value was current at some time after the read began.
+//! Linearizable reads: the returned value was current at some time after the read began.
 //!
-//! A read asks all voters for their ballots. Where a majority has accepted under the same ballot, that value is
-//! chosen, and no later one was when the read began (majorities meet). A read never takes a key from its owner:
-//! while a round is under way it asks again, and then has the owner complete the round.
+//! A read queries all voters for their ballots. If a majority has accepted the same ballot, its value is chosen, and no
+//! later one was chosen when the read began, because any two majorities intersect. A read never takes a key from its
+//! owner: while a round is in progress it repeats the query, and finally has the owner complete the round.
 
 use super::quorum_status::{KeyStatus, QuorumStatus};
 use super::{ChosenValue, Consensus, forward};
@@ -15,49 +15,60 @@
 use tokio::time::Instant;
 
 impl Consensus {
-    /// Asks all voters what they hold now, until `is_enough`; their answers come from disk.
+    /// Queries all voters for their ballots until `is_enough` returns true or all have answered or timed out. The
+    /// answers contain only durable ballots.
     pub(super) async fn query_voters(
         self: &Arc<Self>,
         is_enough: impl Fn(&QuorumStatus) -> bool,
     ) -> QuorumStatus {
         let membership = self.membership();
-        let begun = Instant::now();
+        let call_start = Instant::now();
         let mut status = QuorumStatus::new(&membership);
         let request = ReadBallots { membership: membership.epoch, values: false };
         let body = Body::ReadBallots(request);
         let timeout = constants::PHASE_TIMEOUT;
         let mut answers = self.call_members(&membership.members, timeout, |_| body.clone());
-        let own = self.vote(|acceptor| acceptor.read_ballots(false));
-        if let Ok(Some(answer)) = tokio::time::timeout(constants::PHASE_TIMEOUT, own).await {
-            self.count(&mut status, self.process.node.id(), &answer, begun);
+        let own_report = self.vote(|acceptor| acceptor.read_ballots(false));
+        if let Ok(Some(answer)) = tokio::time::timeout(constants::PHASE_TIMEOUT, own_report).await {
+            self.add_report(&mut status, self.process.node.id(), &answer, call_start);
         }
         while !is_enough(&status) {
             let Some((voter, answer)) = answers.recv().await else { break };
             let Some(Body::BallotReport(answer)) = answer else { continue };
-            self.count(&mut status, voter, &answer, begun);
+            self.add_report(&mut status, voter, &answer, call_start);
         }
         status
     }
 
-    fn count(&self, status: &mut QuorumStatus, voter: u64, answer: &BallotReport, begun: Instant) {
-        if status.add(voter, answer) {
-            self.contact.lock().answered(voter, begun);
+    fn add_report(
+        &self,
+        status: &mut QuorumStatus,
+        voter: u64,
+        report: &BallotReport,
+        call_start: Instant,
+    ) {
+        if status.add_report(voter, report) {
+            self.contact.lock().record_answer(voter, call_start);
         }
     }
 
-    /// Asks the voters for no other reason than to be in contact with a majority of them.
-    pub async fn contact_majority(self: &Arc<Self>) {
+    /// Queries all voters only to renew the contact with a majority.
+    pub async fn renew_contact(self: &Arc<Self>) {
         self.query_voters(|_| false).await;
     }
 
-    /// Whether a majority holds the key at just this ballot, asked after the call began.
-    pub(super) async fn majority_at(self: &Arc<Self>, key: &str, ballot: Ballot) -> bool {
+    /// Whether a majority of the voters, queried after this call began, has accepted exactly this ballot for the key.
+    pub(super) async fn is_accepted_by_majority(
+        self: &Arc<Self>,
+        key: &str,
+        ballot: Ballot,
+    ) -> bool {
         let status = self.query_voters(|status| status.has_quorum_at(key, ballot)).await;
         status.has_quorum_at(key, ballot)
     }
 
-    /// The chosen value of a key, confirmed with a majority after the call came; none if no majority confirms
-    /// one.
+    /// Reads the chosen value of a key, confirmed by a majority after this call began; `None` if no majority confirms a
+    /// value.
     pub async fn read(self: &Arc<Self>, key: &str) -> Option<ChosenValue> {
         let mut backoff_ms = constants::READ_BACKOFF_MS;
         for _ in 0..constants::READ_ATTEMPTS {
@@ -74,7 +85,7 @@
         self.read_once(key).await
     }
 
-    /// The value that a majority stands at now, if it stands at one.
+    /// The value that a majority has accepted under the same ballot, if there is one; queries once.
     async fn read_once(self: &Arc<Self>, key: &str) -> Option<ChosenValue> {
         let is_chosen =
             |status: &QuorumStatus| matches!(status.key_status(key), Some(KeyStatus::Chosen(_)));
@@ -84,19 +95,19 @@
         Some(ChosenValue { ballot, value })
     }
 
-    /// The value that was accepted under this ballot: from here, or from a voter that holds it.
+    /// The value that was accepted under this ballot: from this node, or fetched from a voter that has accepted it.
     pub(super) async fn value_at(
         self: &Arc<Self>,
         key: &str,
         ballot: Ballot,
         status: &QuorumStatus,
     ) -> Option<bytes::Bytes> {
-        let own = self.with_acceptor(|acceptor| {
+        let accepted = self.with_acceptor(|acceptor| {
             let register = acceptor.register(key).filter(|register| register.accepted == ballot);
             register.map(|register| register.value.clone())
         });
         let learned = || self.learned(key).filter(|known| known.ballot == ballot);
-        if let Some(value) = own.or_else(|| learned().map(|known| known.value)) {
+        if let Some(value) = accepted.or_else(|| learned().map(|known| known.value)) {
             return Some(value);
         }
         for MemberLink { member: voter, link } in self.links_to_voters() {
--- a/crates/control-plane/src/consensus/round.rs
+++ b/crates/control-plane/src/consensus/round.rs
@@ -1,15 +1,15 @@
-//! Counting the votes of one round.
+//! Counts the votes of one Paxos round.
 
 use fleet_core::wire::{Ballot, Register, Vote};
 
-/// How a round stands.
+/// Whether a round has a quorum.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-pub enum Verdict {
-    /// votes that could decide it are still out
-    Open,
-    /// a quorum said yes
+pub enum RoundStatus {
+    /// neither a quorum of votes nor too many refusals yet
+    Pending,
+    /// a quorum voted for the request
     Won,
-    /// no quorum can say yes any more
+    /// too many voters refused or did not answer for a quorum to be possible
     Lost,
 }
 
@@ -17,22 +17,22 @@
 #[derive(Debug, Clone)]
 pub struct Round {
     voters: usize,
-    yes: std::collections::BTreeMap<u64, Ballot>,
-    no: std::collections::BTreeSet<u64>,
-    best: Option<Register>,
-    highest: Ballot,
+    granted: std::collections::BTreeMap<u64, Ballot>,
+    refused: std::collections::BTreeSet<u64>,
+    highest_accepted: Option<Register>,
+    highest_promised: Ballot,
     recovery_epoch: u64,
 }
 
 impl Round {
-    /// A round among this many voters.
+    /// Starts a round with this number of voters.
     pub fn new(voters: usize) -> Self {
         Round {
             voters,
-            yes: std::collections::BTreeMap::new(),
-            no: std::collections::BTreeSet::new(),
-            best: None,
-            highest: Ballot::default(),
+            granted: std::collections::BTreeMap::new(),
+            refused: std::collections::BTreeSet::new(),
+            highest_accepted: None,
+            highest_promised: Ballot::default(),
             recovery_epoch: 0,
         }
     }
@@ -41,66 +41,69 @@
         self.voters / 2 + 1
     }
 
-    /// Counts a vote once; `None` is a voter that did not answer.
-    pub fn vote(&mut self, from: u64, vote: Option<&Vote>) -> Verdict {
+    /// Counts the vote of a voter, which counts once however often it arrives. `None` stands for a voter that did not
+    /// answer.
+    pub fn vote(&mut self, from: u64, vote: Option<&Vote>) -> RoundStatus {
         self.recovery_epoch = self.recovery_epoch.max(vote.map_or(0, |v| v.recovery_epoch));
         match vote {
-            Some(v) if v.ok => self.count_yes(from, v),
-            _ => self.count_no(from, vote),
+            Some(v) if v.ok => self.count_grant(from, v),
+            _ => self.count_refusal(from, vote),
         }
-        self.verdict()
+        self.status()
     }
 
-    fn count_yes(&mut self, from: u64, vote: &Vote) {
+    fn count_grant(&mut self, from: u64, vote: &Vote) {
         let accepted = vote.register.as_ref().map(|r| r.accepted).unwrap_or_default();
-        self.yes.insert(from, accepted);
+        self.granted.insert(from, accepted);
         let Some(register) = &vote.register else { return };
-        let better = self.best.as_ref().is_none_or(|b| accepted > b.accepted);
-        if accepted != Ballot::default() && better {
-            self.best = Some(register.clone());
+        let is_higher =
+            self.highest_accepted.as_ref().is_none_or(|known| accepted > known.accepted);
+        if accepted != Ballot::default() && is_higher {
+            self.highest_accepted = Some(register.clone());
         }
     }
 
-    fn count_no(&mut self, from: u64, vote: Option<&Vote>) {
+    fn count_refusal(&mut self, from: u64, vote: Option<&Vote>) {
         if let Some(register) = vote.and_then(|v| v.register.as_ref()) {
-            self.highest = self.highest.max(register.promised);
+            self.highest_promised = self.highest_promised.max(register.promised);
         }
-        self.no.insert(from);
+        self.refused.insert(from);
     }
 
-    /// How the round stands now.
-    pub fn verdict(&self) -> Verdict {
-        if self.yes.len() >= self.quorum() {
-            return Verdict::Won;
+    /// Status of the round after the votes counted so far.
+    pub fn status(&self) -> RoundStatus {
+        if self.granted.len() >= self.quorum() {
+            return RoundStatus::Won;
         }
-        if self.voters.saturating_sub(self.no.len()) < self.quorum() {
-            return Verdict::Lost;
+        if self.voters.saturating_sub(self.refused.len()) < self.quorum() {
+            return RoundStatus::Lost;
         }
-        Verdict::Open
+        RoundStatus::Pending
     }
 
-    /// Highest ballot promised by those who refused.
-    pub fn highest(&self) -> Ballot {
-        self.highest
+    /// Highest ballot that a refusing voter has promised to another proposer; the default ballot if none is known.
+    pub fn highest_promised(&self) -> Ballot {
+        self.highest_promised
     }
 
-    /// Latest recovery epoch that a voter is in.
+    /// Latest recovery epoch among the voters that answered.
     pub fn recovery_epoch(&self) -> u64 {
         self.recovery_epoch
     }
 
-    /// Last accepted ballot of each voter that said yes to a prepare.
-    pub fn accepted(&self) -> std::collections::BTreeMap<u64, Ballot> {
-        self.yes.clone()
+    /// Last accepted ballot of each voter that granted a prepare request.
+    pub fn accepted_ballots(&self) -> std::collections::BTreeMap<u64, Ballot> {
+        self.granted.clone()
     }
 
-    /// Those who said yes.
-    pub fn voters_for(&self) -> impl Iterator<Item = u64> {
-        self.yes.keys().copied()
+    /// The voters that granted the request.
+    pub fn granting_voters(&self) -> impl Iterator<Item = u64> {
+        self.granted.keys().copied()
     }
 
-    /// The register that was accepted under the highest ballot among those who promised.
-    pub fn into_best(self) -> Option<Register> {
-        self.best
+    /// The register with the highest accepted ballot among the voters that promised; `None` if none of them has
+    /// accepted anything.
+    pub fn into_highest_accepted(self) -> Option<Register> {
+        self.highest_accepted
     }
 }
--- a/crates/control-plane/src/consensus/rounds.rs
+++ b/crates/control-plane/src/consensus/rounds.rs
@@ -1,4 +1,4 @@
-//! Carries the rounds of a [`Proposer`] out: votes of this node, votes of the others, and the notice of what was chosen.
+//! Drives a [`Proposer`]: collects the votes of this node and of the other voters, and announces the chosen value.
 
 use super::Consensus;
 use super::proposer::{Action, ProposalError, Proposer, Request};
@@ -15,8 +15,8 @@
     }
 }
 
-/// The vote in an answer; none where the call failed or was answered by something else.
-fn vote_in(answer: Option<Body>) -> Option<Vote> {
+/// The vote in an answer; `None` if the call failed or was answered with another message.
+fn vote_from(answer: Option<Body>) -> Option<Vote> {
     match answer? {
         Body::Vote(vote) => Some(vote),
         _ => None,
@@ -24,26 +24,27 @@
 }
 
 impl Consensus {
-    /// A round of a key's owner, or of who is to be: once its value is chosen, the others are notified.
+    /// Runs a round of the owner of a key, or an election and its completing round. Learns the chosen value and
+    /// notifies the other voters.
     ///
     /// # Errors
-    /// The value may have been chosen all the same, or be chosen later by another owner that completes it.
+    /// The value may have been chosen nevertheless, or another owner may complete it later.
     pub(super) async fn run_round(
         self: &Arc<Self>,
         key: &str,
         proposer: &mut Proposer,
         first: Action,
     ) -> Result<(), ProposalError> {
-        let done = self.drive(proposer, first).await;
-        if let Err(ProposalError::Preempted(promised)) = &done {
+        let outcome = self.drive(proposer, first).await;
+        if let Err(ProposalError::Preempted(promised)) = &outcome {
             self.key_owners.observe_ballot(key, *promised);
         }
-        done?;
-        self.committed(key, proposer.ballot(), proposer.value()).await;
+        outcome?;
+        self.announce_commit(key, proposer.ballot(), proposer.value()).await;
         Ok(())
     }
 
-    /// Carries out what a proposer asks for, until its value is chosen or it fails.
+    /// Executes the actions of a proposer until its value is chosen or it fails.
     async fn drive(
         self: &Arc<Self>,
         proposer: &mut Proposer,
@@ -52,13 +53,13 @@
         let mut action = first;
         let mut answers: Option<mpsc::Receiver<MemberAnswer>> = None;
         loop {
-            let step = proposer.step();
+            let round_number = proposer.round_number();
             action = match action {
                 Action::Chosen => return Ok(()),
                 Action::Failed(error) => return Err(error),
                 Action::SendToSelf(request) => {
-                    let vote = self.own_vote(proposer, &request).await;
-                    proposer.on_vote(step, self.process.node.id(), vote.as_ref())
+                    let vote = self.local_vote(proposer, &request).await;
+                    proposer.on_vote(round_number, self.process.node.id(), vote.as_ref())
                 }
                 Action::Broadcast => {
                     answers = Some(self.broadcast(proposer));
@@ -66,7 +67,7 @@
                 }
                 Action::Wait => match next_answer(&mut answers).await {
                     Some((voter, answer)) => {
-                        proposer.on_vote(step, voter, vote_in(answer).as_ref())
+                        proposer.on_vote(round_number, voter, vote_from(answer).as_ref())
                     }
                     None => proposer.on_end_of_votes(),
                 },
@@ -75,8 +76,8 @@
         }
     }
 
-    /// This node's own vote: a value is on the own disk before it is sent to others.
-    async fn own_vote(&self, proposer: &Proposer, request: &Request) -> Option<Vote> {
+    /// This node's vote, once it is durable: a value is on the local disk before it is sent to other voters.
+    async fn local_vote(&self, proposer: &Proposer, request: &Request) -> Option<Vote> {
         let timeout = constants::phase_timeout(proposer.value().len());
         let vote = async {
             match request {
@@ -87,17 +88,17 @@
         tokio::time::timeout(timeout, vote).await.ok().flatten()
     }
 
-    /// Sends the round's request to all other voters.
+    /// Sends the request of the current round to all other voters.
     fn broadcast(self: &Arc<Self>, proposer: &Proposer) -> mpsc::Receiver<MemberAnswer> {
         let members = self.membership().members;
         let timeout = constants::phase_timeout(proposer.value().len());
         self.call_members(&members, timeout, |voter| request_body(proposer.request_for(voter)))
     }
 
-    /// A vote bore a later recovery epoch: this node votes in no earlier one from now on.
+    /// Moves this node to the latest recovery epoch seen in a vote, so that it gives no vote in an earlier one.
     async fn follow_recovery_epoch(&self, latest: u64) {
         if latest > self.with_acceptor(|acceptor| acceptor.recovery_epoch()) {
-            self.persist(|acceptor| acceptor.advance(latest)).await;
+            self.persist(|acceptor| acceptor.advance_recovery_epoch(latest)).await;
         }
     }
 }
--- a/crates/control-plane/src/consensus/schedules_tests.rs
+++ b/crates/control-plane/src/consensus/schedules_tests.rs
@@ -1,6 +1,6 @@
-//! Registers under schedules of crashes, wiped disks, loss, delay and reordering:
-//! a change that was acknowledged is never lost, and changes form one chain; with one loss
-//! to be borne among three members, and with two among five.
+//! Registers under random schedules of crashes, wiped disks and lost, delayed and reordered messages. Acknowledged
+//! changes are never lost, and committed values form one chain, if at most one of three or two of five members lose
+//! their disks at a time.
 
 use super::acceptor::Acceptor;
 use super::proposer::{Action, Proposer, Request, Scope};
@@ -14,8 +14,9 @@
     Ipv4Addr::new(10, 0, 0, i as u8 + 1)
 }
 
-fn membership(n: usize) -> Membership {
-    let members = (0..n).map(|i| Member { ip: ip(i).to_string(), ..Default::default() }).collect();
+fn membership(node_count: usize) -> Membership {
+    let members =
+        (0..node_count).map(|i| Member { ip: ip(i).to_string(), ..Default::default() }).collect();
     Membership { epoch: 1, members }
 }
 
@@ -24,8 +25,8 @@
 }
 
 impl Disk {
-    fn keep(&mut self, r: &Record) {
-        self.state.apply(r);
+    fn apply(&mut self, record: &Record) {
+        self.state.apply(record);
     }
 }
 
@@ -35,12 +36,14 @@
     Vote(Vote),
 }
 
-struct Wire {
+/// A message in transit. It is lost if the receiver restarts.
+struct Envelope {
     from: usize,
-    incarnation: u64,
+    from_incarnation: u64,
     to: usize,
     to_incarnation: u64,
-    step: u64,
+    /// The sender's or receiver's attempt and its round.
+    attempt_and_round: u64,
     message: Message,
 }
 
@@ -50,18 +53,26 @@
     disk: Disk,
     acceptor: Acceptor,
     proposer: Option<Proposer>,
-    /// rises with every proposer of this incarnation, so that votes for a former one are dropped
+    /// Rises with every proposer of this incarnation, so that votes for an earlier one are ignored.
     attempt: u64,
-    /// the change that the round under way adds
-    adds: Option<u64>,
+    /// The change that the current round adds.
+    pending_change: Option<u64>,
 }
 
 impl Node {
-    fn founded(i: usize, n: usize) -> Node {
+    fn bootstrapped(i: usize, node_count: usize) -> Node {
         let mut disk = Disk { state: State::default() };
         let mut acceptor = Acceptor::new(ip(i), State::default());
-        disk.keep(&acceptor.bootstrap(&membership(n)).unwrap());
-        Node { incarnation: 1, up: true, disk, acceptor, proposer: None, attempt: 0, adds: None }
+        disk.apply(&acceptor.bootstrap(&membership(node_count)).unwrap());
+        Node {
+            incarnation: 1,
+            up: true,
+            disk,
+            acceptor,
+            proposer: None,
+            attempt: 0,
+            pending_change: None,
+        }
     }
 
     fn vote(&mut self, request: &Request) -> Vote {
@@ -69,7 +80,7 @@
             Request::Prepare(p) => self.acceptor.prepare(p),
             Request::Accept(a) => self.acceptor.accept(a),
         };
-        self.disk.keep(&step.record);
+        self.disk.apply(&step.record);
         step.answer
     }
 
@@ -77,76 +88,86 @@
         self.incarnation += 1;
         self.up = true;
         self.proposer = None;
-        self.adds = None;
+        self.pending_change = None;
         self.acceptor = Acceptor::new(ip(i), self.disk.state.clone());
     }
 }
 
-/// What a member that reads back fetches by key after the ballots.
-pub fn with_values(mut answer: BallotReport, holder: &Acceptor) -> BallotReport {
+/// Completes a report of ballots with the values, which a recovering member fetches key by key.
+pub fn with_fetched_values(mut answer: BallotReport, holder: &Acceptor) -> BallotReport {
     for register in &mut answer.registers {
         register.value = holder.register(&register.key).unwrap().value.clone();
     }
     answer
 }
 
-fn pack(v: &[u64]) -> bytes::Bytes {
-    v.iter().flat_map(|x| x.to_be_bytes()).collect::<Vec<u8>>().into()
+fn encode_changes(changes: &[u64]) -> bytes::Bytes {
+    changes.iter().flat_map(|change| change.to_be_bytes()).collect::<Vec<u8>>().into()
 }
 
-fn unpack(b: &[u8]) -> Vec<u64> {
-    b.chunks(8).map(|c| u64::from_be_bytes(c.try_into().unwrap())).collect()
+fn decode_changes(bytes: &[u8]) -> Vec<u64> {
+    bytes.chunks(8).map(|chunk| u64::from_be_bytes(chunk.try_into().unwrap())).collect()
 }
 
-struct World {
+struct Simulation {
     nodes: Vec<Node>,
-    wires: Vec<Wire>,
+    in_transit: Vec<Envelope>,
     acknowledged: Vec<u64>,
+    /// Every committed value, as the list of its changes.
     chains: Vec<Vec<u64>>,
-    next: u64,
-    n: usize,
-    /// recovery_epochs are kept apart, as they have to be
-    careful: bool,
+    next_change: u64,
+    node_count: usize,
+    /// Whether each recovery starts a new recovery epoch. The protocol requires it; a test shows what fails without it.
+    raises_recovery_epoch: bool,
 }
 
-impl World {
-    fn new(n: usize, careful: bool) -> World {
-        let nodes = (0..n).map(|i| Node::founded(i, n)).collect();
-        World { nodes, wires: vec![], acknowledged: vec![], chains: vec![], next: 1, n, careful }
+impl Simulation {
+    fn new(node_count: usize, raises_recovery_epoch: bool) -> Simulation {
+        let nodes = (0..node_count).map(|i| Node::bootstrapped(i, node_count)).collect();
+        Simulation {
+            nodes,
+            in_transit: vec![],
+            acknowledged: vec![],
+            chains: vec![],
+            next_change: 1,
+            node_count,
+            raises_recovery_epoch,
+        }
     }
 
     fn broadcast(&mut self, i: usize) {
-        for to in (0..self.n).filter(|t| *t != i) {
+        for to in (0..self.node_count).filter(|to| *to != i) {
             let node = &self.nodes[i];
             let Some(proposer) = &node.proposer else { return };
-            let wire = Wire {
+            let envelope = Envelope {
                 from: i,
-                incarnation: node.incarnation,
+                from_incarnation: node.incarnation,
                 to,
                 to_incarnation: self.nodes[to].incarnation,
-                step: node.attempt << 32 | proposer.step(),
+                attempt_and_round: node.attempt << 32 | proposer.round_number(),
                 message: Message::Request(proposer.request_for(to as u64)),
             };
-            self.wires.push(wire);
+            self.in_transit.push(envelope);
         }
     }
 
     fn start(&mut self, i: usize) {
-        let (voters, n) = (self.n, &mut self.nodes[i]);
-        if !n.up || !n.acceptor.votes() {
+        let (voters, node) = (self.node_count, &mut self.nodes[i]);
+        if !node.up || !node.acceptor.votes() {
             return;
         }
-        let scope = Scope { membership: 1, recovery_epoch: n.acceptor.recovery_epoch(), voters };
-        let above = n.acceptor.highest(KEY);
-        let (proposer, action) = Proposer::prepare(i as u64, KEY, scope, above);
-        n.attempt += 1;
-        n.proposer = Some(proposer);
-        n.adds = None;
-        self.act(i, action);
+        let scope =
+            Scope { membership_epoch: 1, recovery_epoch: node.acceptor.recovery_epoch(), voters };
+        let highest_epoch = node.acceptor.highest_epoch(KEY);
+        let (proposer, action) = Proposer::prepare(i as u64, KEY, scope, highest_epoch);
+        node.attempt += 1;
+        node.proposer = Some(proposer);
+        node.pending_change = None;
+        self.execute(i, action);
     }
 
-    /// Carries out what the proposer of a node asks for; an owner goes on with a further change.
-    fn act(&mut self, i: usize, first: Action) {
+    /// Executes the actions of a node's proposer. An owner always proposes one more change.
+    fn execute(&mut self, i: usize, first: Action) {
         let mut action = first;
         loop {
             let node = &mut self.nodes[i];
@@ -160,53 +181,57 @@
                 Action::SendToSelf(request) => {
                     let vote = node.vote(&request);
                     let Some(proposer) = &mut node.proposer else { return };
-                    proposer.on_vote(proposer.step(), i as u64, Some(&vote))
+                    proposer.on_vote(proposer.round_number(), i as u64, Some(&vote))
                 }
                 Action::Chosen => {
                     let Some(proposer) = &mut node.proposer else { return };
-                    let mut chain = unpack(proposer.value());
+                    let mut chain = decode_changes(proposer.value());
                     self.chains.push(chain.clone());
-                    self.acknowledged.extend(node.adds.take());
-                    chain.push(self.next);
-                    node.adds = Some(self.next);
-                    self.next += 1;
-                    proposer.propose(pack(&chain))
+                    self.acknowledged.extend(node.pending_change.take());
+                    chain.push(self.next_change);
+                    node.pending_change = Some(self.next_change);
+                    self.next_change += 1;
+                    proposer.propose(encode_changes(&chain))
                 }
             };
         }
     }
 
-    fn deliver(&mut self, at: usize) {
-        if self.wires.is_empty() {
+    fn deliver(&mut self, index: usize) {
+        if self.in_transit.is_empty() {
             return;
         }
-        let w = self.wires.swap_remove(at % self.wires.len());
-        let n = &mut self.nodes[w.to];
-        if !n.up || n.incarnation != w.to_incarnation {
+        let envelope = self.in_transit.swap_remove(index % self.in_transit.len());
+        let node = &mut self.nodes[envelope.to];
+        if !node.up || node.incarnation != envelope.to_incarnation {
             return;
         }
-        match &w.message {
+        match &envelope.message {
             Message::Request(request) => {
-                let vote = n.vote(request);
-                self.wires.push(Wire {
-                    from: w.to,
-                    incarnation: n.incarnation,
-                    to: w.from,
-                    to_incarnation: w.incarnation,
-                    step: w.step,
+                let vote = node.vote(request);
+                self.in_transit.push(Envelope {
+                    from: envelope.to,
+                    from_incarnation: node.incarnation,
+                    to: envelope.from,
+                    to_incarnation: envelope.from_incarnation,
+                    attempt_and_round: envelope.attempt_and_round,
                     message: Message::Vote(vote),
                 });
             }
-            Message::Vote(vote) => self.count(&w, vote),
+            Message::Vote(vote) => self.count_vote(&envelope, vote),
         }
     }
 
-    fn count(&mut self, w: &Wire, vote: &Vote) {
-        let n = &mut self.nodes[w.to];
-        let attempt = w.step >> 32;
-        let Some(proposer) = n.proposer.as_mut().filter(|_| attempt == n.attempt) else { return };
-        let action = proposer.on_vote(w.step & 0xffff_ffff, w.from as u64, Some(vote));
-        self.act(w.to, action);
+    fn count_vote(&mut self, envelope: &Envelope, vote: &Vote) {
+        let to = &mut self.nodes[envelope.to];
+        let attempt = envelope.attempt_and_round >> 32;
+        let Some(proposer) = to.proposer.as_mut().filter(|_| attempt == to.attempt) else { return };
+        let action = proposer.on_vote(
+            envelope.attempt_and_round & 0xffff_ffff,
+            envelope.from as u64,
+            Some(vote),
+        );
+        self.execute(envelope.to, action);
     }
 
     fn recover(&mut self, i: usize) {
@@ -214,85 +239,94 @@
             return;
         }
         if self.nodes[i].acceptor.membership().epoch == 0 {
-            let r = self.nodes[i].acceptor.adopt(&membership(self.n)).unwrap();
-            self.nodes[i].disk.keep(&r);
+            let record = self.nodes[i].acceptor.adopt(&membership(self.node_count)).unwrap();
+            self.nodes[i].disk.apply(&record);
         }
-        let others: Vec<usize> = (0..self.n).filter(|o| *o != i && self.nodes[*o].up).collect();
-        let before: Vec<BallotReport> =
-            others.iter().map(|o| self.nodes[*o].acceptor.read_ballots(false).answer).collect();
-        if before.iter().filter(|p| p.votes).count() <= self.n / 2 {
+        let others: Vec<usize> =
+            (0..self.node_count).filter(|other| *other != i && self.nodes[*other].up).collect();
+        let initial_reports: Vec<BallotReport> = others
+            .iter()
+            .map(|other| self.nodes[*other].acceptor.read_ballots(false).answer)
+            .collect();
+        if initial_reports.iter().filter(|report| report.votes).count() <= self.node_count / 2 {
             return;
         }
-        let latest = before.iter().map(|p| p.recovery_epoch).max().unwrap_or(0);
-        let recovery_epoch = if self.careful { latest + 1 } else { 0 };
-        let (skipped, most) = (self.skip(others.len()), self.n / 2 + 1);
-        let mut got: Vec<BallotReport> = Vec::new();
-        for o in others {
-            let n = &mut self.nodes[o];
-            if n.acceptor.votes() && got.len() < most && Some(o) != skipped {
-                let step = n.acceptor.begin_state_transfer(recovery_epoch);
-                n.disk.keep(&step.record);
-                got.push(with_values(step.answer, &n.acceptor));
+        let latest = initial_reports.iter().map(|report| report.recovery_epoch).max().unwrap_or(0);
+        let recovery_epoch = if self.raises_recovery_epoch { latest + 1 } else { 0 };
+        let (skipped, quorum) = (self.skipped_node(others.len()), self.node_count / 2 + 1);
+        let mut reports: Vec<BallotReport> = Vec::new();
+        for other in others {
+            let node = &mut self.nodes[other];
+            if node.acceptor.votes() && reports.len() < quorum && Some(other) != skipped {
+                let step = node.acceptor.begin_state_transfer(recovery_epoch);
+                node.disk.apply(&step.record);
+                reports.push(with_fetched_values(step.answer, &node.acceptor));
             }
         }
-        if let Some(r) = self.nodes[i].acceptor.recover(recovery_epoch, &got) {
-            self.nodes[i].disk.keep(&r);
+        if let Some(record) = self.nodes[i].acceptor.recover(recovery_epoch, &reports) {
+            self.nodes[i].disk.apply(&record);
         }
     }
 
-    /// Not always the same members are read from.
-    fn skip(&self, others: usize) -> Option<usize> {
-        (others > self.n / 2 + 1).then_some(self.wires.len() % self.n)
+    /// A node that a recovering member doesn't read from, so that the majority it reads from varies.
+    fn skipped_node(&self, other_count: usize) -> Option<usize> {
+        (other_count > self.node_count / 2 + 1).then_some(self.in_transit.len() % self.node_count)
     }
 
-    /// At most so many members at a time as may be lost have no disk that they have read back.
+    /// Wipes the disk of a node, unless that leaves less than a majority of members with their state.
     fn wipe(&mut self, i: usize) {
-        let lost = |o: usize| !self.nodes[o].disk.state.voting;
-        if (0..self.n).filter(|o| *o != i && lost(*o)).count() >= (self.n - 1) / 2 {
+        let has_lost_state = |node: usize| !self.nodes[node].disk.state.voting;
+        if (0..self.node_count).filter(|node| *node != i && has_lost_state(*node)).count()
+            >= (self.node_count - 1) / 2
+        {
             return;
         }
         self.nodes[i].disk.state = State::default();
         self.nodes[i].restart(i);
     }
 
-    fn step(&mut self, what: u8, a: usize) {
-        let i = a % self.n;
-        match what {
+    fn step(&mut self, event: u8, choice: usize) {
+        let i = choice % self.node_count;
+        match event {
             0 => self.start(i),
-            1..=8 => self.deliver(a),
+            1..=8 => self.deliver(choice),
             9 => self.nodes[i].up = false,
             10 if !self.nodes[i].up => self.nodes[i].restart(i),
             11 => self.wipe(i),
-            12 if !self.wires.is_empty() => {
-                let at = a % self.wires.len();
-                self.wires.swap_remove(at);
+            12 if !self.in_transit.is_empty() => {
+                let index = choice % self.in_transit.len();
+                self.in_transit.swap_remove(index);
             }
             _ => self.recover(i),
         }
     }
 
-    /// All committed values are prefixes of each other, and hold all that was acknowledged.
+    /// Checks that committed values are prefixes of each other, and that the longest contains all acknowledged changes.
     fn check(&self) -> Result<(), String> {
         let mut chains = self.chains.clone();
         chains.sort_by_key(Vec::len);
-        for w in chains.windows(2) {
-            if !w[1].starts_with(&w[0]) {
-                return Err(format!("{:?} then {:?}", w[0], w[1]));
+        for pair in chains.windows(2) {
+            if !pair[1].starts_with(&pair[0]) {
+                return Err(format!("{:?} and {:?} were both committed", pair[0], pair[1]));
             }
         }
         let longest = chains.last().cloned().unwrap_or_default();
-        match self.acknowledged.iter().find(|x| !longest.contains(x)) {
-            Some(x) => Err(format!("{x} was acknowledged, {longest:?} lacks it")),
+        match self.acknowledged.iter().find(|change| !longest.contains(change)) {
+            Some(lost) => Err(format!("{lost} was acknowledged but is not in {longest:?}")),
             None => Ok(()),
         }
     }
 }
 
-fn run(n: usize, steps: &[(u8, usize)], careful: bool) -> Result<(), String> {
-    let mut w = World::new(n, careful);
-    for (what, a) in steps {
-        w.step(*what, *a);
-        w.check()?;
+fn run(
+    node_count: usize,
+    steps: &[(u8, usize)],
+    raises_recovery_epoch: bool,
+) -> Result<(), String> {
+    let mut simulation = Simulation::new(node_count, raises_recovery_epoch);
+    for (event, choice) in steps {
+        simulation.step(*event, *choice);
+        simulation.check()?;
     }
     Ok(())
 }
@@ -300,86 +334,100 @@
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config { cases: 3000, failure_persistence: None, ..Default::default() })]
     #[test]
-    fn acknowledged_changes_survive(
+    fn acknowledged_changes_survive_faults(
         steps in proptest::collection::vec((0u8..14, 0usize..997), 20..400)
     ) {
-        for n in [3, 5] {
-            run(n, &steps, true).map_err(proptest::test_runner::TestCaseError::fail)?;
+        for node_count in [3, 5] {
+            run(node_count, &steps, true).map_err(proptest::test_runner::TestCaseError::fail)?;
         }
     }
 }
 
-/// A vote that a wiped member gave in its former incarnation must not count beside votes given after it
-/// read its disk back from members that did not know of the change.
+/// A vote that a member gave before its disk was wiped must not count together with votes given after it recovered from
+/// members that did not know of the change. Without a new recovery epoch it does, and the change is acknowledged
+/// although a majority doesn't hold it.
 #[test]
-fn former_vote_of_a_wiped_member_does_not_count_in_a_later_recovery_epoch() {
-    let lost = |careful: bool| {
-        let mut w = World::new(5, careful);
-        w.start(3);
-        while w.acknowledged.is_empty() {
-            let at = w.wires.iter().position(|x| x.to == 3).unwrap_or(0);
-            w.deliver(at);
+fn vote_given_before_a_wipe_does_not_count_in_a_later_recovery_epoch() {
+    let outcome = |raises_recovery_epoch: bool| {
+        let mut simulation = Simulation::new(5, raises_recovery_epoch);
+        simulation.start(3);
+        while simulation.acknowledged.is_empty() {
+            let index =
+                simulation.in_transit.iter().position(|envelope| envelope.to == 3).unwrap_or(0);
+            simulation.deliver(index);
         }
-        let before = w.acknowledged.len();
-        let to = |w: &World, to: usize| w.wires.iter().rposition(|x| x.from == 3 && x.to == to);
-        let first = to(&w, 0).unwrap();
-        w.deliver(first);
-        let stale =
-            w.wires.iter().position(|x| x.from == 0 && x.to == 3).map(|p| w.wires.swap_remove(p));
-        w.wipe(0);
-        w.nodes[3].up = false;
-        w.recover(0);
-        w.nodes[3].up = true;
-        let second = to(&w, 1).unwrap();
-        w.deliver(second);
-        w.wires.extend(stale);
-        while let Some(at) = w.wires.iter().position(|x| x.to == 3 && (x.from < 2)) {
-            w.deliver(at);
+        let before = simulation.acknowledged.len();
+        let last_request_to = |simulation: &Simulation, to: usize| {
+            simulation
+                .in_transit
+                .iter()
+                .rposition(|envelope| envelope.from == 3 && envelope.to == to)
+        };
+        let first = last_request_to(&simulation, 0).unwrap();
+        simulation.deliver(first);
+        let stale_vote = simulation
+            .in_transit
+            .iter()
+            .position(|envelope| envelope.from == 0 && envelope.to == 3)
+            .map(|index| simulation.in_transit.swap_remove(index));
+        simulation.wipe(0);
+        simulation.nodes[3].up = false;
+        simulation.recover(0);
+        simulation.nodes[3].up = true;
+        let second = last_request_to(&simulation, 1).unwrap();
+        simulation.deliver(second);
+        simulation.in_transit.extend(stale_vote);
+        while let Some(index) = simulation
+            .in_transit
+            .iter()
+            .position(|envelope| envelope.to == 3 && (envelope.from < 2))
+        {
+            simulation.deliver(index);
         }
-        (w.nodes[0].acceptor.votes(), w.acknowledged.len() > before)
+        (simulation.nodes[0].acceptor.votes(), simulation.acknowledged.len() > before)
     };
-    assert_eq!(lost(false), (true, true), "counted where recovery_epochs are not kept apart");
-    assert_eq!(lost(true), (true, false));
+    assert_eq!(outcome(false), (true, true), "the vote counts without a new recovery epoch");
+    assert_eq!(outcome(true), (true, false));
 }
 
 #[test]
-fn quiet_schedule_commits_and_survives_a_wipe() {
-    let mut w = World::new(3, true);
-    w.start(0);
+fn committed_changes_survive_one_wiped_disk() {
+    let mut simulation = Simulation::new(3, true);
+    simulation.start(0);
     for _ in 0..60 {
-        w.deliver(0);
+        simulation.deliver(0);
     }
-    assert!(w.acknowledged.len() > 3);
-    let before = w.acknowledged.clone();
-    w.wires.clear();
-    w.wipe(1);
-    assert!(!w.nodes[1].acceptor.votes());
-    w.recover(1);
-    assert!(w.nodes[1].acceptor.votes());
-    w.nodes[0].up = false;
-    w.start(2);
+    assert!(simulation.acknowledged.len() > 3);
+    let before = simulation.acknowledged.clone();
+    simulation.in_transit.clear();
+    simulation.wipe(1);
+    assert!(!simulation.nodes[1].acceptor.votes());
+    simulation.recover(1);
+    assert!(simulation.nodes[1].acceptor.votes());
+    simulation.nodes[0].up = false;
+    simulation.start(2);
     for _ in 0..40 {
-        w.deliver(0);
+        simulation.deliver(0);
     }
-    w.check().unwrap();
-    let longest = w.chains.iter().max_by_key(|c| c.len()).unwrap();
-    assert!(before.iter().all(|x| longest.contains(x)));
-    assert!(w.acknowledged.len() > before.len());
+    simulation.check().unwrap();
+    let longest = simulation.chains.iter().max_by_key(|chain| chain.len()).unwrap();
+    assert!(before.iter().all(|change| longest.contains(change)));
+    assert!(simulation.acknowledged.len() > before.len());
 }
 
 #[test]
-fn empty_disk_does_not_vote_before_it_has_read_both_others() {
-    let mut a = Acceptor::new(ip(0), State::default());
-    a.adopt(&membership(3)).unwrap();
+fn empty_disk_gives_no_vote_before_recovery_from_a_majority() {
+    let mut acceptor = Acceptor::new(ip(0), State::default());
+    acceptor.adopt(&membership(3)).unwrap();
     let ballot = Ballot { n: 1, node: 2, seq: 0 };
-    let p = Prepare {
+    let request = Prepare {
         key: KEY.into(),
         membership: 1,
         ballot,
         recovery_epoch: 4,
         own_accepted: Ballot::default(),
     };
-    assert!(!a.prepare(&p).answer.ok);
+    assert!(!acceptor.prepare(&request).answer.ok);
     let report = |n| BallotReport {
         votes: true,
         registers: vec![Register {
@@ -390,48 +438,62 @@
         membership: Some(membership(3)),
         recovery_epoch: 4,
     };
-    let elsewhere = Membership { epoch: 2, ..membership(3) };
-    assert!(a.recover(4, &[report(1)]).is_none());
-    let moved = BallotReport { membership: Some(elsewhere), ..report(7) };
-    assert!(a.recover(4, &[report(1), moved]).is_none(), "of another membership");
-    assert!(a.recover(4, &[report(1), BallotReport { votes: false, ..report(7) }]).is_none());
-    assert!(a.recover(4, &[report(1), BallotReport { recovery_epoch: 3, ..report(7) }]).is_none());
-    assert!(a.recover(4, &[report(1), report(5)]).is_some());
+    let later_membership = Membership { epoch: 2, ..membership(3) };
+    assert!(acceptor.recover(4, &[report(1)]).is_none());
+    let other_report = BallotReport { membership: Some(later_membership), ..report(7) };
+    assert!(acceptor.recover(4, &[report(1), other_report]).is_none(), "of another membership");
+    assert!(
+        acceptor.recover(4, &[report(1), BallotReport { votes: false, ..report(7) }]).is_none()
+    );
+    assert!(
+        acceptor
+            .recover(4, &[report(1), BallotReport { recovery_epoch: 3, ..report(7) }])
+            .is_none()
+    );
+    assert!(acceptor.recover(4, &[report(1), report(5)]).is_some());
     assert!(
-        !a.prepare(&Prepare { ballot: Ballot { n: 9, ..ballot }, recovery_epoch: 3, ..p.clone() })
+        !acceptor
+            .prepare(&Prepare {
+                ballot: Ballot { n: 9, ..ballot },
+                recovery_epoch: 3,
+                ..request.clone()
+            })
             .answer
             .ok
     );
-    let at = |n| Prepare { ballot: Ballot { n, node: 3, seq: 0 }, ..p.clone() };
-    assert!(!a.prepare(&at(4)).answer.ok, "a promise made before the wipe holds");
-    assert!(a.prepare(&at(6)).answer.ok);
+    let request_at = |n| Prepare { ballot: Ballot { n, node: 3, seq: 0 }, ..request.clone() };
+    assert!(
+        !acceptor.prepare(&request_at(4)).answer.ok,
+        "the promise recovered from a report holds"
+    );
+    assert!(acceptor.prepare(&request_at(6)).answer.ok);
 }
 
 #[test]
-fn other_membership_epochs_get_no_vote() {
-    let mut n = Node::founded(0, 3);
-    let p = |membership, n| Prepare {
+fn requests_of_other_memberships_are_rejected() {
+    let mut node = Node::bootstrapped(0, 3);
+    let request = |membership, n| Prepare {
         key: KEY.into(),
         membership,
         ballot: Ballot { n, node: 2, seq: 0 },
         recovery_epoch: 0,
         own_accepted: Ballot::default(),
     };
-    assert!(!n.acceptor.prepare(&p(2, 1)).answer.ok);
-    assert!(n.acceptor.prepare(&p(1, 1)).answer.ok);
+    assert!(!node.acceptor.prepare(&request(2, 1)).answer.ok);
+    assert!(node.acceptor.prepare(&request(1, 1)).answer.ok);
     let mut next = membership(3);
     next.epoch = 2;
-    n.acceptor.adopt(&next).unwrap();
-    let late = n.acceptor.prepare(&p(1, 2)).answer;
-    assert!(!late.ok);
-    assert_eq!(late.membership.unwrap().epoch, 2);
-    assert!(n.acceptor.adopt(&membership(3)).is_none());
+    node.acceptor.adopt(&next).unwrap();
+    let rejection = node.acceptor.prepare(&request(1, 2)).answer;
+    assert!(!rejection.ok);
+    assert_eq!(rejection.membership.unwrap().epoch, 2);
+    assert!(node.acceptor.adopt(&membership(3)).is_none());
 }
 
-/// A corrupt ballot must not leave its key without higher ones.
+/// A corrupt ballot with a huge epoch must not leave its key without higher ballots.
 #[test]
-fn ballots_of_the_future_are_refused_and_change_nothing() {
-    let mut n = Node::founded(0, 3);
+fn implausibly_high_ballots_are_rejected_without_side_effects() {
+    let mut node = Node::bootstrapped(0, 3);
     let request = |n| Prepare {
         key: KEY.into(),
         membership: 1,
@@ -439,18 +501,18 @@
         recovery_epoch: 0,
         own_accepted: Ballot::default(),
     };
-    for future in [u64::MAX, fleet_core::constants::EPOCH_LEAD_MAX + 1] {
-        assert!(!n.acceptor.prepare(&request(future)).answer.ok);
-        let value = Accept {
+    for implausible in [u64::MAX, fleet_core::constants::EPOCH_LEAD_MAX + 1] {
+        assert!(!node.acceptor.prepare(&request(implausible)).answer.ok);
+        let accept = Accept {
             key: KEY.into(),
             membership: 1,
-            ballot: Ballot { n: future, node: 2, seq: 1 },
-            value: pack(&[7]),
+            ballot: Ballot { n: implausible, node: 2, seq: 1 },
+            value: encode_changes(&[7]),
             recovery_epoch: 0,
             same_as: None,
         };
-        assert!(!n.acceptor.accept(&value).answer.ok);
+        assert!(!node.acceptor.accept(&accept).answer.ok);
     }
-    assert!(n.acceptor.register(KEY).is_none());
-    assert!(n.acceptor.prepare(&request(1)).answer.ok);
+    assert!(node.acceptor.register(KEY).is_none());
+    assert!(node.acceptor.prepare(&request(1)).answer.ok);
 }
--- a/crates/control-plane/src/consensus/state_machine.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -1,4 +1,4 @@
-//! What each key holds, and the rules of changing it.
+//! The values of the keys, and how changes apply to them.
 
 use super::config_history::{CommittedConfig, CommittedHistory, Lookup};
 use super::departure_records;
@@ -12,46 +12,46 @@
 };
 use prost::Message;
 
-/// Key of the operator's configuration.
+/// Key of the operator's configuration, a [`ConfigValue`].
 pub const CONFIG: &str = "config";
-/// Key of the membership of the controllers.
+/// Key of the membership of the controllers, a [`fleet_core::wire::Membership`].
 pub const MEMBERSHIP: &str = "membership";
 
-/// Key of the engines whose drain or deregistration was acknowledged.
+/// Key of the engines whose drain or deregistration was acknowledged, a [`DeparturesValue`].
 pub const DEPARTURES: &str = "departures";
 
-/// Key of the weights named for a model.
+/// Key of the target version of a model's weights, a [`WeightsValue`].
 pub fn weights_key(model: &str) -> String {
     format!("weights/{model}")
 }
 
-/// The model of a key made by [`weights_key`].
+/// The model of a key returned by [`weights_key`]; `None` for other keys.
 pub fn model_of(key: &str) -> Option<&str> {
     key.strip_prefix("weights/")
 }
 
-/// The key that holds a lease's fencing token.
+/// Key of the fencing token of a lease, a [`LeaseValue`].
 pub fn lease_key(lease_name: &str) -> String {
     format!("duty/{lease_name}")
 }
 
-/// The key that a change is about.
+/// The key that a change applies to.
 pub fn key_of(change: &ChangeKind) -> String {
     match change {
         ChangeKind::Replace(_) => CONFIG.to_owned(),
-        ChangeKind::Name(n) => weights_key(&n.model),
-        ChangeKind::Raise(r) => lease_key(&r.lease_name),
+        ChangeKind::Name(request) => weights_key(&request.model),
+        ChangeKind::Raise(request) => lease_key(&request.lease_name),
         ChangeKind::Confirm(key) => key.clone(),
         ChangeKind::RecordDepartures(_) => DEPARTURES.to_owned(),
     }
 }
 
-/// What the owner of a key does with a change.
+/// How the owner of a key handles a change.
 #[derive(Debug, PartialEq)]
 pub enum Decision {
-    /// answers it without a new value
+    /// Answer without a new value.
     Answer(ChangeResponse),
-    /// has this value chosen, and answers it then
+    /// Propose this value, and send the answer once it is chosen.
     Write(bytes::Bytes, ChangeResponse),
 }
 
@@ -59,31 +59,31 @@
     ChangeResponse { outcome: outcome as i32, number, holder: String::new() }
 }
 
-/// The answer to a change of which nothing is known: it may yet be chosen.
+/// The answer to a change whose outcome is not known: it may still be chosen.
 pub fn unknown() -> ChangeResponse {
     answer(Outcome::Unknown, 0)
 }
 
-/// Decides on the committed value alone.
-pub fn decide(change: &ChangeKind, now: &[u8]) -> Decision {
+/// Decides on a change from the committed value of its key alone; `current` is empty if there is none.
+pub fn decide(change: &ChangeKind, current: &[u8]) -> Decision {
     match change {
-        ChangeKind::Replace(r) => replace(r, now),
-        ChangeKind::Name(n) => {
-            let now = WeightsValue::decode(now).unwrap_or_default();
-            if n.version <= now.version {
-                return Decision::Answer(answer(Outcome::Done, now.version));
+        ChangeKind::Replace(request) => replace_config(request, current),
+        ChangeKind::Name(request) => {
+            let current = WeightsValue::decode(current).unwrap_or_default();
+            if request.version <= current.version {
+                return Decision::Answer(answer(Outcome::Done, current.version));
             }
-            let v = WeightsValue { version: n.version };
-            Decision::Write(v.encode_to_vec().into(), answer(Outcome::Done, n.version))
+            let next = WeightsValue { version: request.version };
+            Decision::Write(next.encode_to_vec().into(), answer(Outcome::Done, request.version))
         }
-        ChangeKind::Raise(r) => raise(r, now),
+        ChangeKind::Raise(request) => raise_fencing_token(request, current),
         ChangeKind::Confirm(_) => Decision::Answer(answer(Outcome::Done, 0)),
-        ChangeKind::RecordDepartures(request) => record_departures(request, now),
+        ChangeKind::RecordDepartures(request) => record_departures(request, current),
     }
 }
 
-fn record_departures(request: &RecordDepartures, now: &[u8]) -> Decision {
-    let mut value = DeparturesValue::decode(now).unwrap_or_default();
+fn record_departures(request: &RecordDepartures, current: &[u8]) -> Decision {
+    let mut value = DeparturesValue::decode(current).unwrap_or_default();
     if departure_records::record(&mut value, request) {
         let recorded = answer(Outcome::Done, value.recorded);
         return Decision::Write(value.encode_to_vec().into(), recorded);
@@ -91,92 +91,92 @@
     Decision::Answer(answer(Outcome::Done, value.recorded))
 }
 
-/// A new fencing token for a new raise, the same one for the same raise. The answer names the node that may have
-/// acted last, which is not who raised last: a raise alone gives nobody the right to act.
-fn raise(r: &RaiseFencingToken, now: &[u8]) -> Decision {
-    let now = LeaseValue::decode(now).unwrap_or_default();
+/// Raises the fencing token of a lease; a repeated raise gets the same token again. The answer names the node that may
+/// have acted last under the lease. This need not be the node that raised the token last, because a raise alone doesn't
+/// permit its node to act.
+fn raise_fencing_token(request: &RaiseFencingToken, current: &[u8]) -> Decision {
+    let current = LeaseValue::decode(current).unwrap_or_default();
     let done = |number, acting: &str| ChangeResponse {
         holder: acting.to_owned(),
         ..answer(Outcome::Done, number)
     };
-    let decided = now.raise == Some(r.id);
-    if r.acts && !decided {
-        return Decision::Answer(answer(Outcome::Stale, now.fencing_token));
+    let is_repeated = current.raise == Some(request.id);
+    if request.acts && !is_repeated {
+        return Decision::Answer(answer(Outcome::Stale, current.fencing_token));
     }
-    if decided && (!r.acts || now.acting == r.holder) {
-        return Decision::Answer(done(now.fencing_token, &now.acting));
+    if is_repeated && (!request.acts || current.acting == request.holder) {
+        return Decision::Answer(done(current.fencing_token, &current.acting));
     }
-    let first = now.fencing_token == 0;
-    let acting = if r.acts || first { r.holder.clone() } else { now.acting };
-    let changed = done(now.fencing_token + u64::from(!decided), &acting);
-    let v = LeaseValue {
-        fencing_token: changed.number,
-        holder: r.holder.clone(),
+    let is_first = current.fencing_token == 0;
+    let acting = if request.acts || is_first { request.holder.clone() } else { current.acting };
+    let response = done(current.fencing_token + u64::from(!is_repeated), &acting);
+    let next = LeaseValue {
+        fencing_token: response.number,
+        holder: request.holder.clone(),
         acting,
-        raise: Some(r.id),
+        raise: Some(request.id),
     };
-    Decision::Write(v.encode_to_vec().into(), changed)
+    Decision::Write(next.encode_to_vec().into(), response)
 }
 
-/// Decides on a configuration.
+/// Decides on the replacement of the configuration.
 ///
-/// A refusal needs proof that this very change is not in the chain and never will be: its number
-/// is covered by the history, and its base has been followed by another one. A base that is still
-/// to come may come, and with it a late copy of this order: that is no ground for a refusal.
-fn replace(r: &ReplaceConfig, now: &[u8]) -> Decision {
-    let now = ConfigValue::decode(now).unwrap_or_default();
-    let Ok(body) = unpack(&r.packed, constants::CONFIG_BYTES) else {
-        return Decision::Answer(answer(Outcome::Invalid, now.version));
+/// A change is rejected as stale only if it provably was not committed and never will be: the history covers its
+/// number, and another configuration has followed its base. A base that is not committed yet is no reason, because it
+/// may still be committed, and then a late copy of this request can succeed.
+fn replace_config(request: &ReplaceConfig, current: &[u8]) -> Decision {
+    let current = ConfigValue::decode(current).unwrap_or_default();
+    let Ok(body) = unpack(&request.packed, constants::CONFIG_BYTES) else {
+        return Decision::Answer(answer(Outcome::Invalid, current.version));
     };
-    let own = CommittedConfig { version: r.version, digest: BodyDigest::of(&body) };
-    let mut history = CommittedHistory::decode(&now.history, now.version);
-    let lookup = history.find(&own);
+    let proposed = CommittedConfig { version: request.version, digest: BodyDigest::of(&body) };
+    let mut history = CommittedHistory::decode(&current.history, current.version);
+    let lookup = history.find(&proposed);
     if lookup == Lookup::Committed {
-        return Decision::Answer(answer(Outcome::Done, r.version));
+        return Decision::Answer(answer(Outcome::Done, request.version));
     }
-    if r.version <= r.base {
-        return Decision::Answer(answer(Outcome::Invalid, r.base));
+    if request.version <= request.base {
+        return Decision::Answer(answer(Outcome::Invalid, request.base));
     }
-    if lookup == Lookup::BeforeHistory || r.base > now.version {
-        return Decision::Answer(answer(Outcome::Unproven, now.version));
+    if lookup == Lookup::BeforeHistory || request.base > current.version {
+        return Decision::Answer(answer(Outcome::Unproven, current.version));
     }
-    if r.base < now.version {
-        return Decision::Answer(answer(Outcome::Stale, now.version));
+    if request.base < current.version {
+        return Decision::Answer(answer(Outcome::Stale, current.version));
     }
-    let Ok(c) = Configuration::read(&body) else {
-        return Decision::Answer(answer(Outcome::Invalid, now.version));
+    let Ok(configuration) = Configuration::read(&body) else {
+        return Decision::Answer(answer(Outcome::Invalid, current.version));
     };
-    history.push(own);
-    let v = next_value(r, &own, &c, &now, &history);
-    Decision::Write(v.encode_to_vec().into(), answer(Outcome::Done, r.version))
+    history.push(proposed);
+    let next = next_config_value(request, &proposed, &configuration, &current, &history);
+    Decision::Write(next.encode_to_vec().into(), answer(Outcome::Done, request.version))
 }
 
-/// The value that follows `now`; the generation of the shared isolation rises with each tenant
-/// that becomes isolated.
-fn next_value(
-    r: &ReplaceConfig,
-    own: &CommittedConfig,
-    c: &Configuration,
-    now: &ConfigValue,
+/// The value that follows `current`. The generation of the shared isolation rises if a tenant becomes isolated.
+fn next_config_value(
+    request: &ReplaceConfig,
+    committed: &CommittedConfig,
+    configuration: &Configuration,
+    current: &ConfigValue,
     history: &CommittedHistory,
 ) -> ConfigValue {
     let isolated: Vec<String> =
-        c.tenants.iter().filter(|tenant| tenant.isolated).map(|t| t.name.clone()).collect();
-    let first = now.version == 0;
-    let rises = first || isolated.iter().any(|name| !now.isolated.contains(name));
+        configuration.tenants.iter().filter(|t| t.isolated).map(|t| t.name.clone()).collect();
+    let is_first = current.version == 0;
+    let isolation_rises = is_first || isolated.iter().any(|name| !current.isolated.contains(name));
     ConfigValue {
-        version: r.version,
-        isolation: now.isolation + u64::from(rises),
+        version: request.version,
+        isolation: current.isolation + u64::from(isolation_rises),
         history: history.encode(),
-        packed: r.packed.clone(),
-        digest: bytes::Bytes::copy_from_slice(own.digest.as_bytes()),
+        packed: request.packed.clone(),
+        digest: bytes::Bytes::copy_from_slice(committed.digest.as_bytes()),
         isolated,
     }
 }
 
-/// Why a change was refused, for the answer.
-pub fn error_of(r: &ReplaceConfig, changed: &ChangeResponse) -> ConfigError {
-    ConfigError::VersionNotAbove { version: r.version, current: changed.number }
+/// The error for a change whose version is not above that of its base, which the response carries.
+pub fn error_of(request: &ReplaceConfig, response: &ChangeResponse) -> ConfigError {
+    ConfigError::VersionNotAbove { version: request.version, current: response.number }
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/consensus/voter_calls.rs
+++ b/crates/control-plane/src/consensus/voter_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to all voters of a membership at once.
+//! Parallel calls to all voters of a membership.
 
 use super::Consensus;
 use crate::membership::peer_links::MemberLink;
@@ -7,36 +7,38 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// A member, and its answer; none where the call failed.
+/// The id of a member, and its answer; `None` if the call failed.
 pub(crate) type MemberAnswer = (u64, Option<Body>);
 
 impl Consensus {
-    /// Calls these members but this node; their answers come in as they are given.
+    /// Calls these members, except this node, in parallel. The receiver yields their answers in the order of arrival.
     ///
-    /// A later membership in an answer is adopted, also in one that comes after the receiver was dropped. The tasks end
-    /// with the time-out of their calls.
+    /// A later membership in an answer is adopted, even if the answer arrives after the receiver was dropped. The
+    /// spawned tasks end with the time-out of their calls.
     pub(crate) fn call_members(
         self: &Arc<Self>,
         members: &[Member],
         timeout: Duration,
         request: impl Fn(u64) -> Body,
     ) -> mpsc::Receiver<MemberAnswer> {
-        let (answers, inbox) = mpsc::channel(members.len().max(1));
+        let (answer_tx, answer_rx) = mpsc::channel(members.len().max(1));
         for MemberLink { member, link } in self.links_to(members) {
-            let (answers, consensus, request) = (answers.clone(), self.clone(), request(member));
+            let (answer_tx, consensus, request) =
+                (answer_tx.clone(), self.clone(), request(member));
             tokio::spawn(async move {
                 let answer = link.call(request, timeout).await.ok();
                 if let Some(later) = answer.as_ref().and_then(later_membership) {
                     consensus.adopt(later).await;
                 }
-                // Nobody waits for an answer that comes after a majority has.
-                let _ = answers.send((member, answer)).await;
+                // Fails if the caller has dropped the receiver because enough answers had arrived.
+                let _ = answer_tx.send((member, answer)).await;
             });
         }
-        inbox
+        answer_rx
     }
 
-    /// Whether a majority of the membership agrees, this node with `own_answer`; returns once that is certain.
+    /// Whether a majority of the membership agrees, counting `own_answer` for this node. Returns as soon as a majority
+    /// agrees, or once all members have answered.
     pub(crate) async fn majority_agrees(
         self: &Arc<Self>,
         membership: &Membership,
@@ -56,7 +58,7 @@
     }
 }
 
-/// The membership that the answer of a voter bears, for an asker that knows an earlier one.
+/// The membership in a voter's answer, which may be later than the one of the caller.
 fn later_membership(answer: &Body) -> Option<&Membership> {
     match answer {
         Body::Vote(vote) => vote.membership.as_ref(),
--- a/crates/control-plane/src/storage/backend.rs
+++ b/crates/control-plane/src/storage/backend.rs
@@ -1,71 +1,72 @@
-//! The files of one folder, as little of them as the state needs: a test stands in a simulated
-//! disk here that loses power, fills up and tears writes.
+//! Access to the files of one directory, limited to what the stored state needs. Tests implement it with a simulated
+//! disk that loses power, runs full and tears writes.
 
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Files by name in one folder. Nothing is durable before the sync of its file, and no file
-/// before the sync of the folder.
+/// Files by name in one directory. Written bytes are durable only after their file is synced, and new files only after
+/// the directory is synced.
 pub trait Storage {
-    /// All of a file; nothing where there is none.
+    /// Reads a whole file; empty if the file doesn't exist.
     ///
     /// # Errors
     ///
-    /// The file is there and can't be read.
+    /// The file exists but can't be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
 
-    /// Bytes of a file; none where there is no file.
+    /// Length of a file in bytes; 0 if the file doesn't exist.
     ///
     /// # Errors
     ///
-    /// The folder can't be read.
+    /// The metadata of the file can't be read.
     fn length(&self, name: &str) -> io::Result<u64>;
 
-    /// Writes at an offset; makes the file where there is none.
+    /// Writes at an offset; creates the file if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// The bytes may be there in part.
+    /// Some of the bytes may have been written.
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
     /// Returns once the file's content and length are durable.
     ///
     /// # Errors
     ///
-    /// The bytes may be durable or not.
+    /// Any of the unsynced bytes may be durable or not.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Returns once the folder's entries are durable.
+    /// Returns once the directory entries are durable.
     ///
     /// # Errors
     ///
-    /// New entries may be durable or not.
+    /// New directory entries may be durable or not.
     fn sync_folder(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the machine's disk.
+/// A directory in the machine's file system, with its files kept open for writing.
 pub struct Folder {
     path: PathBuf,
-    open: hashbrown::HashMap<String, std::fs::File>,
+    open_files: hashbrown::HashMap<String, std::fs::File>,
 }
 
 impl Folder {
-    /// Makes the folder where there is none; it and those above it that were made are durable then.
+    /// Opens a directory, and creates it and its missing ancestors durably.
     ///
     /// # Errors
     ///
-    /// The folder can't be made or synced.
+    /// The directory can't be created or synced.
     pub fn open(path: &Path) -> io::Result<Folder> {
-        let missing: Vec<&Path> = path.ancestors().take_while(|p| !p.exists()).collect();
+        let missing: Vec<&Path> =
+            path.ancestors().take_while(|ancestor| !ancestor.exists()).collect();
         std::fs::create_dir_all(path)?;
-        for made in missing {
-            sync_entries(made.parent().unwrap_or(made))?;
+        for created in missing {
+            sync_directory(created.parent().unwrap_or(created))?;
         }
-        Ok(Folder { path: path.to_owned(), open: hashbrown::HashMap::new() })
+        Ok(Folder { path: path.to_owned(), open_files: hashbrown::HashMap::new() })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut std::fs::File> {
-        match self.open.entry(name.to_owned()) {
+        match self.open_files.entry(name.to_owned()) {
             hashbrown::hash_map::Entry::Occupied(entry) => Ok(entry.into_mut()),
             hashbrown::hash_map::Entry::Vacant(entry) => {
                 let mut options = std::fs::OpenOptions::new();
@@ -76,14 +77,14 @@
     }
 }
 
-fn sync_entries(folder: &Path) -> io::Result<()> {
-    let existing = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
-    std::fs::File::open(existing)?.sync_all()
+fn sync_directory(path: &Path) -> io::Result<()> {
+    let directory = if path.as_os_str().is_empty() { Path::new(".") } else { path };
+    std::fs::File::open(directory)?.sync_all()
 }
 
-/// What isn't there is no error.
-fn or_none<T: Default>(outcome: io::Result<T>) -> io::Result<T> {
-    match outcome {
+/// Returns the default value if the file was not found.
+fn default_if_missing<T: Default>(result: io::Result<T>) -> io::Result<T> {
+    match result {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(T::default()),
         other => other,
     }
@@ -91,15 +92,15 @@
 
 impl Storage for Folder {
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
-        or_none(std::fs::File::open(self.path.join(name)).and_then(|mut file| {
-            let mut out = Vec::new();
-            file.read_to_end(&mut out)?;
-            Ok(out)
+        default_if_missing(std::fs::File::open(self.path.join(name)).and_then(|mut file| {
+            let mut content = Vec::new();
+            file.read_to_end(&mut content)?;
+            Ok(content)
         }))
     }
 
     fn length(&self, name: &str) -> io::Result<u64> {
-        or_none(std::fs::metadata(self.path.join(name)).map(|metadata| metadata.len()))
+        default_if_missing(std::fs::metadata(self.path.join(name)).map(|metadata| metadata.len()))
     }
 
     fn write(&mut self, name: &str, offset: u64, bytes: &[u8]) -> io::Result<()> {
@@ -113,6 +114,6 @@
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
-        sync_entries(&self.path)
+        sync_directory(&self.path)
     }
 }
--- a/crates/control-plane/src/storage/files.rs
+++ b/crates/control-plane/src/storage/files.rs
@@ -1,7 +1,7 @@
-//! Two slots written in turn, a short log between.
+//! The stored state: two snapshot slots written in turn, and a short log of the records since the newest one.
 //!
-//! The newest whole slot and the valid records behind it are the state. A slot is durable before
-//! the log starts anew behind it, so what was kept is always in one of the two.
+//! The state is the newest valid slot with the valid log records that follow it. A new slot is durable before the log
+//! is overwritten, so durable records are always in one of the two.
 
 use super::backend::{Folder, Storage};
 use super::format::{self, Record, Slot, State};
@@ -12,12 +12,12 @@
 const LOG: &str = "log";
 const SLOTS: [&str; 2] = ["slot0", "slot1"];
 
-/// Bytes that the files are laid down with.
+/// Sizes in bytes to which the files are preallocated.
 #[derive(Clone, Copy)]
 pub struct Layout {
-    /// Of each slot; it grows with the state.
+    /// Initial size of each slot; slots grow with the state.
     pub slot: usize,
-    /// Of the log.
+    /// Size of the log, which is fixed.
     pub log: usize,
 }
 
@@ -27,119 +27,133 @@
     }
 }
 
-/// The state and its files.
+/// The stored state in memory, and the files that hold it.
 pub struct Files<S = Folder> {
     storage: S,
     layout: Layout,
+    /// Sequence number of the newest slot; the log records that follow it carry the same number.
     seq: u64,
-    log_at: usize,
+    /// Offset in the log at which the next record is written.
+    log_offset: usize,
     state: State,
-    /// The last write failed: the state has more than the files.
-    behind: bool,
-    /// A slot was torn or spoilt.
+    /// The last write failed, so the state in memory is ahead of the files.
+    is_unsaved: bool,
+    /// A slot was torn or corrupt when the files were opened.
     pub damaged: bool,
-    /// Nothing was ever kept here.
+    /// The files held no state when they were opened.
     pub empty: bool,
 }
 
 impl Files {
-    /// Opens the files of a folder, which is made where there is none.
+    /// Opens the files of a directory, which is created if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// The folder can't be made, or a file of it can't be read. An unreadable file is no empty disk.
+    /// The directory can't be created, or a file can't be read: an unreadable file doesn't count as an empty disk.
     pub fn open(dir: &Path) -> Result<(Files, State), DiskError> {
-        let folder = Folder::open(dir).map_err(io_error("create folder"))?;
+        let folder = Folder::open(dir).map_err(io_error("create directory"))?;
         Files::open_in(folder, Layout::default())
     }
 }
 
 impl<S: Storage> Files<S> {
-    /// Newest whole slot and the valid log behind it; with neither, an empty disk.
+    /// Restores the state from the newest valid slot and the log records that follow it. Without a valid slot the disk
+    /// counts as empty.
     ///
     /// # Errors
     ///
     /// A file can't be read, or the files can't be preallocated.
     pub fn open_in(mut storage: S, layout: Layout) -> Result<(Files<S>, State), DiskError> {
-        let mut best: Option<(u64, State)> = None;
+        let mut newest_slot: Option<(u64, State)> = None;
         let mut damaged = false;
         for name in SLOTS {
             match format::read_slot(&storage.read(name).map_err(io_error("read slot"))?) {
                 Slot::Blank => {}
                 Slot::Damaged => damaged = true,
                 Slot::Valid(seq, state) => {
-                    if best.as_ref().is_none_or(|(newest, _)| seq > *newest) {
-                        best = Some((seq, state));
+                    if newest_slot.as_ref().is_none_or(|(newest_seq, _)| seq > *newest_seq) {
+                        newest_slot = Some((seq, state));
                     }
                 }
             }
         }
-        let blank = best.is_none();
-        let (seq, mut state) = best.unwrap_or_default();
+        let has_no_slot = newest_slot.is_none();
+        let (seq, mut state) = newest_slot.unwrap_or_default();
         let log = storage.read(LOG).map_err(io_error("read log"))?;
-        let (records, log_at) = if blank { (Vec::new(), 0) } else { format::read_log(&log, seq) };
+        let (records, log_offset) =
+            if has_no_slot { (Vec::new(), 0) } else { format::read_log(&log, seq) };
         records.iter().for_each(|record| state.apply(record));
         preallocate_all(&mut storage, layout)?;
         let empty = state == State::default();
-        let behind = false;
-        let mut files =
-            Files { storage, layout, seq, log_at, state: state.clone(), behind, damaged, empty };
-        if blank {
-            files.switch_slot()?;
+        let is_unsaved = false;
+        let mut files = Files {
+            storage,
+            layout,
+            seq,
+            log_offset,
+            state: state.clone(),
+            is_unsaved,
+            damaged,
+            empty,
+        };
+        if has_no_slot {
+            files.write_next_slot()?;
         }
         Ok((files, state))
     }
 
-    /// The whole state into the slot whose turn it is; the log starts anew behind it.
-    fn switch_slot(&mut self) -> Result<(), DiskError> {
+    /// Writes the whole state to the older slot. The log restarts from its beginning.
+    fn write_next_slot(&mut self) -> Result<(), DiskError> {
         let seq = self.seq + 1;
         let name = SLOTS[(seq % 2) as usize];
-        let bytes = format::slot_bytes(seq, &self.state);
+        let bytes = format::encode_slot(seq, &self.state);
         self.grow_slot(name, bytes.len());
         self.storage.write(name, 0, &bytes).map_err(io_error("write slot"))?;
         self.storage.sync(name).map_err(io_error("sync slot"))?;
         self.seq = seq;
-        self.log_at = 0;
+        self.log_offset = 0;
         Ok(())
     }
 
-    /// Lays the slot down larger while there is room on the disk, before the state needs it. A
-    /// failure means nothing as yet: the state may fit all the same.
+    /// Preallocates a slot to twice the size of the state once that exceeds two thirds of the slot, so that the space
+    /// is reserved before the state needs it. A failure is ignored because the state may still fit.
     fn grow_slot(&mut self, name: &str, size: usize) {
-        let short = |length: u64| length < (size + size / 2) as u64;
-        if self.storage.length(name).is_ok_and(short) {
+        let is_too_small = |length: u64| length < (size + size / 2) as u64;
+        if self.storage.length(name).is_ok_and(is_too_small) {
             let _ = preallocate(&mut self.storage, name, size * 2);
         }
     }
 
+    /// Applies a record and writes it to the log, or writes a slot if the log is full.
     fn append(&mut self, record: &Record) -> Result<(), DiskError> {
         self.state.apply(record);
-        let bytes = format::record_bytes(self.seq, record);
-        if self.log_at + bytes.len() > self.layout.log {
-            return self.switch_slot();
+        let bytes = format::encode_record(self.seq, record);
+        if self.log_offset + bytes.len() > self.layout.log {
+            return self.write_next_slot();
         }
-        self.storage.write(LOG, self.log_at as u64, &bytes).map_err(io_error("write log"))?;
+        self.storage.write(LOG, self.log_offset as u64, &bytes).map_err(io_error("write log"))?;
         self.storage.sync(LOG).map_err(io_error("sync log"))?;
-        self.log_at += bytes.len();
+        self.log_offset += bytes.len();
         Ok(())
     }
 
-    /// Keeps several records; whatever failed before is on the disk too once this succeeds.
+    /// Stores several records durably, together with all earlier ones whose writes failed.
     ///
     /// # Errors
     ///
-    /// A write or sync failed: the records are in memory only, and are written with the next ones.
+    /// A write or sync failed. The records stay in memory and are written by the next call.
     pub fn persist<'a>(
         &mut self,
         records: impl Iterator<Item = &'a Record>,
     ) -> Result<(), DiskError> {
-        let appended = self.append_many(records);
-        let outcome = if self.behind || appended.is_err() { self.switch_slot() } else { appended };
-        self.behind = outcome.is_err();
+        let result = self.append_many(records);
+        let outcome =
+            if self.is_unsaved || result.is_err() { self.write_next_slot() } else { result };
+        self.is_unsaved = outcome.is_err();
         outcome
     }
 
-    /// Writes several records as one; the flags are those of the newest.
+    /// Merges several records into one and appends it, if it changes the state. The flags of the newest record apply.
     fn append_many<'a>(
         &mut self,
         records: impl Iterator<Item = &'a Record>,
@@ -148,34 +162,35 @@
         for record in records {
             merged.merge(record);
         }
-        let changed = merged.reset || merged.voting != self.state.voting;
-        if merged.registers.is_empty() && !changed {
+        let flags_changed = merged.reset || merged.voting != self.state.voting;
+        if merged.registers.is_empty() && !flags_changed {
             return Ok(());
         }
         self.append(&merged)
     }
 }
 
-/// All files, in full, and the folder: nothing that comes later depends on an entry that could be lost.
+/// Preallocates all files and syncs the directory, so that later writes don't depend on directory entries that a power
+/// loss could undo.
 fn preallocate_all<S: Storage>(storage: &mut S, layout: Layout) -> Result<(), DiskError> {
     for name in SLOTS {
-        preallocate(storage, name, layout.slot).map_err(io_error("lay slot"))?;
+        preallocate(storage, name, layout.slot).map_err(io_error("preallocate slot"))?;
     }
-    preallocate(storage, LOG, layout.log).map_err(io_error("lay log"))?;
-    storage.sync_folder().map_err(io_error("sync folder"))
+    preallocate(storage, LOG, layout.log).map_err(io_error("preallocate log"))?;
+    storage.sync_folder().map_err(io_error("sync directory"))
 }
 
-/// Fills a file up with zeros to at least this size.
+/// Extends a file with zeros to at least this size in bytes, and syncs it.
 fn preallocate<S: Storage>(storage: &mut S, name: &str, size: usize) -> std::io::Result<()> {
     let mut length = storage.length(name)? as usize;
     if length >= size {
         return Ok(());
     }
-    let blank = vec![0u8; constants::PREALLOCATE_CHUNK_BYTES];
+    let zeros = vec![0u8; constants::PREALLOCATE_CHUNK_BYTES];
     while length < size {
-        let part = blank.len().min(size - length);
-        storage.write(name, length as u64, &blank[..part])?;
-        length += part;
+        let chunk = zeros.len().min(size - length);
+        storage.write(name, length as u64, &zeros[..chunk])?;
+        length += chunk;
     }
     storage.sync(name)
 }
--- a/crates/control-plane/src/storage/format.rs
+++ b/crates/control-plane/src/storage/format.rs
@@ -1,18 +1,18 @@
-//! Bytes on the disk.
+//! Binary layout of snapshot slots and log records on disk.
 
 use fleet_core::wire::Register;
 use prost::Message;
 
 const MAGIC: u32 = 0xA215_ED01;
-/// Bytes of a slot before its body: magic, checksum, sequence number, length.
+/// Length of a slot's header in bytes: magic number, checksum, sequence number, length of the body.
 pub const SLOT_HEADER_BYTES: usize = 24;
-/// Bytes of a record before its body: length, checksum, sequence number of its slot.
+/// Length of a record's header in bytes: length of the body, checksum, sequence number of the slot it follows.
 pub const RECORD_HEADER_BYTES: usize = 16;
 
-/// Everything that a member keeps.
+/// The durable state of a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct State {
-    /// One register a key, in no order.
+    /// One register per key, in no particular order.
     #[prost(message, repeated, tag = "1")]
     pub registers: Vec<Register>,
     /// Whether the member may vote with these registers.
@@ -20,34 +20,34 @@
     pub voting: bool,
 }
 
-/// One change of the state.
+/// A change of the state.
 #[derive(Clone, PartialEq, Message)]
 pub struct Record {
-    /// The registers that changed, each whole.
+    /// The registers that changed, each with all its fields.
     #[prost(message, repeated, tag = "1")]
     pub registers: Vec<Register>,
-    /// The flag of the state from this record on.
+    /// The new value of [`State::voting`].
     #[prost(bool, tag = "2")]
     pub voting: bool,
-    /// Forget all registers that were kept before this record.
+    /// Whether all earlier registers are removed before `registers` are applied.
     #[prost(bool, tag = "3")]
     pub reset: bool,
 }
 
 impl Record {
-    /// Joins a later record to this one; the outcome is that of both in their order.
+    /// Merges a later record into this one. Applying the result equals applying both in order.
     pub fn merge(&mut self, later: &Record) {
         if later.reset {
             self.registers.clear();
             self.reset = true;
         }
         self.voting = later.voting;
-        put_all(&mut self.registers, &later.registers);
+        insert_or_replace(&mut self.registers, &later.registers);
     }
 }
 
-/// Each register takes the place of the one of its key.
-fn put_all(registers: &mut Vec<Register>, newer: &[Register]) {
+/// Inserts each register, replacing the one with the same key.
+fn insert_or_replace(registers: &mut Vec<Register>, newer: &[Register]) {
     for register in newer {
         match registers.iter_mut().find(|previous| previous.key == register.key) {
             Some(previous) => *previous = register.clone(),
@@ -56,102 +56,105 @@
     }
 }
 
-/// A slot as it is written: head and state.
-pub fn slot_bytes(seq: u64, state: &State) -> Vec<u8> {
+/// Encodes a slot: the header and the state.
+pub fn encode_slot(seq: u64, state: &State) -> Vec<u8> {
     let body = state.encode_to_vec();
     let mut out = Vec::with_capacity(SLOT_HEADER_BYTES + body.len());
     out.extend_from_slice(&MAGIC.to_le_bytes());
-    out.extend_from_slice(&sum(seq, &body).to_le_bytes());
+    out.extend_from_slice(&checksum(seq, &body).to_le_bytes());
     out.extend_from_slice(&seq.to_le_bytes());
     out.extend_from_slice(&(body.len() as u64).to_le_bytes());
     out.extend_from_slice(&body);
     out
 }
 
-/// What a slot's file was found to hold.
+/// The content of a slot's file.
 pub enum Slot {
     /// Never written.
     Blank,
-    /// Torn or spoilt.
+    /// Torn or corrupt.
     Damaged,
-    /// Sequence number and state.
+    /// Sequence number and state of an intact slot.
     Valid(u64, State),
 }
 
-/// Reads a slot, checking its sum.
-pub fn read_slot(b: &[u8]) -> Slot {
-    let Some(header) = b.get(..SLOT_HEADER_BYTES) else {
-        return if b.iter().all(|x| *x == 0) { Slot::Blank } else { Slot::Damaged };
+/// Decodes a slot and verifies its checksum.
+pub fn read_slot(bytes: &[u8]) -> Slot {
+    let Some(header) = bytes.get(..SLOT_HEADER_BYTES) else {
+        return if bytes.iter().all(|byte| *byte == 0) { Slot::Blank } else { Slot::Damaged };
     };
-    if header.iter().all(|x| *x == 0) {
+    if header.iter().all(|byte| *byte == 0) {
         return Slot::Blank;
     }
     let seq = u64_at(header, 8);
     let len = u64_at(header, 16) as usize;
     let Some(body) =
-        SLOT_HEADER_BYTES.checked_add(len).and_then(|end| b.get(SLOT_HEADER_BYTES..end))
+        SLOT_HEADER_BYTES.checked_add(len).and_then(|end| bytes.get(SLOT_HEADER_BYTES..end))
     else {
         return Slot::Damaged;
     };
-    if u32_at(header, 0) != MAGIC || u32_at(header, 4) != sum(seq, body) {
+    if u32_at(header, 0) != MAGIC || u32_at(header, 4) != checksum(seq, body) {
         return Slot::Damaged;
     }
-    State::decode(body).map_or(Slot::Damaged, |s| Slot::Valid(seq, s))
+    State::decode(body).map_or(Slot::Damaged, |state| Slot::Valid(seq, state))
 }
 
-/// A record as it is written behind the slot `seq`.
-pub fn record_bytes(seq: u64, r: &Record) -> Vec<u8> {
-    let body = r.encode_to_vec();
+/// Encodes a log record that follows the slot with the sequence number `seq`.
+pub fn encode_record(seq: u64, record: &Record) -> Vec<u8> {
+    let body = record.encode_to_vec();
     let mut out = Vec::with_capacity(RECORD_HEADER_BYTES + body.len());
     out.extend_from_slice(&(body.len() as u32).to_le_bytes());
-    out.extend_from_slice(&sum(seq, &body).to_le_bytes());
+    out.extend_from_slice(&checksum(seq, &body).to_le_bytes());
     out.extend_from_slice(&seq.to_le_bytes());
     out.extend_from_slice(&body);
     out
 }
 
-/// The valid records of the log that follow the slot `seq`, and where they end.
-pub fn read_log(b: &[u8], seq: u64) -> (Vec<Record>, usize) {
-    let mut out = Vec::new();
-    let mut at = 0;
-    while let Some(header) = b.get(at..at + RECORD_HEADER_BYTES) {
+/// Decodes the log records that follow the slot with the sequence number `seq`, up to the first invalid one. Returns
+/// them and the offset at which they end.
+pub fn read_log(bytes: &[u8], seq: u64) -> (Vec<Record>, usize) {
+    let mut records = Vec::new();
+    let mut offset = 0;
+    while let Some(header) = bytes.get(offset..offset + RECORD_HEADER_BYTES) {
         let len = u32_at(header, 0) as usize;
-        let Some(body) = b.get(at + RECORD_HEADER_BYTES..at + RECORD_HEADER_BYTES + len) else {
+        let Some(body) =
+            bytes.get(offset + RECORD_HEADER_BYTES..offset + RECORD_HEADER_BYTES + len)
+        else {
             break;
         };
-        if len == 0 || u64_at(header, 8) != seq || u32_at(header, 4) != sum(seq, body) {
+        if len == 0 || u64_at(header, 8) != seq || u32_at(header, 4) != checksum(seq, body) {
             break;
         }
-        let Ok(r) = Record::decode(body) else { break };
-        out.push(r);
-        at += RECORD_HEADER_BYTES + len;
+        let Ok(record) = Record::decode(body) else { break };
+        records.push(record);
+        offset += RECORD_HEADER_BYTES + len;
     }
-    (out, at)
+    (records, offset)
 }
 
-fn sum(seq: u64, body: &[u8]) -> u32 {
-    let mut h = crc32fast::Hasher::new();
-    h.update(&seq.to_le_bytes());
-    h.update(&(body.len() as u64).to_le_bytes());
-    h.update(body);
-    h.finalize()
+fn checksum(seq: u64, body: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&seq.to_le_bytes());
+    hasher.update(&(body.len() as u64).to_le_bytes());
+    hasher.update(body);
+    hasher.finalize()
 }
 
-fn u32_at(b: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes([b[at], b[at + 1], b[at + 2], b[at + 3]])
+fn u32_at(bytes: &[u8], offset: usize) -> u32 {
+    u32::from_le_bytes([bytes[offset], bytes[offset + 1], bytes[offset + 2], bytes[offset + 3]])
 }
 
-fn u64_at(b: &[u8], at: usize) -> u64 {
-    u64::from(u32_at(b, at)) | (u64::from(u32_at(b, at + 4)) << 32)
+fn u64_at(bytes: &[u8], offset: usize) -> u64 {
+    u64::from(u32_at(bytes, offset)) | (u64::from(u32_at(bytes, offset + 4)) << 32)
 }
 
 impl State {
-    /// Carries a record out.
+    /// Applies a record.
     pub fn apply(&mut self, record: &Record) {
         if record.reset {
             self.registers.clear();
         }
         self.voting = record.voting;
-        put_all(&mut self.registers, &record.registers);
+        insert_or_replace(&mut self.registers, &record.registers);
     }
 }
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -1,15 +1,15 @@
-//! Where a voter keeps its registers: two slots written in turn and a short log between, synced on a thread of its own.
+//! Durable storage of a voter's registers: two snapshot slots written in turn and a short log, written and synced by a
+//! dedicated thread.
 //!
-//! | file | what it is |
+//! | module | responsibility |
 //! |---|---|
-//! | [`mod@format`] | bytes of slots and log records, and how a torn one is known |
-//! | [`files`] | which of them hold the state, and when a slot is written |
-//! | [`backend`] | the folder's files, as a trait that tests replace by a simulated disk |
-//! | [`writer`] | the thread that writes and syncs |
-//! | [`monitor`] | knows when a record waits for too long |
+//! | [`mod@format`] | binary layout of slots and log records, and detection of torn ones |
+//! | [`files`] | restoring the state from the files, and when a slot is written |
+//! | [`backend`] | file access behind a trait, which tests implement with a simulated disk |
+//! | [`writer`] | the thread that writes and syncs records |
+//! | [`monitor`] | detects records that wait too long to be written |
 //!
-//! The controller knows the disk as a [`RecordQueue`] only, so that tests and simulations put a
-//! disk of their own behind it.
+//! The controller accesses the disk only through [`RecordQueue`], so that tests and simulations can provide their own.
 
 pub mod backend;
 pub mod files;
@@ -19,36 +19,36 @@
 
 use fleet_core::transport::BoxFuture;
 
-/// Why a record is not on the disk.
+/// Why a record is not durable, or the storage can't be opened.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum DiskError {
     /// {what}: {kind}
     Io {
         /// The step that failed.
         what: &'static str,
-        /// As the operating system has it.
+        /// The kind of error that the operating system reported.
         kind: std::io::ErrorKind,
     },
-    /// the thread of the disk has ended
+    /// the disk writer thread has terminated
     Ended,
-    /// this machine has no disk
+    /// this machine has no disk for stored data
     Absent,
 }
 
-/// Names the step at which the operating system reported an error.
+/// Converts an error of the operating system in the step `what`.
 pub fn io_error(what: &'static str) -> impl Fn(std::io::Error) -> DiskError {
-    move |e| DiskError::Io { what, kind: e.kind() }
+    move |error| DiskError::Io { what, kind: error.kind() }
 }
 
-/// What a controller keeps its records with: they are taken in the order of the calls, and each
-/// future ends once its record is durable or can't be kept.
+/// The queue through which a controller stores records. Records are written in the order of the calls, and each future
+/// completes once its record is durable or has failed.
 pub trait RecordQueue: Send + Sync + 'static {
-    /// Queues a record at once; the future needs no polling for it to be written.
+    /// Queues a record at once. It is written even if the future is never polled.
     fn append(&self, record: format::Record) -> BoxFuture<'static, Result<(), DiskError>>;
 
     /// Whether the last write failed.
     fn is_broken(&self) -> bool;
 
-    /// Whether there is no disk at all: such a controller never votes.
+    /// Whether the machine has no disk. Its controller then never votes.
     fn is_absent(&self) -> bool;
 }
--- a/crates/control-plane/src/storage/monitor.rs
+++ b/crates/control-plane/src/storage/monitor.rs
@@ -1,5 +1,4 @@
-//! Watches how long records wait: a disk that hangs refuses nothing, and its member can't vote
-//! all the same.
+//! Monitors how long records wait: a hanging disk reports no errors, but its member can't vote either.
 
 use super::format::Record;
 use super::{DiskError, RecordQueue};
@@ -9,83 +8,85 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::sync::oneshot;
 
-/// A queue of records that knows whether one of them is overdue.
+/// A record queue that detects overdue writes.
 pub struct MonitoredDisk {
     queue: Arc<dyn RecordQueue>,
-    waiting: Arc<Waiting>,
+    pending: Arc<PendingWrites>,
 }
 
-/// Records that were queued and are not through.
-struct Waiting {
-    /// bytes of all of them
+/// The records that were queued and are not written yet.
+struct PendingWrites {
+    /// Total size of their values.
     bytes: AtomicUsize,
-    /// how many have waited longer than a disk that works takes
+    /// Number of records that have waited longer than their time-out.
     overdue: AtomicUsize,
     log: slog::Logger,
 }
 
 impl MonitoredDisk {
-    /// Watches the records of this queue.
+    /// Monitors the records of this queue.
     pub fn new(queue: Arc<dyn RecordQueue>, log: slog::Logger) -> MonitoredDisk {
         let (bytes, overdue) = (AtomicUsize::new(0), AtomicUsize::new(0));
-        MonitoredDisk { queue, waiting: Arc::new(Waiting { bytes, overdue, log }) }
+        MonitoredDisk { queue, pending: Arc::new(PendingWrites { bytes, overdue, log }) }
     }
 
-    /// Queues a record at once. It is written also when the caller stops waiting for it.
+    /// Queues a record at once. It is written even if the returned future is dropped.
     ///
     /// # Errors
     ///
-    /// The record is not durable, or nobody knows: see [`DiskError`].
+    /// The record is not durable, or it is unknown whether it is: see [`DiskError`].
     pub fn append(
         &self,
         record: Record,
     ) -> impl Future<Output = Result<(), DiskError>> + Send + 'static {
         let bytes = record.registers.iter().map(|register| register.value.len()).sum();
         let written = self.queue.append(record);
-        let (done, outcome) = oneshot::channel();
-        let waiting = self.waiting.clone();
+        let (result_tx, result_rx) = oneshot::channel();
+        let pending = self.pending.clone();
         tokio::spawn(async move {
-            // the caller may have given up
-            let _ = done.send(waiting.watch(written, bytes).await);
+            // Fails if the caller has dropped its future.
+            let _ = result_tx.send(pending.track(written, bytes).await);
         });
-        async move { outcome.await.map_err(|_| DiskError::Ended)? }
+        async move { result_rx.await.map_err(|_| DiskError::Ended)? }
     }
 
-    /// Whether the last write failed, or one hangs.
+    /// Whether the last write failed or a write is overdue.
     pub fn is_broken(&self) -> bool {
-        self.queue.is_broken() || self.waiting.overdue.load(Ordering::Relaxed) > 0
+        self.queue.is_broken() || self.pending.overdue.load(Ordering::Relaxed) > 0
     }
 
-    /// Whether there is no disk at all.
+    /// Whether the machine has no disk.
     pub fn is_absent(&self) -> bool {
         self.queue.is_absent()
     }
 }
 
-impl Waiting {
-    /// Waits until a record is through, and counts it as overdue from the time when it should be.
-    async fn watch(
+impl PendingWrites {
+    /// Waits until a record is written, and counts it as overdue once its time-out has passed. The time-out depends on
+    /// the size of all pending records.
+    async fn track(
         &self,
         written: impl Future<Output = Result<(), DiskError>>,
         bytes: usize,
     ) -> Result<(), DiskError> {
-        let queued = self.bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
+        let pending_bytes = self.bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
         tokio::pin!(written);
-        let in_time = tokio::time::timeout(constants::disk_timeout(queued), &mut written).await;
-        let outcome = match in_time {
+        let timely_outcome =
+            tokio::time::timeout(constants::disk_timeout(pending_bytes), &mut written).await;
+        let outcome = match timely_outcome {
             Ok(outcome) => outcome,
-            Err(_) => self.watch_overdue(written).await,
+            Err(_) => self.track_overdue(written).await,
         };
         self.bytes.fetch_sub(bytes, Ordering::Relaxed);
         outcome
     }
 
-    async fn watch_overdue(
+    async fn track_overdue(
         &self,
         written: impl Future<Output = Result<(), DiskError>>,
     ) -> Result<(), DiskError> {
         if self.overdue.fetch_add(1, Ordering::Relaxed) == 0 {
-            fleet_core::log_event!(self.log, Event::DiskError, "error" => "a write hangs");
+            fleet_core::log_event!(self.log, Event::DiskError, "error" => "write timed out and is still pending");
         }
         let outcome = written.await;
         let was_last = self.overdue.fetch_sub(1, Ordering::Relaxed) == 1;
--- a/crates/control-plane/src/storage/writer.rs
+++ b/crates/control-plane/src/storage/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes and syncs; what it has answered is on the disk.
+//! The thread that writes and syncs records. A record is durable once its result is `Ok`.
 
 pub use super::files::Files;
 use super::format::Record;
@@ -11,34 +11,34 @@
 use std::sync::mpsc;
 use tokio::sync::oneshot;
 
-/// A record that waits for its turn, and whoever waits for it.
+/// A queued record, and the channel for its result.
 struct Job {
     record: Record,
-    done: oneshot::Sender<Result<(), DiskError>>,
+    result_tx: oneshot::Sender<Result<(), DiskError>>,
 }
 
-/// The queue of a disk's thread. The thread ends once all clones of the queue are dropped.
+/// The queue of the writer thread, which ends once all clones of the queue are dropped.
 #[derive(Clone)]
 pub struct Disk {
-    /// None where there is no disk: nothing is ever kept.
+    /// `None` if the machine has no disk: every record fails.
     jobs: Option<mpsc::Sender<Job>>,
     is_broken: Arc<AtomicBool>,
 }
 
 impl Disk {
-    /// Starts the thread that writes to these files.
+    /// Starts the writer thread for these files.
     pub fn start(files: Files, log: slog::Logger) -> Disk {
         let (jobs, queue) = mpsc::channel();
         let is_broken = Arc::new(AtomicBool::new(false));
         let writer = Writer { files, queue, is_broken: is_broken.clone(), log };
-        // Without a thread the queue has no receiver, and each record ends with `DiskError::Ended`.
+        // If the thread can't be started the queue has no receiver, and every record fails with `DiskError::Ended`.
         let _ = std::thread::Builder::new()
             .stack_size(constants::STACK_BYTES)
             .spawn(move || writer.run());
         Disk { jobs: Some(jobs), is_broken }
     }
 
-    /// The queue of a machine without a disk: nothing can be kept.
+    /// The queue of a machine without a disk: every record fails with [`DiskError::Absent`].
     pub fn absent() -> Disk {
         Disk { jobs: None, is_broken: Arc::new(AtomicBool::new(true)) }
     }
@@ -46,14 +46,14 @@
 
 impl RecordQueue for Disk {
     fn append(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
-        let (done, outcome) = oneshot::channel();
+        let (result_tx, result_rx) = oneshot::channel();
         let queued = match &self.jobs {
-            Some(jobs) => jobs.send(Job { record, done }).map_err(|_| DiskError::Ended),
+            Some(jobs) => jobs.send(Job { record, result_tx }).map_err(|_| DiskError::Ended),
             None => Err(DiskError::Absent),
         };
         Box::pin(async move {
             queued?;
-            outcome.await.map_err(|_| DiskError::Ended)?
+            result_rx.await.map_err(|_| DiskError::Ended)?
         })
     }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// What the thread works with.
+/// State of the writer thread.
 struct Writer {
     files: Files,
     queue: mpsc::Receiver<Job>,
@@ -75,7 +75,7 @@
 }
 
 impl Writer {
-    /// Writes what is queued, several records with one sync, until nobody can queue any more.
+    /// Writes queued records in batches with one sync each, until all queues are dropped.
     fn run(mut self) {
         let mut was_broken = false;
         while let Ok(first) = self.next_job(was_broken) {
@@ -86,17 +86,18 @@
             self.log_change(&outcome, was_broken);
             was_broken = outcome.is_err();
             for job in jobs {
-                // Whoever queued it may have given up.
-                let _ = job.done.send(outcome.clone());
+                // Fails if the caller has stopped waiting.
+                let _ = job.result_tx.send(outcome.clone());
             }
         }
     }
 
-    /// Waits for a record. While the disk is broken, none after a pause: what is held in memory is tried again.
+    /// Waits for the next record. While the disk is broken, returns `None` after [`constants::DISK_RETRY_INTERVAL`], so
+    /// that the records in memory are written again.
     ///
     /// # Errors
     ///
-    /// Nobody can queue any more.
+    /// All queues are dropped.
     fn next_job(&self, is_broken: bool) -> Result<Option<Job>, mpsc::RecvError> {
         if !is_broken {
             return self.queue.recv().map(Some);
@@ -108,6 +109,7 @@
         }
     }
 
+    /// Logs when writes begin to fail and when they succeed again.
     fn log_change(&self, outcome: &Result<(), DiskError>, was_broken: bool) {
         match (outcome, was_broken) {
             (Err(error), false) => {
