--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -108,12 +108,12 @@
         (promised.node != 0).then_some(promised.node)
     }
 
-    /// The highest_epoch epoch promised or accepted for this key, which a new owner must exceed.
+    /// The highest epoch promised or accepted for this key, which a new owner must exceed.
     pub fn highest_epoch(&self, key: &str) -> u64 {
         self.registers.get(key).map_or(0, |register| register.promised.n.max(register.accepted.n))
     }
 
-    /// Whether the epoch of a ballot is at most [`constants::EPOCH_LEAD_MAX`] above the highest_epoch one known for
+    /// Whether the epoch of a ballot is at most [`constants::EPOCH_LEAD_MAX`] above the highest one known for
     /// this key. Elections don't produce larger gaps, and accepting a corrupt epoch near the maximum would leave no
     /// higher epochs for later owners.
     pub fn is_plausible(&self, key: &str, ballot: Ballot) -> bool {
--- a/crates/control-plane/src/consensus/campaign.rs
+++ b/crates/control-plane/src/consensus/campaign.rs
@@ -28,7 +28,7 @@
     /// Acquires the ownership of a key once its owner has timed out, and completes the value that was accepted last.
     ///
     /// # Errors
-    /// [`ProposalError::NoOwnVote`] and [`ProposalError::Preempted`] are returned at once, other errors after retries
+    /// [`ProposalError::NoLocalVote`] and [`ProposalError::Preempted`] are returned at once, other errors after retries
     /// for [`constants::CHANGE_TIMEOUT`].
     pub(super) async fn acquire_ownership(
         self: &Arc<Self>,
@@ -42,7 +42,8 @@
                 Err(error) => error,
             };
             let backoff = self.process.random_backoff(backoff_ms);
-            let is_final = matches!(error, ProposalError::NoOwnVote | ProposalError::Preempted(_));
+            let is_final =
+                matches!(error, ProposalError::NoLocalVote | ProposalError::Preempted(_));
             if is_final || Instant::now() + backoff >= deadline {
                 return Err(error);
             }
@@ -69,7 +70,7 @@
     fn election_scope(&self, key: &str) -> Result<(Scope, u64), ProposalError> {
         self.with_acceptor(|acceptor| {
             if !acceptor.votes() || !self.may_own() {
-                return Err(ProposalError::NoOwnVote);
+                return Err(ProposalError::NoLocalVote);
             }
             let scope = Scope {
                 membership_epoch: acceptor.membership().epoch,
--- a/crates/control-plane/src/consensus/departure_records.rs
+++ b/crates/control-plane/src/consensus/departure_records.rs
@@ -38,8 +38,8 @@
     value.departures.push(newest);
 }
 
-/// Whether a record already includes a departure: its state and call number are at least as high. Deregistration is
-/// final and includes every departure.
+/// Whether a record already covers a departure: its state and call number are at least as high. Deregistration is final
+/// and covers every departure.
 pub fn covers(record: &Departure, departure: &Departure) -> bool {
     record.state() == EngineState::Deregistered
         || (record.state >= departure.state && record.call >= departure.call)
--- a/crates/control-plane/src/consensus/departure_records_tests.rs
+++ b/crates/control-plane/src/consensus/departure_records_tests.rs
@@ -13,9 +13,7 @@
 
 fn summary(value: &DeparturesValue) -> Vec<(&str, u64, EngineState, u64)> {
     let records = value.departures.iter();
-    records
-        .map(|record| (record.engine.as_str(), record.call, record.state(), record.number))
-        .collect()
+    records.map(|entry| (entry.engine.as_str(), entry.call, entry.state(), entry.number)).collect()
 }
 
 #[test]
@@ -44,7 +42,7 @@
     assert!(!record(&mut value, &request(vec![draining("c")], 2)));
     assert_eq!(value.departures.len(), 3, "expiry alone is no change");
     assert!(record(&mut value, &request(vec![draining("d")], 2)));
-    assert_eq!(summary(&value).iter().map(|record| record.0).collect::<Vec<_>>(), ["c", "d"]);
+    assert_eq!(summary(&value).iter().map(|entry| entry.0).collect::<Vec<_>>(), ["c", "d"]);
 }
 
 #[test]
@@ -64,8 +62,8 @@
 
 #[test]
 fn drain_record_covers_neither_a_later_call_nor_deregistration() {
-    let record = departure("a", 4, EngineState::Draining);
-    assert!(covers(&record, &departure("a", 4, EngineState::Draining)));
-    assert!(!covers(&record, &departure("a", 5, EngineState::Draining)));
-    assert!(!covers(&record, &departure("a", 4, EngineState::Deregistered)));
+    let existing = departure("a", 4, EngineState::Draining);
+    assert!(covers(&existing, &departure("a", 4, EngineState::Draining)));
+    assert!(!covers(&existing, &departure("a", 5, EngineState::Draining)));
+    assert!(!covers(&existing, &departure("a", 4, EngineState::Deregistered)));
 }
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -75,7 +75,7 @@
         let result = proposal.await;
         match result {
             Ok(response) => return response,
-            Err(ProposalError::NoOwnVote) => {
+            Err(ProposalError::NoLocalVote) => {
                 return forward_to_any(consensus, change, forwarded_to, hops).await;
             }
             Err(ProposalError::Preempted(_) | ProposalError::OwnerActive) => forwarded_to = None,
--- a/crates/control-plane/src/consensus/key_owner.rs
+++ b/crates/control-plane/src/consensus/key_owner.rs
@@ -99,7 +99,7 @@
     /// Changes a key on this node, which becomes its owner if it is not yet. `decide` gets the chosen value.
     ///
     /// # Errors
-    /// The change may have been chosen nevertheless, except after [`ProposalError::NoOwnVote`] from an election.
+    /// The change may have been chosen nevertheless, except after [`ProposalError::NoLocalVote`] from an election.
     pub async fn propose_and_commit(
         self: &Arc<Self>,
         key: &str,
@@ -108,7 +108,7 @@
         let slot = self.key_owners.slot(key);
         let mut slot = slot.lock().await;
         if !self.may_own() {
-            return Err(ProposalError::NoOwnVote);
+            return Err(ProposalError::NoLocalVote);
         }
         let mut proposer = self.ensure_ownership(key, slot.take()).await?;
         let answer = match decide(proposer.value()) {
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -9,7 +9,7 @@
 //! | [`acceptor`] | promised and accepted ballots, and what must be durable before an answer is sent | yes |
 //! | [`round`], [`proposer`] | counting votes; preparing a ballot, completing an accepted value, proposing | yes |
 //! | [`election`] | whether a key's owner has timed out | yes |
-//! | [`state_machine`], [`config_history`], [`departure_records`] | the keys' values and how changes apply to them | yes |
+//! | [`state_machine`], [`config_history`], [`departure_records`] | the keys' values and how changes apply | yes |
 //! | [`quorum_status`] | what the voters of a membership have accepted, from their reports | yes |
 //! | [`key_owner`] | the keys that this node owns, and changes to them | |
 //! | `campaign` | elections: taking over a key whose owner has timed out | |
@@ -20,8 +20,9 @@
 //! | [`resignation`] | releases owned keys before shutdown | |
 //! | [`quorum_contact`] | whether a majority answered recently | |
 //!
-//! Lock order: the slot of a key (async, held for a whole round), the acceptor, the learned values, the cluster state;
-//! no other lock is taken while one of the remaining ones is held. Only a key's slot is held across an await.
+//! Lock order: the slot of a key (async, held for a whole round), the acceptor, the learned values, the cluster state.
+//! The remaining locks are leaves: no lock is taken while one of them is held. Only a key's slot is held across an
+//! await.
 
 pub mod acceptor;
 pub mod anti_entropy;
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -52,7 +52,7 @@
     /// preempted by a voter that has promised the higher ballot {0:?}
     Preempted(Ballot),
     /// the local acceptor did not vote for the proposal
-    NoOwnVote,
+    NoLocalVote,
     /// the current owner of the key has not timed out
     OwnerActive,
 }
@@ -209,7 +209,7 @@
         };
         let status = round.vote(from, vote);
         if from == self.node_id && !vote.is_some_and(|v| v.ok) {
-            return self.fail(ProposalError::NoOwnVote);
+            return self.fail(ProposalError::NoLocalVote);
         }
         if let (true, Some(register)) =
             (from == self.node_id, vote.and_then(|v| v.register.as_ref()))
--- a/crates/control-plane/src/consensus/proposer_tests.rs
+++ b/crates/control-plane/src/consensus/proposer_tests.rs
@@ -78,7 +78,7 @@
 #[test]
 fn nothing_is_broadcast_without_the_local_vote() {
     let (mut proposer, _) = Proposer::prepare(NODE_ID, KEY, scope(3), 0);
-    assert_eq!(proposer.on_vote(1, NODE_ID, None), Action::Failed(ProposalError::NoOwnVote));
+    assert_eq!(proposer.on_vote(1, NODE_ID, None), Action::Failed(ProposalError::NoLocalVote));
     assert_eq!(proposer.on_vote(1, 2, Some(&grant(Ballot::default(), b""))), Action::Wait);
 }
 
--- a/crates/control-plane/src/consensus/quorum_contact.rs
+++ b/crates/control-plane/src/consensus/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! QuorumContact with a majority of the voters, without which a node must not answer on behalf of the cluster.
+//! Contact with a majority of the voters, without which a node must not answer on behalf of the cluster.
 
 use super::Consensus;
 use fleet_core::constants;
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 /// When each voter last answered. Pure state: the time is passed in. An answer counts from the start of its call,
-/// because the voter may have answered at any time since then.
+/// because the voter may have sent it at any time since then, and its state after that is not known.
 #[derive(Debug, Default)]
 pub struct QuorumContact {
     last_answers: hashbrown::HashMap<u64, Instant>,
--- a/crates/control-plane/src/consensus/quorum_contact_tests.rs
+++ b/crates/control-plane/src/consensus/quorum_contact_tests.rs
@@ -43,7 +43,7 @@
 }
 
 proptest::proptest! {
-    /// There is contact exactly if a majority of the voters record_answer calls that began within the span.
+    /// There is contact exactly if a majority of the voters answered calls that began within the span.
     #[test]
     fn contact_needs_a_majority_within_the_span(
         voter_count in 1u64..8,
--- a/crates/control-plane/src/consensus/rounds.rs
+++ b/crates/control-plane/src/consensus/rounds.rs
@@ -81,8 +81,8 @@
         let timeout = constants::phase_timeout(proposer.value().len());
         let vote = async {
             match request {
-                Request::Prepare(prepare) => self.vote(|a| a.prepare(prepare)).await,
-                Request::Accept(accept) => self.vote(|a| a.accept(accept)).await,
+                Request::Prepare(prepare) => self.vote(|acceptor| acceptor.prepare(prepare)).await,
+                Request::Accept(accept) => self.vote(|acceptor| acceptor.accept(accept)).await,
             }
         };
         tokio::time::timeout(timeout, vote).await.ok().flatten()
--- a/crates/control-plane/src/consensus/schedules_tests.rs
+++ b/crates/control-plane/src/consensus/schedules_tests.rs
@@ -42,7 +42,7 @@
     from_incarnation: u64,
     to: usize,
     to_incarnation: u64,
-    /// The sender's or receiver's attempt and its round.
+    /// The proposer's attempt in the upper 32 bits, and its round number in the lower ones.
     attempt_and_round: u64,
     message: Message,
 }
@@ -273,7 +273,7 @@
         (other_count > self.node_count / 2 + 1).then_some(self.in_transit.len() % self.node_count)
     }
 
-    /// Wipes the disk of a node, unless that leaves less than a majority of members with their state.
+    /// Wipes the disk of a node, unless that would leave less than a majority of members with intact state.
     fn wipe(&mut self, i: usize) {
         let has_lost_state = |node: usize| !self.nodes[node].disk.state.voting;
         if (0..self.node_count).filter(|node| *node != i && has_lost_state(*node)).count()
--- a/crates/control-plane/src/consensus/state_machine_tests.rs
+++ b/crates/control-plane/src/consensus/state_machine_tests.rs
@@ -90,7 +90,7 @@
     let mut current = bytes::Bytes::new();
     assert_eq!(apply(&mut current, &raise("x", 1, false)), (Outcome::Done, 1));
     let Decision::Write(_, response) = decide(&raise("y", 1, false), &current) else {
-        panic!("writes")
+        panic!("expected a new value")
     };
     assert_eq!((response.number, response.holder.as_str()), (2, "x"));
 }
@@ -101,11 +101,11 @@
     apply(&mut current, &raise("x", 1, false));
     apply(&mut current, &raise("y", 1, false));
     let Decision::Answer(response) = decide(&raise("y", 1, false), &current) else {
-        panic!("same raise")
+        panic!("expected the same token")
     };
     assert_eq!((response.number, response.holder.as_str()), (2, "x"), "same fencing token");
     let Decision::Write(_, response) = decide(&raise("y", 2, false), &current) else {
-        panic!("writes")
+        panic!("expected a new value")
     };
     assert_eq!(
         (response.number, response.holder.as_str()),
@@ -123,7 +123,7 @@
     assert_eq!(apply(&mut current, &raise("y", 1, true)), (Outcome::Done, 2));
     assert_eq!(apply(&mut current, &raise("y", 1, true)), (Outcome::Done, 2), "repeated");
     let Decision::Write(_, response) = decide(&raise("x", 2, false), &current) else {
-        panic!("writes")
+        panic!("expected a new value")
     };
     assert_eq!((response.number, response.holder.as_str()), (3, "y"));
 }
--- a/crates/control-plane/src/storage/backend.rs
+++ b/crates/control-plane/src/storage/backend.rs
@@ -40,7 +40,7 @@
     /// # Errors
     ///
     /// New directory entries may be durable or not.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// A directory in the machine's file system, with its files kept open for writing.
@@ -60,7 +60,7 @@
             path.ancestors().take_while(|ancestor| !ancestor.exists()).collect();
         std::fs::create_dir_all(path)?;
         for created in missing {
-            sync_directory(created.parent().unwrap_or(created))?;
+            sync_directory_entries(created.parent().unwrap_or(created))?;
         }
         Ok(Folder { path: path.to_owned(), open_files: hashbrown::HashMap::new() })
     }
@@ -77,7 +77,7 @@
     }
 }
 
-fn sync_directory(path: &Path) -> io::Result<()> {
+fn sync_directory_entries(path: &Path) -> io::Result<()> {
     let directory = if path.as_os_str().is_empty() { Path::new(".") } else { path };
     std::fs::File::open(directory)?.sync_all()
 }
@@ -113,7 +113,7 @@
         self.file(name)?.sync_data()
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
-        sync_directory(&self.path)
+    fn sync_directory(&mut self) -> io::Result<()> {
+        sync_directory_entries(&self.path)
     }
 }
--- a/crates/control-plane/src/storage/files.rs
+++ b/crates/control-plane/src/storage/files.rs
@@ -51,8 +51,8 @@
     ///
     /// The directory can't be created, or a file can't be read: an unreadable file doesn't count as an empty disk.
     pub fn open(dir: &Path) -> Result<(Files, State), DiskError> {
-        let folder = Folder::open(dir).map_err(io_error("create directory"))?;
-        Files::open_in(folder, Layout::default())
+        let directory = Folder::open(dir).map_err(io_error("create directory"))?;
+        Files::open_in(directory, Layout::default())
     }
 }
 
@@ -177,7 +177,7 @@
         preallocate(storage, name, layout.slot).map_err(io_error("preallocate slot"))?;
     }
     preallocate(storage, LOG, layout.log).map_err(io_error("preallocate log"))?;
-    storage.sync_folder().map_err(io_error("sync directory"))
+    storage.sync_directory().map_err(io_error("sync directory"))
 }
 
 /// Extends a file with zeros to at least this size in bytes, and syncs it.
--- a/crates/control-plane/src/storage/files_tests.rs
+++ b/crates/control-plane/src/storage/files_tests.rs
@@ -124,8 +124,8 @@
         let prefix = prefix.min(log.len());
         let (records, end) = format::read_log(&log[..prefix], 5);
         proptest::prop_assert!(end <= prefix);
-        for (index, record) in records.iter().enumerate() {
-            proptest::prop_assert_eq!(record.registers[0].accepted.n, index as u64 + 1);
+        for (index, entry) in records.iter().enumerate() {
+            proptest::prop_assert_eq!(entry.registers[0].accepted.n, index as u64 + 1);
         }
         proptest::prop_assert!(format::read_log(&log, 6).0.is_empty());
     }
--- a/crates/control-plane/src/storage/power_loss_tests.rs
+++ b/crates/control-plane/src/storage/power_loss_tests.rs
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         self.files.values_mut().for_each(|file| file.entry_durable = true);
         Ok(())
     }
