--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -13,7 +13,7 @@
 //! | [`quorum_status`] | what the voters of a membership have accepted, from their reports | yes |
 //! | [`key_owner`] | the keys that this node owns, and changes to them | |
 //! | `campaign` | elections: taking over a key whose owner has timed out | |
-//! | `rounds`, `voter_calls` | execute a proposer's actions; calls to all voters in parallel | |
+//! | `round_driver`, `voter_calls` | execute a proposer's actions; calls to all voters in parallel | |
 //! | [`forward`] | forwards a change to the owner of its key | |
 //! | [`reads`] | linearizable reads, confirmed by a majority | |
 //! | [`anti_entropy`] | learns chosen values even if commit notices are lost | |
@@ -38,7 +38,7 @@
 pub mod reads;
 pub mod resignation;
 pub mod round;
-mod rounds;
+mod round_driver;
 pub mod state_machine;
 mod voter_calls;
 
