--- a/crates/control-plane/src/index_owner/feed.rs
+++ b/crates/control-plane/src/index_owner/feed.rs
@@ -1,4 +1,4 @@
-//! What the index owner, or a relay, answers those who read the ring.
+//! Responses of the index owner, or of a relay, to readers of the ring.
 
 use super::published::PublishedIndex;
 use fleet_core::constants;
@@ -6,31 +6,34 @@
 use invalidation::ring::Read;
 use tokio::time::Instant;
 
-/// Who reads the ring.
+/// Kind of a ring reader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reader {
-    /// A router, one of hundreds.
+    /// A router; there may be hundreds.
     Router,
-    /// A controller that passes the ring on to routers: the sooner it has a snapshot, the sooner all of them do.
+    /// A controller that relays the ring to routers. Its snapshots are not throttled: the sooner it has one, the sooner
+    /// all of its routers do.
     Relay,
 }
 
 impl PublishedIndex {
-    /// Entries behind the reader's cursor, or a reset with a snapshot. An answer without a head means later.
+    /// Returns the entries after the reader's cursor, or a reset with a snapshot. A response without a head asks the reader
+    /// to retry later.
     pub fn answer(&self, request: &RingRequest, reader: Reader) -> RingResponse {
         self.readers.lock().insert(request.reader, Instant::now());
         self.entries(request).unwrap_or_else(|| self.refill(request.reader, reader))
     }
 
-    /// Entries and findings behind the reader's cursor, where it is known here and not overrun.
+    /// Entries and findings after the reader's cursor; `None` if the cursor is unknown here or was overrun.
     fn entries(&self, request: &RingRequest) -> Option<RingResponse> {
-        let same =
+        let is_same_ring =
             request.fencing_token == self.fencing_token && request.incarnation == self.incarnation;
-        if !same || request.refill {
+        if !is_same_ring || request.refill {
             return None;
         }
-        let cursor = self.ring.cursor(request.reader).filter(|c| c.next() == request.cursor)?;
-        let snapshot = self.index.lock().since(request.found);
+        let cursor =
+            self.ring.cursor(request.reader).filter(|cursor| cursor.next() == request.cursor)?;
+        let snapshot = self.index.lock().findings_since(request.found);
         let entries = match self.ring.read(&cursor, constants::RING_LAG as usize) {
             Read::Nothing => Vec::new(),
             Read::Entries(entries) => entries,
@@ -40,8 +43,9 @@
         Some(RingResponse { head, reset: false, cursor: cursor.next(), entries, snapshot })
     }
 
-    /// A snapshot, or later: a new owner learns from the holders first, and sends no more than its line carries.
-    fn refill(&self, number: u64, reader: Reader) -> RingResponse {
+    /// A snapshot, or a response without a head while a new owner is still learning from the holders, or while the
+    /// snapshots in flight already use up the bandwidth.
+    fn refill(&self, reader_id: u64, reader: Reader) -> RingResponse {
         let now = Instant::now();
         let (snapshot, cursor) = {
             let index = self.index.lock();
@@ -49,7 +53,7 @@
             if now < self.serves_from || !(is_granted || reader == Reader::Relay) {
                 return RingResponse::default();
             }
-            (index.snapshot(), self.ring.enter(number).1)
+            (index.snapshot(), self.ring.enter(reader_id).1)
         };
         let head = Some(self.head());
         RingResponse { head, reset: true, cursor, snapshot, entries: Vec::new() }
--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -1,7 +1,7 @@
-//! Follows the events of one engine or store about its parts.
+//! Polls one engine or store for its cache events.
 
 use super::IndexOwner;
-use super::index::Events;
+use super::index::KvEvents;
 use crate::engines::client::EngineClient;
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -11,106 +11,113 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Somebody to follow.
+/// A holder to follow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Source {
-    /// where it answers
+    /// Address and port.
     pub address: String,
-    /// an engine, which can be asked for by its id; a store has none
-    pub engine: bool,
+    /// Whether it is an engine, whose id can be named in calls; a store has no id.
+    pub is_engine: bool,
 }
 
-/// Engines to follow, by id. Where two are known at one address, one of them is gone and not yet known
-/// to be: neither is followed, since an answer doesn't tell whose it is.
+/// Engines to follow, by id. If two engines are known at the same address, one of them has terminated without this being
+/// known yet. Neither is followed then, since a response doesn't show which engine sent it.
 pub fn engines<'a>(engines: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, Source> {
     let mut by_address: BTreeMap<&str, Option<&Engine>> = BTreeMap::new();
-    for e in engines.filter(|e| e.state() != EngineState::Deregistered && !e.heartbeat_missed) {
-        by_address.entry(e.address.as_str()).and_modify(|at| *at = None).or_insert(Some(e));
+    for engine in engines
+        .filter(|engine| engine.state() != EngineState::Deregistered && !engine.heartbeat_missed)
+    {
+        by_address
+            .entry(engine.address.as_str())
+            .and_modify(|known| *known = None)
+            .or_insert(Some(engine));
     }
-    let source = |e: &Engine| Source { address: e.address.clone(), engine: true };
-    by_address.into_values().flatten().map(|e| (e.id.clone(), source(e))).collect()
+    let source = |engine: &Engine| Source { address: engine.address.clone(), is_engine: true };
+    by_address.into_values().flatten().map(|engine| (engine.id.clone(), source(engine))).collect()
 }
 
-/// Where to go on, and of which incarnation of the holder.
+/// Position in the events of one incarnation of a holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Position {
     epoch: u64,
     next: u64,
 }
 
-/// What an answer means for what was known before it.
+/// The effect of a response on the position and on what was learned before.
 #[derive(Debug, PartialEq, Eq)]
 struct PositionUpdate {
-    at: Position,
-    /// all that is known of the holder is void
-    void: bool,
-    /// its events can be taken in
-    accept: bool,
+    position: Position,
+    /// Everything learned about the holder is void.
+    is_void: bool,
+    /// The events of the response can be applied.
+    accepts_events: bool,
 }
 
-fn advance(before: Option<Position>, e: &Events) -> PositionUpdate {
-    let other_incarnation = before.is_some_and(|b| b.epoch != e.epoch);
-    let gap = before.is_some() && e.lost;
-    let next = if other_incarnation { 0 } else { e.next_token };
+fn advance(previous: Option<Position>, batch: &KvEvents) -> PositionUpdate {
+    let other_incarnation = previous.is_some_and(|position| position.epoch != batch.epoch);
+    let gap = previous.is_some() && batch.lost;
+    let next = if other_incarnation { 0 } else { batch.next_token };
     PositionUpdate {
-        at: Position { epoch: e.epoch, next },
-        void: other_incarnation || gap,
-        accept: !other_incarnation,
+        position: Position { epoch: batch.epoch, next },
+        is_void: other_incarnation || gap,
+        accepts_events: !other_incarnation,
     }
 }
 
-/// Follows one holder until the task is ended.
+/// Follows one holder until the task is aborted.
 pub async fn follow(index_owner: Arc<IndexOwner>, holder: String, source: Source) {
-    let Ok(to) = source.address.parse::<SocketAddr>() else { return };
-    let mut client = index_owner.client(to).with_most(constants::EVENTS_BYTES);
-    let mut at: Option<Position> = None;
-    let void = || {
+    let Ok(address) = source.address.parse::<SocketAddr>() else { return };
+    let mut client = index_owner.client(address).with_most(constants::EVENTS_BYTES);
+    let mut position: Option<Position> = None;
+    let invalidate_holder = || {
         fleet_core::log_event!(index_owner.process.log, Event::HolderReset, "holder" => &holder);
         index_owner.published.commit([Invalidation::Holder(holder.clone())]);
     };
     loop {
-        // what a holder has gathered by the first call can be much: few of these at a time
-        let first = match at {
+        // The response to the first call can be large, since the holder may have cached many parts already: the semaphore
+        // bounds how many of these are in memory at the same time.
+        let permit = match position {
             None => index_owner.first_reads.acquire().await.ok(),
             Some(_) => None,
         };
-        let target = source.engine.then_some(holder.as_str());
-        let Some(e) = request(&mut client, target, at).await else {
-            drop(first);
-            if at.take().is_some() {
-                void();
+        let target = source.is_engine.then_some(holder.as_str());
+        let Some(batch) = fetch_events(&mut client, target, position).await else {
+            drop(permit);
+            if position.take().is_some() {
+                invalidate_holder();
             }
             tokio::time::sleep(constants::ENGINE_CALL_TIMEOUT).await;
             continue;
         };
-        let update = advance(at, &e);
-        at = Some(update.at);
-        if update.void {
-            void();
+        let update = advance(position, &batch);
+        position = Some(update.position);
+        if update.is_void {
+            invalidate_holder();
         }
-        if update.accept {
-            let invalidations = index_owner.published.index.lock().apply_events(&holder, &e);
+        if update.accepts_events {
+            let invalidations = index_owner.published.index.lock().apply_events(&holder, &batch);
             index_owner.published.commit(invalidations);
         }
-        drop((e, first));
+        drop((batch, permit));
         tokio::time::sleep(index_owner.events_interval()).await;
     }
 }
 
-/// Events behind a position. The first call hardly waits for some, so as not to hold others up.
-async fn request(
+/// Fetches the events after a position. The first call uses a short wait, since it holds one of the few permits for
+/// first reads.
+async fn fetch_events(
     client: &mut EngineClient,
     target: Option<&str>,
-    at: Option<Position>,
-) -> Option<Events> {
-    let wait = at.map_or(constants::EVENTS_FIRST_WAIT_MS, |_| constants::EVENTS_WAIT_MS);
-    let since = at.map_or(0, |a| a.next);
-    let limit = Duration::from_millis(wait) + constants::ENGINE_CALL_TIMEOUT;
+    position: Option<Position>,
+) -> Option<KvEvents> {
+    let wait = position.map_or(constants::EVENTS_FIRST_WAIT_MS, |_| constants::EVENTS_WAIT_MS);
+    let since = position.map_or(0, |previous| previous.next);
+    let timeout = Duration::from_millis(wait) + constants::ENGINE_CALL_TIMEOUT;
     let path = format!("/anisedyke/kv-events?since={since}");
     let wait = wait.to_string();
     let mut headers = vec![("Wait-Ms", wait.as_str())];
     headers.extend(target.map(|id| ("X-Target-Instance", id)));
-    let answer = client.call(http::Method::GET, &path, &headers, Vec::new(), limit).await.ok()?;
+    let answer = client.call(http::Method::GET, &path, &headers, Vec::new(), timeout).await.ok()?;
     if answer.status != http::StatusCode::OK {
         return None;
     }
--- a/crates/control-plane/src/index_owner/follower_tests.rs
+++ b/crates/control-plane/src/index_owner/follower_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `tail`.
+//! Tests of `follower`.
 
 use super::*;
 
@@ -6,8 +6,8 @@
     Engine { id: id.into(), address: address.into(), heartbeat_missed, ..Default::default() }
 }
 
-fn events(epoch: u64, next_token: u64, lost: bool) -> Events {
-    Events { epoch, next_token, lost, events: Vec::new() }
+fn events(epoch: u64, next_token: u64, lost: bool) -> KvEvents {
+    KvEvents { epoch, next_token, lost, events: Vec::new() }
 }
 
 #[test]
@@ -24,20 +24,28 @@
 }
 
 #[test]
-fn another_incarnation_or_a_gap_voids_what_was_told() {
-    let at = Position { epoch: 7, next: 5 };
-    let goes_on = advance(Some(at), &events(7, 9, false));
+fn a_new_incarnation_or_a_gap_voids_what_was_learned() {
+    let position = Position { epoch: 7, next: 5 };
+    let continued = advance(Some(position), &events(7, 9, false));
     assert_eq!(
-        goes_on,
-        PositionUpdate { at: Position { epoch: 7, next: 9 }, void: false, accept: true }
+        continued,
+        PositionUpdate {
+            position: Position { epoch: 7, next: 9 },
+            is_void: false,
+            accepts_events: true
+        }
     );
-    let gap = advance(Some(at), &events(7, 9, true));
-    assert!(gap.void && gap.accept);
-    let other = advance(Some(at), &events(8, 3, false));
+    let gap = advance(Some(position), &events(7, 9, true));
+    assert!(gap.is_void && gap.accepts_events);
+    let restarted = advance(Some(position), &events(8, 3, false));
     assert_eq!(
-        other,
-        PositionUpdate { at: Position { epoch: 8, next: 0 }, void: true, accept: false }
+        restarted,
+        PositionUpdate {
+            position: Position { epoch: 8, next: 0 },
+            is_void: true,
+            accepts_events: false
+        }
     );
     let first = advance(None, &events(8, 3, true));
-    assert!(!first.void && first.accept, "nothing was told before");
+    assert!(!first.is_void && first.accepts_events, "nothing was learned before");
 }
--- a/crates/control-plane/src/index_owner/index.rs
+++ b/crates/control-plane/src/index_owner/index.rs
@@ -1,4 +1,4 @@
-//! What the index owner believes holders to cache.
+//! Index of the prompt parts that holders (engines and stores) are believed to cache.
 
 use fleet_core::constants;
 use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry};
@@ -7,66 +7,67 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-type Parts = hashbrown::HashMap<u64, u64, ahash::RandomState>;
+type TokensByPart = hashbrown::HashMap<u64, u64, ahash::RandomState>;
 type UnsharedPart = (Arc<str>, Arc<str>, u64);
-type Unshared = hashbrown::HashMap<u64, Vec<UnsharedPart>, ahash::RandomState>;
+type UnsharedParts = hashbrown::HashMap<u64, Vec<UnsharedPart>, ahash::RandomState>;
 
-/// What a holder answers of the parts that it took in and dropped.
+/// A holder's response: the parts that it cached and evicted since the previous call.
 #[derive(serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Events {
-    /// changes when the holder starts anew
+pub struct KvEvents {
+    /// Changes when the holder restarts.
     pub epoch: u64,
-    /// where the next call goes on
+    /// Position from which the next call continues.
     pub next_token: u64,
-    /// there is a gap
+    /// Whether events before these were lost.
     #[serde(default)]
     pub lost: bool,
-    /// number, sign, salt, part, tokens kept now, model
+    /// Sequence number, `+` (cached) or `-` (evicted), salt, part, tokens cached now, model.
     pub events: Vec<(u64, String, String, String, u64, String)>,
 }
 
-/// holder, then salt, then parts with the tokens kept: what the index owner believes of the parts that
-/// requests share. Parts of single requests wait apart, bounded, until a router names them.
+/// Cached parts by holder and salt, with the number of cached tokens of each. Covers only parts that several requests
+/// share; parts of single requests are held separately, bounded in number, until a router reports them as shared.
 #[derive(Default)]
 pub struct Index {
-    holders: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Parts>>,
-    shared: hashbrown::HashSet<u64, ahash::RandomState>,
-    /// so many shared parts were kept by some holder when that was last looked at
-    cached: usize,
-    unshared: [Unshared; 2],
-    fresh: std::collections::VecDeque<(Arc<str>, Arc<str>, u64, u64)>,
-    found: u64,
+    holders: BTreeMap<Arc<str>, BTreeMap<Arc<str>, TokensByPart>>,
+    shared_parts: hashbrown::HashSet<u64, ahash::RandomState>,
+    /// Number of shared parts that some holder cached when `shared_parts` was last pruned.
+    cached_at_last_prune: usize,
+    /// Parts of single requests, in two generations: when the newer one is full, the older one is dropped.
+    unshared: [UnsharedParts; 2],
+    recent_findings: std::collections::VecDeque<(Arc<str>, Arc<str>, u64, u64)>,
+    findings_total: u64,
 }
 
 impl Local<RingEntry> for Index {
-    fn apply(&mut self, e: &RingEntry) {
-        invalidation::cache::apply(self, e, |_| true);
+    fn apply(&mut self, entry: &RingEntry) {
+        invalidation::cache::apply(self, entry, |_| true);
     }
 
-    /// Unlearning twice does no harm.
-    fn reflush(&mut self, e: &RingEntry) {
-        self.apply(e);
+    /// Removing an entry is idempotent.
+    fn reflush(&mut self, entry: &RingEntry) {
+        self.apply(entry);
     }
 }
 
 impl Cache for Index {
-    /// A holder that answers, with nothing kept as yet.
+    /// Adds a holder that responds but is not known to cache anything yet.
     fn meet(&mut self, holder: &str) {
         if !self.holders.contains_key(holder) {
-            let (holder, _) = self.place(holder, None);
+            let (holder, _) = self.intern(holder, None);
             self.add_finding(holder, Arc::from(""), 0, 0);
         }
     }
 
     fn found(&mut self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
         let cached = cached.unwrap_or(0);
-        if !self.shared.contains(&part) {
+        if !self.shared_parts.contains(&part) {
             let unshared_part = (Arc::from(holder), Arc::from(salt), cached);
-            return self.put_aside(part, unshared_part);
+            return self.add_unshared(part, unshared_part);
         }
-        let (holder, salt) = self.place(holder, Some(salt));
-        let parts = self.holders.get_mut(&holder).and_then(|h| h.get_mut(&salt));
+        let (holder, salt) = self.intern(holder, Some(salt));
+        let parts = self.holders.get_mut(&holder).and_then(|salts| salts.get_mut(&salt));
         let Some(parts) = parts else { return };
         if parts.insert(part, cached) != Some(cached) {
             self.add_finding(holder, salt, part, cached);
@@ -74,34 +75,34 @@
     }
 
     fn evict(&mut self, holder: &str, salt: &str, part: u64, _: u64) {
-        if let Some(p) = self.holders.get_mut(holder).and_then(|h| h.get_mut(salt)) {
-            p.remove(&part);
+        if let Some(parts) = self.holders.get_mut(holder).and_then(|salts| salts.get_mut(salt)) {
+            parts.remove(&part);
         }
-        for u in &mut self.unshared {
-            if let Some(v) = u.get_mut(&part) {
-                v.retain(|(h, s, _)| **h != *holder || **s != *salt);
+        for generation in &mut self.unshared {
+            if let Some(locations) = generation.get_mut(&part) {
+                locations.retain(|(h, s, _)| **h != *holder || **s != *salt);
             }
         }
     }
 
     fn drop_holder(&mut self, holder: &str) {
         self.holders.remove(holder);
-        for u in &mut self.unshared {
-            u.retain(|_, v| {
-                v.retain(|(h, _, _)| **h != *holder);
-                !v.is_empty()
+        for generation in &mut self.unshared {
+            generation.retain(|_, locations| {
+                locations.retain(|(h, _, _)| **h != *holder);
+                !locations.is_empty()
             });
         }
     }
 
-    fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool) {
-        for h in self.holders.values_mut() {
-            h.retain(|salt, _| !void(salt));
+    fn drop_salts(&mut self, is_void: &dyn Fn(&str) -> bool) {
+        for salts in self.holders.values_mut() {
+            salts.retain(|salt, _| !is_void(salt));
         }
-        for u in &mut self.unshared {
-            u.retain(|_, v| {
-                v.retain(|(_, s, _)| !void(s));
-                !v.is_empty()
+        for generation in &mut self.unshared {
+            generation.retain(|_, locations| {
+                locations.retain(|(_, salt, _)| !is_void(salt));
+                !locations.is_empty()
             });
         }
     }
@@ -112,80 +113,88 @@
 }
 
 impl Index {
-    /// The names as they are kept here once, and a place for what is found there.
-    fn place(&mut self, holder: &str, salt: Option<&str>) -> (Arc<str>, Arc<str>) {
+    /// Returns the shared copies of the names of a holder and a salt, and creates their maps if they are missing.
+    fn intern(&mut self, holder: &str, salt: Option<&str>) -> (Arc<str>, Arc<str>) {
         let name = match self.holders.get_key_value(holder) {
-            Some((h, _)) => h.clone(),
+            Some((known, _)) => known.clone(),
             None => Arc::from(holder),
         };
         let salts = self.holders.entry(name.clone()).or_default();
         let Some(salt) = salt else { return (name, Arc::from("")) };
-        let cached = match salts.get_key_value(salt) {
-            Some((s, _)) => s.clone(),
+        let interned_salt = match salts.get_key_value(salt) {
+            Some((known, _)) => known.clone(),
             None => Arc::from(salt),
         };
-        salts.entry(cached.clone()).or_default();
-        (name, cached)
+        salts.entry(interned_salt.clone()).or_default();
+        (name, interned_salt)
     }
 
-    fn put_aside(&mut self, part: u64, unshared_part: UnsharedPart) {
+    fn add_unshared(&mut self, part: u64, unshared_part: UnsharedPart) {
         if self.unshared[0].len() >= constants::UNSHARED_PARTS_CAPACITY {
             self.unshared.swap(0, 1);
             self.unshared[0].clear();
         }
-        let v = self.unshared[0].entry(part).or_default();
-        v.retain(|(h, s, _)| *h != unshared_part.0 || *s != unshared_part.1);
-        v.push(unshared_part);
+        let locations = self.unshared[0].entry(part).or_default();
+        locations.retain(|(h, s, _)| *h != unshared_part.0 || *s != unshared_part.1);
+        locations.push(unshared_part);
     }
 
-    /// Parts that no holder keeps are shared no longer; a router that sends them again says so again.
-    fn drop_uncached(&mut self) {
-        if self.shared.len() < constants::SHARED_PARTS_CAPACITY.max(self.cached * 2) {
+    /// Removes shared parts that no holder caches; a router that sends them again reports them again.
+    fn prune_shared_parts(&mut self) {
+        if self.shared_parts.len()
+            < constants::SHARED_PARTS_CAPACITY.max(self.cached_at_last_prune * 2)
+        {
             return;
         }
-        let parts = self.holders.values().flat_map(|salts| salts.values()).flat_map(Parts::keys);
+        let parts =
+            self.holders.values().flat_map(|salts| salts.values()).flat_map(TokensByPart::keys);
         let cached: hashbrown::HashSet<u64, ahash::RandomState> = parts.copied().collect();
-        self.shared.retain(|part| cached.contains(part));
-        self.cached = self.shared.len();
+        self.shared_parts.retain(|part| cached.contains(part));
+        self.cached_at_last_prune = self.shared_parts.len();
     }
 
-    /// What a router's own sends leave: it also names these parts as shared.
+    /// Records the parts that are cached as a result of a router's requests. These parts are shared from then on.
     pub fn record_found(&mut self, found: &[CachedParts]) {
-        self.drop_uncached();
-        for part in found.iter().flat_map(|h| &h.parts) {
-            if !self.shared.insert(*part) {
+        self.prune_shared_parts();
+        for part in found.iter().flat_map(|entry| &entry.parts) {
+            if !self.shared_parts.insert(*part) {
                 continue;
             }
-            let unshared: Vec<UnsharedPart> =
-                self.unshared.iter_mut().filter_map(|u| u.remove(part)).flatten().collect();
+            let unshared: Vec<UnsharedPart> = self
+                .unshared
+                .iter_mut()
+                .filter_map(|generation| generation.remove(part))
+                .flatten()
+                .collect();
             for (holder, salt, cached) in unshared {
-                self.found(&holder, &salt, *part, Some(cached).filter(|k| *k > 0));
+                self.found(&holder, &salt, *part, Some(cached).filter(|tokens| *tokens > 0));
             }
         }
         invalidation::cache::refill(self, found);
     }
 
     fn add_finding(&mut self, holder: Arc<str>, salt: Arc<str>, part: u64, cached: u64) {
-        self.found += 1;
-        self.fresh.push_back((holder, salt, part, cached));
-        if self.fresh.len() > constants::FINDINGS_CAPACITY {
-            self.fresh.pop_front();
+        self.findings_total += 1;
+        self.recent_findings.push_back((holder, salt, part, cached));
+        if self.recent_findings.len() > constants::FINDINGS_CAPACITY {
+            self.recent_findings.pop_front();
         }
     }
 
-    /// How many findings there have been.
-    pub fn found_so_far(&self) -> u64 {
-        self.found
+    /// Total number of findings so far; positions for [`Index::findings_since`] refer to it.
+    pub fn finding_count(&self) -> u64 {
+        self.findings_total
     }
 
-    /// What was found behind a position; what is no longer remembered is only slower to come by.
-    pub fn since(&self, position: u64) -> Vec<CachedParts> {
-        let behind = self.found.saturating_sub(position) as usize;
-        let skip = self.fresh.len().saturating_sub(behind);
-        let mut at = hashbrown::HashMap::<(&str, &str), usize>::new();
+    /// Findings after a position. Findings that are no longer retained are left out: a reader that misses them only finds
+    /// fewer cached prefixes.
+    pub fn findings_since(&self, position: u64) -> Vec<CachedParts> {
+        let behind = self.findings_total.saturating_sub(position) as usize;
+        let skip = self.recent_findings.len().saturating_sub(behind);
+        let mut positions = hashbrown::HashMap::<(&str, &str), usize>::new();
         let mut out: Vec<CachedParts> = Vec::new();
-        for (holder, salt, part, cached) in self.fresh.iter().skip(skip) {
-            let n = *at.entry((&**holder, &**salt)).or_insert_with(|| {
+        for (holder, salt, part, cached) in self.recent_findings.iter().skip(skip) {
+            let index = *positions.entry((&**holder, &**salt)).or_insert_with(|| {
                 out.push(CachedParts {
                     holder: holder.to_string(),
                     salt: salt.to_string(),
@@ -194,14 +203,14 @@
                 out.len() - 1
             });
             if !salt.is_empty() {
-                out[n].parts.push(*part);
-                out[n].cached_tokens.push(*cached);
+                out[index].parts.push(*part);
+                out[index].cached_tokens.push(*cached);
             }
         }
         out
     }
 
-    /// How many bytes a digest takes on the wire, about; known without making one.
+    /// Upper estimate of the encoded size of a snapshot in bytes, computed without building one.
     pub fn snapshot_bytes(&self) -> usize {
         let salts = self.holders.values().flatten();
         let names = self.holders.len() + salts.clone().count();
@@ -209,12 +218,12 @@
         names * constants::SNAPSHOT_NAME_BYTES + parts * constants::SNAPSHOT_PART_BYTES
     }
 
-    /// All that holders are believed to keep of shared parts.
+    /// All shared parts that holders are believed to cache.
     pub fn snapshot(&self) -> Vec<CachedParts> {
         let mut out = Vec::new();
         for (holder, salts) in &self.holders {
             out.push(CachedParts { holder: holder.to_string(), ..Default::default() });
-            for (salt, parts) in salts.iter().filter(|(_, p)| !p.is_empty()) {
+            for (salt, parts) in salts.iter().filter(|(_, parts)| !parts.is_empty()) {
                 let (parts, cached_tokens) = parts.iter().unzip();
                 let (holder, salt) = (holder.to_string(), salt.to_string());
                 out.push(CachedParts { holder, salt, parts, cached_tokens });
@@ -223,15 +232,15 @@
         out
     }
 
-    /// A batch of events of one holder; gives the purges that follow from it.
-    pub fn apply_events(&mut self, holder: &str, e: &Events) -> Vec<Invalidation> {
+    /// Applies a batch of events of one holder, and returns the invalidations of the shared parts that it evicted.
+    pub fn apply_events(&mut self, holder: &str, batch: &KvEvents) -> Vec<Invalidation> {
         let mut out = Vec::new();
         self.meet(holder);
-        for (_, sign, salt, id, cached, _) in &e.events {
+        for (_, sign, salt, id, cached, _) in &batch.events {
             let Ok(part) = u64::from_str_radix(id, 16) else { continue };
             if sign == "+" {
                 self.found(holder, salt, part, Some(*cached));
-            } else if self.shared.contains(&part) {
+            } else if self.shared_parts.contains(&part) {
                 out.push(Invalidation::Part(PartLocation {
                     holder: holder.to_owned(),
                     salt: salt.clone(),
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -1,14 +1,14 @@
-//! The index owner: learns from engines and stores which prefixes of prompts they cache, and publishes
-//! invalidations to all routers (docs/purge.md).
+//! The index owner: learns from engines and stores which prompt prefixes they cache, and publishes invalidations to all
+//! routers (docs/purge.md).
 //!
-//! One controller does this at a time, under [`INDEX_OWNER_LEASE`]. Each time the lease is acquired a new
-//! `IndexOwner` begins with a ring of its own and an empty index; readers of a former ring start again from a
-//! snapshot. One task follows each holder (`follower`); `index` is what they have learned, `published` keeps it with the
-//! ring, `feed` answers readers from there, `throttle` bounds the snapshots that are on their way.
+//! One controller does this at a time, under [`INDEX_OWNER_LEASE`]. Each time the lease is acquired, a new `IndexOwner`
+//! starts with a new ring and an empty index, and readers of the former ring start over from a snapshot. One task polls
+//! each holder (`follower`); `index` stores what they learn, `published` combines it with the ring, `feed` serves readers
+//! from there, and `throttle` limits the snapshots in flight.
 //!
-//! Where there are many routers, the other voters read the ring too, and pass it on to the routers near them (`relay`).
+//! If there are many routers, the other voters read the ring too, and relay it to the routers near them (`relay`).
 //!
-//! Order of locks: the index, then the throttle; the others are leaves.
+//! Lock order: the index, then the throttle; no other lock is taken while one of the others is held.
 
 mod feed;
 mod follower;
@@ -48,26 +48,26 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::Instant;
 
-/// What an index owner is built with.
+/// Dependencies of [`IndexOwnership`].
 #[derive(Clone)]
 pub struct IndexOwnershipParts {
-    /// The process that it runs in.
+    /// The process that the index owner runs in.
     pub process: Arc<Process>,
-    /// The lease that it runs under.
+    /// Holds or observes [`INDEX_OWNER_LEASE`].
     pub leases: Arc<LeaseManager>,
-    /// Where the configuration is learned, which names the stores.
+    /// Provides the configuration, and the links to the other voters.
     pub consensus: Arc<Consensus>,
-    /// The engines, and what routers are sent of the ring.
+    /// The known engines, and the ring state that is pushed to routers.
     pub cluster_state: Arc<ClusterStateStore>,
-    /// Which stores a configuration names.
+    /// Provides the addresses of the stores in a configuration.
     pub config_bodies: Arc<ConfigBodies>,
-    /// The routers, to hurry one that lags behind.
+    /// Pushes updates to routers, and notifies those that lag behind.
     pub routers: Arc<Routers>,
-    /// How holders are reached.
+    /// Connects to holders.
     pub transport: Arc<dyn Transport>,
 }
 
-/// The index owner that this controller is while it holds the lease, and the relay that it is otherwise.
+/// This controller's role in publishing the index: owner while it holds the lease, otherwise possibly a relay.
 pub struct IndexOwnership {
     parts: IndexOwnershipParts,
     current: Mutex<Option<Arc<IndexOwner>>>,
@@ -75,12 +75,12 @@
 }
 
 impl IndexOwnership {
-    /// This controller is none as yet.
+    /// Starts as neither owner nor relay.
     pub fn new(parts: IndexOwnershipParts) -> IndexOwnership {
         IndexOwnership { parts, current: Mutex::default(), relay: RingRelay::default() }
     }
 
-    /// Takes in what a router's own requests leave cached. A relay passes it on to its readers and to the owner.
+    /// Records which prefixes a router's requests left cached. A relay forwards them to its readers and to the owner.
     pub fn record_found(&self, found: CachedPrefixes) {
         let owner = self.current.lock().clone();
         match owner {
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Answers a reader of the ring. Where this controller neither owns nor relays it, the answer says so, and the
-    /// reader turns to another.
+    /// Answers a reader of the ring. The response is empty if this controller neither owns nor relays the ring; the reader
+    /// then switches to another controller.
     pub fn answer_reader(&self, request: &RingRequest, reader: Reader) -> RingResponse {
         let owner = self.current.lock().clone();
         let is_owner = self.parts.leases.fencing_token(INDEX_OWNER_LEASE).is_some();
@@ -101,7 +101,7 @@
         published.map(|published| published.answer(request, reader)).unwrap_or_default()
     }
 
-    /// Keeps the index until the lease is lost.
+    /// Maintains and publishes the index until the lease is lost.
     async fn run_until_lost(&self, owner: &Arc<IndexOwner>) {
         let mut followers = Followers::default();
         let mut published = PublishedInvalidations::default();
@@ -110,7 +110,7 @@
             let mut invalidations = followers.follow(owner, self.holders());
             invalidations.extend(self.parts.cluster_state.read(|state| published.collect(state)));
             owner.published.commit(invalidations);
-            owner.published.drop_stuck_readers();
+            owner.published.drop_inactive_readers();
             let head = owner.published.head();
             match announcements.due(&head, Instant::now()) {
                 Some(Audience::All) => {
@@ -124,16 +124,16 @@
         }
     }
 
-    /// Tells the routers that read the ring here that it has moved. Other routers read relays; they were told of the ring
-    /// when it began, and are when they link to this controller.
+    /// Announces a new head to the routers that read the ring from this controller. Other routers read from relays; they
+    /// learn of the ring when it starts and when they connect to this controller.
     fn announce_to_readers(&self, published: &PublishedIndex, head: RingHead) {
         self.parts.cluster_state.amend(|state| state.ring = Some(head.clone()));
         published.push_to_readers(&FleetUpdate { ring: Some(head), ..Default::default() });
     }
 
-    /// Tells the other voters, which may relay it, where the ring stands.
+    /// Announces the head of the ring to the other voters, which may relay it.
     fn announce_to_relays(&self, head: RingHead) {
-        if !relay::is_worthwhile(&self.parts.cluster_state) {
+        if !relay::are_relays_needed(&self.parts.cluster_state) {
             return;
         }
         let update = FleetUpdate { ring: Some(head), ..Default::default() };
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Engines and stores that are there now, by name.
+    /// Current engines and stores, by engine id or store address.
     fn holders(&self) -> BTreeMap<String, Source> {
         let state = &self.parts.cluster_state;
         let mut holders = state.read(|state| follower::engines(state.engines.values()));
@@ -155,11 +155,11 @@
         let config = learned.and_then(|known| ConfigValue::decode(known.value).ok());
         let Some(config) = config else { return Vec::new() };
         let addresses = self.parts.config_bodies.kv_stores(&config).into_iter();
-        addresses.map(|a| (a.clone(), Source { address: a, engine: false })).collect()
+        addresses.map(|address| (address.clone(), Source { address, is_engine: false })).collect()
     }
 }
 
-/// Is the index owner whenever this node holds the lease.
+/// Acts as the index owner whenever this node holds the lease.
 pub async fn run_index_owner(ownership: Arc<IndexOwnership>) {
     let parts = &ownership.parts;
     loop {
@@ -175,16 +175,16 @@
     }
 }
 
-/// The state of one index owner, from the acquisition of the lease to its loss.
+/// State of one term as index owner, from the acquisition of the lease to its loss.
 struct IndexOwner {
     process: Arc<Process>,
     transport: Arc<dyn Transport>,
     fencing_token: u64,
     published: Arc<PublishedIndex>,
-    /// Bounds the memory for what holders have gathered before they are first asked.
+    /// Limits concurrent first calls to holders, whose responses can be large because they cover everything cached so far.
     first_reads: tokio::sync::Semaphore,
-    /// Holders that are followed.
-    holders: AtomicUsize,
+    /// Number of holders that are being followed.
+    holder_count: AtomicUsize,
 }
 
 impl IndexOwner {
@@ -197,13 +197,13 @@
             fencing_token,
             published: Arc::new(published),
             first_reads: tokio::sync::Semaphore::new(constants::FIRST_READS),
-            holders: AtomicUsize::new(0),
+            holder_count: AtomicUsize::new(0),
         }
     }
 
-    /// Pause between two calls to the same holder.
+    /// Delay between two calls to the same holder.
     fn events_interval(&self) -> Duration {
-        events_interval(self.holders.load(Ordering::Relaxed))
+        events_interval(self.holder_count.load(Ordering::Relaxed))
     }
 
     fn client(&self, address: SocketAddr) -> EngineClient {
@@ -211,34 +211,36 @@
     }
 }
 
-/// Pause between two calls to the same holder, where so many are followed: the more there are the longer it is, so that
-/// their answers together keep within the owner's part of a processor.
+/// Delay between two calls to the same holder. It grows with the number of holders, so that processing all of their
+/// responses stays within the owner's CPU budget.
 fn events_interval(holders: usize) -> Duration {
-    let crowd = holders as f64 / constants::EVENTS_HOLDERS as f64;
-    constants::EVENTS_INTERVAL.mul_f64(crowd.max(1.0))
+    let scale = holders as f64 / constants::EVENTS_HOLDERS as f64;
+    constants::EVENTS_INTERVAL.mul_f64(scale.max(1.0))
 }
 
-/// Who is told where the ring stands.
+/// Recipients of an announcement of the ring's head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Audience {
-    /// Whoever reads it.
+    /// All readers of the ring, and the other voters.
     All,
-    /// The other voters, of which one may have linked since.
+    /// The other voters only, since one may have connected after the last announcement.
     Relays,
 }
 
-/// Decides when the ring is announced: to all when it has moved, to relays again and again.
+/// Decides when the ring's head is announced: to all recipients when it has changed, and periodically to relays.
 #[derive(Default)]
 struct Announcements {
     last: Option<(RingHead, Instant)>,
 }
 
 impl Announcements {
-    /// Who is told now, if anybody; they count as told.
+    /// Returns the recipients of an announcement that is due now, if any, and records it as sent.
     fn due(&mut self, head: &RingHead, now: Instant) -> Option<Audience> {
         let audience = match &self.last {
             Some((last, _)) if last != head => Audience::All,
-            Some((_, at)) if now.duration_since(*at) < constants::RELAY_READ_INTERVAL => {
+            Some((_, announced_at))
+                if now.duration_since(*announced_at) < constants::RELAY_READ_INTERVAL =>
+            {
                 return None;
             }
             Some(_) | None => Audience::Relays,
@@ -248,7 +250,7 @@
     }
 }
 
-/// One task for each holder; they are aborted when this is dropped.
+/// One task per holder; all are aborted when this is dropped.
 #[derive(Default)]
 struct Followers {
     tasks: JoinSet<()>,
@@ -256,14 +258,14 @@
 }
 
 impl Followers {
-    /// Follows the holders that are there now; returns invalidations of those that are no longer.
+    /// Starts following new holders and stops following removed ones; returns invalidations of the removed ones.
     fn follow(
         &mut self,
         owner: &Arc<IndexOwner>,
         holders: BTreeMap<String, Source>,
     ) -> Vec<Invalidation> {
         while self.tasks.try_join_next().is_some() {}
-        owner.holders.store(holders.len(), Ordering::Relaxed);
+        owner.holder_count.store(holders.len(), Ordering::Relaxed);
         let mut invalidations = Vec::new();
         self.by_holder.retain(|holder, task| {
             let stays = holders.contains_key(holder);
@@ -282,7 +284,7 @@
     }
 }
 
-/// What has been published about weights and isolation.
+/// Target weights and isolation generation for which invalidations were published.
 #[derive(Default)]
 struct PublishedInvalidations {
     weights: hashbrown::HashMap<String, u64>,
@@ -290,14 +292,15 @@
 }
 
 impl PublishedInvalidations {
-    /// Invalidations of weights that no engine has any more, and of a shared isolation that has ended.
+    /// Invalidations of weights that no ready engine serves any more, and of former generations of the shared isolation.
     fn collect(&mut self, state: &ClusterState) -> Vec<Invalidation> {
         let mut invalidations = Vec::new();
         for model in state.weights.keys() {
             let (model, version) = (model.clone(), state.target_version(model));
             let is_rolled_out = !state.engines.values().any(|engine| {
                 engine.state() == EngineState::Ready
-                    && fleet::version_of(engine, &model).is_some_and(|has| has < version)
+                    && fleet::version_of(engine, &model)
+                        .is_some_and(|engine_version| engine_version < version)
             });
             if is_rolled_out && self.weights.insert(model.clone(), version) != Some(version) {
                 invalidations.push(Invalidation::Weights(Weights { model, version }));
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -1,6 +1,6 @@
-//! An index of cached prefixes with the ring of what becomes void in it, as readers get them.
+//! An index of cached prefixes together with the ring of its invalidations, as published to readers.
 //!
-//! The index owner fills it from the holders, a relay from the owner's ring; `feed` answers readers from it.
+//! The index owner fills it from the holders, a relay from the owner's ring; `feed` serves readers from it.
 
 use super::IndexOwnershipParts;
 use super::index::Index;
@@ -15,25 +15,25 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The index and its ring. Order of locks: the index, then the throttle; the others are leaves.
+/// The index and its ring. Lock order: the index, then the throttle; no other lock is taken while one of the others is held.
 pub struct PublishedIndex {
     process: Arc<Process>,
     routers: Arc<Routers>,
-    /// No snapshot is given before: it would lack what most holders have.
+    /// No snapshot is sent before this time: the contents of most holders would still be missing from it.
     pub(super) serves_from: Instant,
-    /// The index owner's fencing token, also at a relay.
+    /// Fencing token of the index owner, also on a relay.
     pub(super) fencing_token: u64,
-    /// Of this ring, which a relay numbers itself.
+    /// Identifies this ring. A relay chooses its own, since its entries are numbered independently of the owner's.
     pub(super) incarnation: u64,
     pub(super) ring: Ring<RingEntry>,
     pub(super) index: Mutex<Index>,
-    /// When each reader of the ring came last.
+    /// Time of each reader's last request.
     pub(super) readers: Mutex<hashbrown::HashMap<u64, Instant>>,
     pub(super) throttle: Mutex<SnapshotThrottle>,
 }
 
 impl PublishedIndex {
-    /// An empty index with an empty ring.
+    /// Creates an empty index with an empty ring.
     pub fn new(
         parts: &IndexOwnershipParts,
         fencing_token: u64,
@@ -53,24 +53,24 @@
         }
     }
 
-    /// Where the ring stands, and that it is read here.
+    /// The current head of the ring, with this node as the address to read it from.
     pub fn head(&self) -> RingHead {
         RingHead {
             fencing_token: self.fencing_token,
             incarnation: self.incarnation,
             head: self.ring.head(),
             owner: self.process.node.ip.to_string(),
-            found: self.index.lock().found_so_far(),
+            found: self.index.lock().finding_count(),
         }
     }
 
-    /// One change: applied to the index at once, published when it is complete.
+    /// Applies the entries to the index, then publishes them, and notifies the readers that lag behind.
     pub fn commit(&self, entries: impl IntoIterator<Item = Invalidation>) {
         let lagging = {
             let mut index = self.index.lock();
             let mut draft = Draft::open(&mut *index);
-            for what in entries {
-                draft.add(RingEntry { scope: 0, what: Some(what) });
+            for invalidation in entries {
+                draft.add(RingEntry { scope: 0, what: Some(invalidation) });
             }
             draft.commit(&self.ring)
         };
@@ -80,23 +80,24 @@
         }
     }
 
-    /// Pushes an update to the routers that read the ring here.
+    /// Pushes an update to the routers that read this ring.
     pub fn push_to_readers(&self, update: &FleetUpdate) {
         let readers: Vec<u64> = self.readers.lock().keys().copied().collect();
         self.routers.push_to_prompt_readers(&readers, &Body::FleetUpdate(update.clone()));
     }
 
-    /// Readers that have not come for long lose their cursors, so that they don't hold the ring up.
-    pub fn drop_stuck_readers(&self) {
-        let mut stuck = Vec::new();
+    /// Drops the cursors of readers that have sent no request within [`constants::READER_TIMEOUT`], so that they don't hold
+    /// back the ring.
+    pub fn drop_inactive_readers(&self) {
+        let mut inactive = Vec::new();
         self.readers.lock().retain(|reader, last_read| {
             let is_live = last_read.elapsed() <= constants::READER_TIMEOUT;
             if !is_live {
-                stuck.push(*reader);
+                inactive.push(*reader);
             }
             is_live
         });
-        for reader in stuck {
+        for reader in inactive {
             self.ring.drop_reader(reader);
         }
     }
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -1,16 +1,17 @@
-//! Passes the index owner's ring on to the routers of its part of the fleet.
+//! Relays the index owner's ring to nearby routers.
 //!
-//! The owner sends each finding and each invalidation once to every reader. With hundreds of routers as its readers that
-//! fills its line, and most of the bytes leave its zone. So the other voters read the ring as well, keep a copy of the
-//! index, and are read by the routers near them: the owner sends as often as there are voters, and a router whose view is
-//! void gets a snapshot from its own zone.
+//! The owner sends each finding and each invalidation once to every reader. With hundreds of routers as direct readers
+//! this would saturate its network link, and most of the traffic would cross zones. The other voters therefore read the
+//! ring as well, keep a copy of the index, and serve the routers near them: the owner sends only one copy per voter, and
+//! a router that has to rebuild its view gets a snapshot from its own zone.
 //!
-//! Routers report what their requests leave cached to the relay that they read, which passes it on to its readers at once and
-//! to the owner. So routers of one zone go on to learn of each other while the owner is being replaced.
+//! Routers report which prefixes their requests leave cached to the relay that they read. The relay forwards these reports
+//! to its readers at once and to the owner, so that routers of one zone continue to learn from each other while the owner
+//! is being replaced.
 //!
-//! A relay has a ring of its own: its numbers are its own, and a reader that comes from another ring starts from a
-//! snapshot, as after a change of the owner. A relay that hears nothing of the owner any more says so to its readers,
-//! which turn to another relay or to the owner. Nothing is lost with a relay.
+//! A relay's ring numbers its entries independently, and a reader that switches from another ring starts from a snapshot,
+//! as after a change of the owner. A relay that loses contact with the owner notifies its readers, which switch to
+//! another relay or to the owner. A relay holds no state that exists only there, so its failure loses nothing.
 
 use super::published::PublishedIndex;
 use super::{IndexOwnership, IndexOwnershipParts};
@@ -28,30 +29,31 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// Whether there are so many routers that relays are worth their memory.
-pub fn is_worthwhile(cluster_state: &ClusterStateStore) -> bool {
+/// Whether there are enough routers for relays to be worth the memory that they use.
+pub fn are_relays_needed(cluster_state: &ClusterStateStore) -> bool {
     cluster_state.read(|state| state.routers) as usize >= constants::RELAY_ROUTERS
 }
 
-/// What this controller relays, and what it heard of the owner's ring. Its locks are leaves.
+/// The copy of the ring that this controller relays, and the newest known head of the owner's ring. No other lock is taken
+/// while its lock is held.
 #[derive(Default)]
 pub struct RingRelay {
     published: Mutex<Option<Arc<PublishedIndex>>>,
-    /// The newest head of the owner that came.
+    /// The newest head that the owner has announced.
     upstream: watch::Sender<Option<RingHead>>,
-    /// Wakes the task that tells readers of what is new.
-    moved: Notify,
+    /// Wakes the task that announces changes to readers.
+    changed: Notify,
 }
 
 impl RingRelay {
-    /// The copy that routers read; none while this controller doesn't relay.
+    /// The copy that routers read; `None` while this controller doesn't relay.
     pub fn published(&self) -> Option<Arc<PublishedIndex>> {
         self.published.lock().clone()
     }
 }
 
 impl IndexOwnership {
-    /// The index owner has announced where its ring stands.
+    /// Records the head of the ring as announced by the index owner; ignores older ones.
     pub fn record_owner_head(&self, head: RingHead) {
         self.relay.upstream.send_if_modified(|known| {
             let is_newer = known.as_ref().is_none_or(|known| {
@@ -65,9 +67,9 @@
         });
     }
 
-    /// Whether a relay is worthwhile, and this controller can be one.
+    /// Whether relays are needed and this controller can be one: a voter that doesn't own the index.
     fn may_relay(&self) -> bool {
-        is_worthwhile(&self.parts.cluster_state)
+        are_relays_needed(&self.parts.cluster_state)
             && self.parts.consensus.votes()
             && self.parts.leases.fencing_token(INDEX_OWNER_LEASE).is_none()
     }
@@ -81,7 +83,7 @@
         fleet_core::log_event!(self.parts.process.log, Event::RelayStopped);
     }
 
-    /// Takes in what the owner's ring brought.
+    /// Applies an update that was read from the owner's ring.
     fn relay_update(&self, position: RingPosition, update: ViewUpdate) {
         if update.reset {
             return self.start_relaying(position, &update);
@@ -89,15 +91,15 @@
         let Some(published) = self.relay.published() else { return };
         published.index.lock().record_found(&update.snapshot);
         published.commit(update.entries.into_iter().filter_map(|entry| entry.what));
-        self.relay.moved.notify_one();
+        self.relay.changed.notify_one();
     }
 
-    /// A router near this relay has reported what its requests leave cached: the other routers here learn it at once, and
-    /// also while no owner is there; all others through the owner.
+    /// Records which prefixes a router's requests left cached. The readers of this relay learn of them at once, even while
+    /// there is no owner; all other routers learn of them through the owner.
     pub fn relay_found(&self, found: CachedPrefixes) {
         if let Some(published) = self.relay.published() {
             published.index.lock().record_found(&found.entries);
-            self.relay.moved.notify_one();
+            self.relay.changed.notify_one();
         }
         let owner = self.relay.upstream.borrow().as_ref().map(|head| head.owner.clone());
         if let Some(link) = owner.and_then(|owner| self.parts.link_to(&owner)) {
@@ -105,14 +107,14 @@
         }
     }
 
-    /// Tells the readers that the relay's own ring or its findings have moved on.
+    /// Announces the new head of the relay's ring to its readers.
     fn announce_relay(&self, published: &PublishedIndex) {
         let head = published.head();
         self.parts.cluster_state.amend(|state| state.ring_relay = Some(head.clone()));
         published.push_to_readers(&FleetUpdate { ring_relay: Some(head), ..Default::default() });
     }
 
-    /// Begins a ring of its own from a snapshot of the owner's, and announces it to all routers.
+    /// Starts a new ring from a snapshot of the owner's, and announces it to all routers.
     fn start_relaying(&self, position: RingPosition, update: &ViewUpdate) {
         let incarnation = self.parts.process.random() | 1;
         let token = position.fencing_token();
@@ -133,40 +135,41 @@
     }
 }
 
-/// One reader of the owner's ring.
+/// This controller's position as a reader of the owner's ring.
 #[derive(Default)]
 struct Upstream {
     position: RingPosition,
-    /// When the owner last answered; none before the first answer.
-    answered: Option<Instant>,
+    /// Time of the owner's last response; `None` before the first.
+    last_response: Option<Instant>,
 }
 
 impl Upstream {
-    /// Reads once; whether there is more to be read.
+    /// Reads once. Returns whether there is more to read.
     async fn read(&mut self, ownership: &IndexOwnership, link: &Link) -> bool {
         let request = self.position.request(ownership.parts.process.node.incarnation);
-        let limit =
+        let timeout =
             if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
-        let answer = link.call(Body::RingRequest(request), limit).await;
+        let answer = link.call(Body::RingRequest(request), timeout).await;
         let Ok(Body::RingResponse(answer)) = answer else { return false };
         let head = answer.head.as_ref().map_or(0, |head| head.head);
         let Some((next, update)) = step(self.position, answer) else { return false };
         self.position = next;
-        self.answered = Some(Instant::now());
+        self.last_response = Some(Instant::now());
         let Some(update) = update else { return false };
         ownership.relay_update(next, update);
         next.cursor() < head
     }
 
     fn is_lost(&self) -> bool {
-        self.answered.is_none_or(|at| at.elapsed() >= constants::RELAY_TIMEOUT)
+        self.last_response.is_none_or(|at| at.elapsed() >= constants::RELAY_TIMEOUT)
     }
 }
 
-/// Tells readers that the relay's ring or findings have moved on, a few times a second at the most.
+/// Announces changes of the relay's ring and findings to its readers, at most once per
+/// [`constants::RING_PUBLISH_INTERVAL`].
 pub async fn run_relay_announcements(ownership: Arc<IndexOwnership>) {
     loop {
-        ownership.relay.moved.notified().await;
+        ownership.relay.changed.notified().await;
         if let Some(published) = ownership.relay.published() {
             ownership.announce_relay(&published);
         }
@@ -174,12 +177,12 @@
     }
 }
 
-/// Relays the ring whenever another controller owns it and there are routers enough.
+/// Relays the ring while another controller owns it and there are enough routers.
 pub async fn run_ring_relay(ownership: Arc<IndexOwnership>) {
     let mut heads = ownership.relay.upstream.subscribe();
     let mut upstream = Upstream::default();
     loop {
-        // also without news: what is lost on the way is asked for again, and a lost owner is noticed
+        // Read also without an announcement: this recovers lost messages and detects the loss of the owner.
         let _ = tokio::time::timeout(constants::RELAY_READ_INTERVAL, heads.changed()).await;
         let head = heads.borrow_and_update().clone();
         let link = head.and_then(|head| ownership.parts.link_to(&head.owner));
@@ -190,7 +193,7 @@
         };
         while upstream.read(&ownership, &link).await {}
         if let Some(published) = ownership.relay.published() {
-            published.drop_stuck_readers();
+            published.drop_inactive_readers();
         }
         if upstream.is_lost() {
             upstream = Upstream::default();
--- a/crates/control-plane/src/index_owner/throttle.rs
+++ b/crates/control-plane/src/index_owner/throttle.rs
@@ -1,24 +1,27 @@
-//! How fast digests may be given: a line and a memory hold few of them at once.
+//! Limits the rate at which snapshots are sent: bandwidth and memory suffice for only a few of them at a time.
 
 use fleet_core::constants;
 use tokio::time::Instant;
 
-/// Bytes of digests that may still be on their way: they go out at the rate of the line at most.
+/// Tracks the estimated snapshot bytes in flight, assuming that they are sent at
+/// [`constants::REFILL_BYTES_PER_MS`].
 #[derive(Debug, Default)]
 pub struct SnapshotThrottle {
     in_flight_bytes: usize,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
 }
 
 impl SnapshotThrottle {
-    /// Whether a digest of so many bytes may go out now; it counts as given if so. One that is larger
-    /// than the bound goes out alone.
+    /// Whether a snapshot of this many bytes may be sent now; if so, it is counted as sent. One that is larger than the
+    /// limit is sent only when none is in flight.
     pub fn try_acquire(&mut self, now: Instant, bytes: usize) -> bool {
-        let passed = self.at.map_or(0, |at| now.saturating_duration_since(at).as_millis() as usize);
+        let elapsed_ms = self
+            .updated_at
+            .map_or(0, |updated_at| now.saturating_duration_since(updated_at).as_millis() as usize);
         self.in_flight_bytes = self
             .in_flight_bytes
-            .saturating_sub(passed.saturating_mul(constants::REFILL_BYTES_PER_MS));
-        self.at = Some(now);
+            .saturating_sub(elapsed_ms.saturating_mul(constants::REFILL_BYTES_PER_MS));
+        self.updated_at = Some(now);
         if self.in_flight_bytes > 0 && self.in_flight_bytes + bytes > constants::REFILL_UNDERWAY {
             return false;
         }
--- a/crates/control-plane/src/index_owner/throttle_tests.rs
+++ b/crates/control-plane/src/index_owner/throttle_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::time::Duration;
 
-/// All routers of a large site ask a new keeper at the same time.
+/// Number of routers of a large site, all of which request a snapshot from a new index owner at the same time.
 const ROUTERS: usize = 78;
 
 fn sent_at_once(bytes: usize) -> usize {
@@ -13,17 +13,21 @@
 }
 
 #[test]
-fn what_a_new_keeper_gives_at_once_is_bounded_in_bytes() {
-    assert_eq!(sent_at_once(1000), ROUTERS, "small ones go to all");
+fn snapshots_in_flight_of_a_new_index_owner_are_bounded_in_bytes() {
+    assert_eq!(sent_at_once(1000), ROUTERS, "small snapshots are sent to all");
     for bytes in [50_000, 500_000, constants::REFILL_UNDERWAY] {
         let sent = sent_at_once(bytes);
         assert!(sent >= 1 && sent * bytes <= constants::REFILL_UNDERWAY, "{sent} of {bytes}");
     }
-    assert_eq!(sent_at_once(constants::REFILL_UNDERWAY * 2), 1, "a huge one goes alone");
+    assert_eq!(
+        sent_at_once(constants::REFILL_UNDERWAY * 2),
+        1,
+        "a snapshot above the limit is sent alone"
+    );
 }
 
 #[test]
-fn all_routers_get_theirs_at_the_rate_of_the_line() {
+fn all_routers_get_a_snapshot_at_the_configured_rate() {
     let bytes = 400_000;
     let mut throttle = SnapshotThrottle::default();
     let start = Instant::now();
@@ -33,7 +37,10 @@
         sent += usize::from(throttle.try_acquire(now, bytes));
         now += Duration::from_millis(10);
     }
-    let took = (now - start).as_millis() as usize;
-    let client = ROUTERS * bytes / constants::REFILL_BYTES_PER_MS;
-    assert!(took >= client / 2 && took <= client + 1000, "{took} ms, the line takes {client}");
+    let took_ms = (now - start).as_millis() as usize;
+    let expected_ms = ROUTERS * bytes / constants::REFILL_BYTES_PER_MS;
+    assert!(
+        took_ms >= expected_ms / 2 && took_ms <= expected_ms + 1000,
+        "{took_ms} ms, expected about {expected_ms} ms"
+    );
 }
--- a/crates/control-plane/src/rollout/concurrency.rs
+++ b/crates/control-plane/src/rollout/concurrency.rs
@@ -1,27 +1,27 @@
-//! How many engines may load weights at once, learnt from how long loads take.
+//! Adaptive limit on how many engines load weights at the same time, driven by the measured load times.
 
 use fleet_core::constants;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Additive increase, multiplicative decrease: one more engine for each quick load, fewer by
-/// [`constants::CONCURRENCY_DECREASE`] when loads turn slow.
+/// Additive increase, multiplicative decrease: each fast load raises the limit by one, and a slow load multiplies it
+/// by [`constants::CONCURRENCY_DECREASE`].
 #[derive(Debug, Clone)]
 pub struct Concurrency {
-    /// at least 1
+    /// Never below 1.
     limit: f64,
     fastest_load: Option<Duration>,
     last_decrease: Option<Instant>,
 }
 
 impl Concurrency {
-    /// The limit that a roll-out over this many engines begins with.
+    /// The initial limit for a rollout over this many engines.
     pub fn new(engines: usize) -> Concurrency {
         let limit = (engines as f64 * constants::ROLLOUT_INITIAL_SHARE).max(1.0);
         Concurrency { limit, fastest_load: None, last_decrease: None }
     }
 
-    /// Takes in how long one engine took to load its weights.
+    /// Adjusts the limit to the time that one engine took to load its weights.
     pub fn record_load(&mut self, now: Instant, duration: Duration) {
         let fastest = self.fastest_load.map_or(duration, |fastest| fastest.min(duration));
         self.fastest_load = Some(fastest);
@@ -33,13 +33,13 @@
         }
     }
 
-    /// Loads that were begun under the old limit must not lower it once more.
+    /// Loads that started under the previous limit must not lower it a second time.
     fn may_decrease(&self, now: Instant) -> bool {
         let interval = constants::CONCURRENCY_DECREASE_INTERVAL;
         self.last_decrease.is_none_or(|last| now.duration_since(last) >= interval)
     }
 
-    /// Engines that may load at once now.
+    /// Number of engines that may load at the same time.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -1,14 +1,12 @@
-//! The roll-out: brings the engines of a model to its target weights, a few at a time.
+//! Weight rollout: updates the engines of a model to its target weights, a few at a time.
 //!
-//! The target is a key of the control state (`weights/MODEL`). The node that holds
-//! [`ROLLOUT_LEASE`] orders engines to load it; each order bears the lease's fencing token, so that an engine
-//! refuses one of a former holder. [`plan`] decides which engine is next, `order` carries one order out,
-//! [`status`] shows both to the operator.
+//! The target is a replicated register (`weights/MODEL`). The node that holds [`ROLLOUT_LEASE`] orders engines to load
+//! it. Each order carries the lease's fencing token, so that engines reject orders of a former holder. [`plan`] selects
+//! the engines to update next, `order` executes a single order, and [`status`] reports both to the operator.
 //!
-//! Routers are notified beforehand, with the engine's own state, that an engine is about to be updated: they send
-//! it no more long streams first, and then nothing at all. These two states are counters that only rise
-//! ([`Engine::drain_seq`], [`Engine::update_seq`]) and are odd while they are set, so that late messages
-//! change nothing.
+//! Before an engine is updated, routers learn of it from the engine's replicated state: they first stop sending it long
+//! streams, and then stop sending it any requests. Both states are monotonic counters ([`Engine::drain_seq`],
+//! [`Engine::update_seq`]) that are odd while the state is set, so that delayed messages have no effect.
 
 pub mod concurrency;
 mod order;
@@ -35,7 +33,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// This controller's part in roll-outs. Lock order: the plan, then the cluster state.
+/// Runs rollouts on this controller. Lock order: the plan, then the cluster state.
 pub struct Rollout {
     process: Arc<Process>,
     leases: Arc<LeaseManager>,
@@ -43,28 +41,28 @@
     cluster_state: Arc<ClusterStateStore>,
     load_reports: Arc<LoadReports>,
     transport: Arc<dyn Transport>,
-    /// Kept also while another controller holds the lease.
+    /// Retained while another controller holds the lease.
     plan: Mutex<Plan>,
 }
 
-/// What a roll-out is built with.
+/// Dependencies of a [`Rollout`].
 pub struct RolloutParts {
-    /// The process that it runs in.
+    /// The process that the rollout runs in.
     pub process: Arc<Process>,
-    /// The lease that it runs under.
+    /// Holds or observes [`ROLLOUT_LEASE`].
     pub leases: Arc<LeaseManager>,
-    /// Where marks of engines are replicated.
+    /// Replicates the update state of engines.
     pub registry: Arc<EngineRegistry>,
-    /// The engines and the target weights.
+    /// The known engines and the target weights.
     pub cluster_state: Arc<ClusterStateStore>,
-    /// The loads that decide which engine is next.
+    /// Engine loads, which determine the order of updates.
     pub load_reports: Arc<LoadReports>,
-    /// How engines are reached.
+    /// Connects to engines.
     pub transport: Arc<dyn Transport>,
 }
 
 impl Rollout {
-    /// Nothing is planned as yet.
+    /// Starts with an empty plan.
     pub fn new(parts: RolloutParts) -> Rollout {
         Rollout {
             process: parts.process,
@@ -78,35 +76,35 @@
     }
 }
 
-/// The weights that the engines of one model are to have.
+/// Target weights of one model.
 #[derive(Clone)]
 struct Target {
     model: String,
-    /// The newest version that was named.
+    /// The newest target version.
     version: u64,
-    /// All versions that engines may lack: each has a bound of its own.
+    /// All target versions that engines may still lack; each has its own deadline.
     versions: TargetVersions,
 }
 
 impl Target {
-    /// Whether an engine is known to have older weights of the model.
+    /// Whether the engine is known to serve older weights of the model.
     fn is_ahead_of(&self, engine: &Engine) -> bool {
         fleet::version_of(engine, &self.model).is_some_and(|version| version < self.version)
     }
 
-    /// Time until routers stop sending requests to an engine with older weights, less a margin. It counts from the naming
-    /// of the first version that the engine lacks, also where newer ones were named since.
+    /// Time until routers stop sending requests to an engine with older weights, minus a margin. Counted from the time at
+    /// which the first version that the engine lacks was set, even if newer versions have been set since.
     fn remaining(&self, engine: &Engine, bound: Duration, now: Instant) -> Duration {
         let margin = constants::VERSION_MARGIN + constants::ROLLOUT_MARGIN;
         bound.saturating_sub(margin).saturating_sub(self.outdated_for(engine, now))
     }
 
-    /// Time in which an engine should have the target weights, though it may serve for longer.
+    /// Time in which the engine should load the target weights, although it may serve older ones for longer.
     fn goal(&self, engine: &Engine, now: Instant) -> Duration {
         constants::ROLLOUT_GOAL.saturating_sub(self.outdated_for(engine, now))
     }
 
-    /// For how long the weights of an engine have been outdated.
+    /// How long the weights of the engine have been outdated.
     fn outdated_for(&self, engine: &Engine, now: Instant) -> Duration {
         let version = fleet::version_of(engine, &self.model).unwrap_or(0);
         let outdated_since = self.versions.outdated_since(version).unwrap_or(now);
@@ -125,7 +123,7 @@
     })
 }
 
-/// Updates engines while this node holds the lease; waits for a change while all are up to date.
+/// Updates engines while this node holds the lease. While all engines are up to date, waits for a state change.
 pub async fn run_rollout(rollout: Arc<Rollout>) {
     let mut changes = rollout.cluster_state.subscribe();
     loop {
@@ -153,8 +151,8 @@
     rollout.cluster_state.read(|state| state.engines.values().any(is_outdated))
 }
 
-/// Begins what the plan says for each model. The tasks end by themselves: each step of theirs has a time-out,
-/// and an order is given only while the lease is held.
+/// Starts the planned actions of every model. The spawned tasks terminate by themselves: each of their steps has a
+/// timeout, and orders are sent only while the lease is held.
 fn begin_due_actions(rollout: &Arc<Rollout>) {
     let due: Vec<(Target, Action)> = {
         let mut plan = rollout.plan.lock();
@@ -163,7 +161,7 @@
         targets.flat_map(|target| due_actions(rollout, &mut plan, &loads, target)).collect()
     };
     for (target, action) in due {
-        tokio::spawn(carry_out(rollout.clone(), target, action));
+        tokio::spawn(execute_action(rollout.clone(), target, action));
     }
 }
 
@@ -180,7 +178,7 @@
     actions.into_iter().map(|action| (target.clone(), action)).collect()
 }
 
-/// Engines of a model that are ready, and send heartbeats.
+/// Ready engines that serve the model and send heartbeats.
 fn serving_engines(rollout: &Rollout, model: &str) -> Vec<Engine> {
     let serves = |engine: &&Engine| {
         engine.state() == EngineState::Ready
@@ -190,8 +188,8 @@
     rollout.cluster_state.read(|state| state.engines.values().filter(serves).cloned().collect())
 }
 
-/// Those of the engines that lack the target weights, with their loads. The plan takes over the ones whose
-/// streams a former holder of the lease has drained.
+/// The engines that lack the target weights, with their loads. The plan adopts those whose streams are already being
+/// drained on behalf of a former lease holder.
 fn outdated_engines(
     rollout: &Rollout,
     plan: &mut Plan,
@@ -220,7 +218,7 @@
     outdated
 }
 
-async fn carry_out(rollout: Arc<Rollout>, target: Target, action: Action) {
+async fn execute_action(rollout: Arc<Rollout>, target: Target, action: Action) {
     match action {
         Action::DrainStreams(id) => publish_update_state(&rollout, &id, set_draining).await,
         Action::Update(id) => {
@@ -242,29 +240,29 @@
     engine.update_seq += 1 + engine.update_seq % 2;
 }
 
-fn clear_marks(engine: &mut Engine) {
+fn clear_update_state(engine: &mut Engine) {
     engine.update_seq += engine.update_seq % 2;
     engine.drain_seq += engine.drain_seq % 2;
 }
 
-/// Updates one engine: routers are notified, the order is given, its end is waited for and routers are notified
-/// that too. Returns how long the engine took to load the weights.
+/// Updates one engine: notifies routers, sends the order, waits for its completion, and notifies routers again.
+/// Returns how long the engine took to load the weights.
 async fn update(rollout: &Arc<Rollout>, id: &str, target: &Target) -> Result<Duration, OrderError> {
     let engine = rollout.registry.get(id);
-    let engine = &engine.ok_or(OrderError::Unknown)?;
-    let address = engine.address.parse().map_err(|_| OrderError::Unknown)?;
+    let engine = &engine.ok_or(OrderError::UnknownEngine)?;
+    let address = engine.address.parse().map_err(|_| OrderError::UnknownEngine)?;
     let transport = rollout.transport.clone();
     let mut client = EngineClient::over(transport, rollout.process.node.ip, address);
     publish_update_state(rollout, &engine.id, set_updating).await;
     tokio::time::sleep(constants::ROLLOUT_NOTICE).await;
     let (model, version) = (target.model.as_str(), target.version);
     let updated = {
-        let ordering = order::order(rollout, &mut client, engine, model, version);
-        keep_marked(rollout, &engine.id, ordering).await
+        let pending_order = order::execute(rollout, &mut client, engine, model, version);
+        with_update_state_renewed(rollout, &engine.id, pending_order).await
     };
     log_update(rollout, engine, target, &updated);
     publish_update_state(rollout, &engine.id, |engine| {
-        clear_marks(engine);
+        clear_update_state(engine);
         if updated.is_ok() {
             fleet::raise(engine, model, version);
         }
@@ -273,14 +271,19 @@
     updated
 }
 
-/// Waits for an order to end. Routers heed a mark only for so long, since whoever set it may have died, and the runs that
-/// an engine ends first may last longer: the mark is renewed meanwhile.
-async fn keep_marked<T>(rollout: &Arc<Rollout>, id: &str, ordering: impl Future<Output = T>) -> T {
-    tokio::pin!(ordering);
+/// Waits for an order to complete, renewing the engine's update state meanwhile. Routers ignore that state after a
+/// timeout, since the controller that set it may have failed, and requests that the engine finishes first may take
+/// longer than the timeout.
+async fn with_update_state_renewed<T>(
+    rollout: &Arc<Rollout>,
+    id: &str,
+    pending_order: impl Future<Output = T>,
+) -> T {
+    tokio::pin!(pending_order);
     loop {
         let renewal = tokio::time::sleep(constants::ROLLOUT_STATE_TIMEOUT / 2);
         tokio::select! {
-            ended = &mut ordering => return ended,
+            ended = &mut pending_order => return ended,
             () = renewal => publish_update_state(rollout, id, set_updating).await,
         }
     }
@@ -304,7 +307,7 @@
     }
 }
 
-/// Changes what is known of an engine, here and at a majority of the controllers.
+/// Changes the state of an engine locally and replicates it to a majority of the controllers.
 async fn publish_update_state(rollout: &Arc<Rollout>, id: &str, change: impl FnOnce(&mut Engine)) {
     let Some(engine) = rollout.cluster_state.change_engine(id, change) else { return };
     rollout.registry.replicate_now(engine).await;
--- a/crates/control-plane/src/rollout/order.rs
+++ b/crates/control-plane/src/rollout/order.rs
@@ -1,4 +1,4 @@
-//! One order to one engine, and what its reports say of it.
+//! Sends an order to load new weights to one engine, and follows its progress through the engine's reports.
 
 use super::Rollout;
 use crate::cluster_state::ClusterState;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Why an order was not carried out.
+/// Why an order failed.
 #[derive(Debug, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum OrderError {
     /// the duty is no longer held
@@ -21,17 +21,17 @@
     /// no end of the order in time
     Timeout,
     /// the engine is no longer known
-    Unknown,
+    UnknownEngine,
     /// another engine answers at its address
     WrongEngine,
 }
 
-/// What an engine reports of itself. It bears no id.
+/// An engine's report of its own state. It carries no engine id.
 #[derive(Debug, Clone, serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Report {
     #[serde(default)]
-    models: Vec<Loaded>,
+    models: Vec<LoadedModel>,
     #[serde(default)]
     busy: bool,
     #[serde(default)]
@@ -41,124 +41,135 @@
 }
 
 #[derive(Debug, Clone, serde::Deserialize)]
-struct Loaded {
+struct LoadedModel {
     name: String,
     revision: u64,
 }
 
-/// What is to be done after a report.
+/// What to do after a report.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Next {
-    /// give the order, if this many were taken before it
+pub enum NextStep {
+    /// Send the order; the engine must have accepted exactly this many orders before it.
     Order(u64),
-    /// ask again
+    /// Poll the engine again.
     Wait,
-    /// it has the weights; so long it was alone with the load
+    /// The engine has the weights; it spent this time loading them, with no requests running.
     Done(Duration),
 }
 
-/// How far an order has come, by the reports of one engine.
+/// Progress of one order, derived from the engine's reports.
 pub struct Progress<'a> {
     model: &'a str,
     version: u64,
     ordered: bool,
-    /// Since when it has been ordered and runs nothing any more.
+    /// When the engine, having accepted the order, became idle.
     idle_since: Option<Instant>,
-    /// Orders that it has taken; never falls.
+    /// Number of orders that the engine has accepted; never decreases.
     call_seq: u64,
-    /// Version that it has; never falls.
-    revision: u64,
+    /// Version of the weights that the engine has loaded; never decreases.
+    loaded_version: u64,
 }
 
 impl<'a> Progress<'a> {
-    /// Nothing is known yet.
+    /// No report has been received yet.
     pub fn new(model: &'a str, version: u64) -> Self {
-        Progress { model, version, ordered: false, idle_since: None, call_seq: 0, revision: 0 }
+        Progress {
+            model,
+            version,
+            ordered: false,
+            idle_since: None,
+            call_seq: 0,
+            loaded_version: 0,
+        }
     }
 
-    /// Takes a report. Within one engine's incarnation neither the number of its orders nor its version
-    /// of the weights falls, and the model stays: what says otherwise comes from another one that was given
-    /// the address.
-    pub fn on_report(&mut self, report: &Report, now: Instant) -> Result<Next, OrderError> {
+    /// Processes a report. Within one incarnation of an engine, its order count and its weight version never decrease
+    /// and its model never changes. A report that violates this comes from another engine that was assigned the
+    /// address.
+    pub fn on_report(&mut self, report: &Report, now: Instant) -> Result<NextStep, OrderError> {
         let loaded = report.models.iter().find(|model| model.name == self.model);
         let Some(revision) = loaded.map(|model| model.revision) else {
             return Err(OrderError::WrongEngine);
         };
-        if report.call_seq < self.call_seq || revision < self.revision {
+        if report.call_seq < self.call_seq || revision < self.loaded_version {
             return Err(OrderError::WrongEngine);
         }
-        (self.call_seq, self.revision) = (report.call_seq, revision);
+        (self.call_seq, self.loaded_version) = (report.call_seq, revision);
         if revision >= self.version {
-            let load = self.idle_since.map_or(Duration::ZERO, |since| now - since);
-            return Ok(Next::Done(load));
+            let load_duration = self.idle_since.map_or(Duration::ZERO, |since| now - since);
+            return Ok(NextStep::Done(load_duration));
         }
         if self.ordered {
             self.idle_since = (report.active == 0).then(|| self.idle_since.unwrap_or(now));
         }
         let may_order = !report.busy && !self.ordered;
-        Ok(if may_order { Next::Order(report.call_seq) } else { Next::Wait })
+        Ok(if may_order { NextStep::Order(report.call_seq) } else { NextStep::Wait })
     }
 
-    /// The engine has taken the order, with so many requests running.
-    fn ordered(&mut self, active: u32, now: Instant) {
+    /// Records that the engine has accepted the order, with `active` requests running.
+    fn on_order_accepted(&mut self, active: u32, now: Instant) {
         self.ordered = true;
         self.idle_since = (active == 0).then_some(now);
     }
 }
 
-/// How long an order may be under way: it has reached the engine before the lease ends, or never does.
+/// Timeout of an order, chosen so that it reaches the engine before the lease ends or not at all. `None` if too little
+/// time is left to send it.
 pub fn order_timeout(lease: FencedLease, now: Instant) -> Option<Duration> {
     let remaining =
         lease.until.saturating_duration_since(now).saturating_sub(constants::ORDER_TRAVEL);
     (remaining >= constants::ORDER_LEAST).then(|| remaining.min(constants::ENGINE_CALL_TIMEOUT))
 }
 
-/// The engine is still known at its address, and none that came after it is.
+/// Whether the engine is still alive at its address and no other live engine has the same address.
 pub fn is_at_its_address<'a>(
     engine: &Engine,
     mut engines: impl Iterator<Item = &'a Engine>,
 ) -> bool {
-    let mut is_there = false;
-    let another_is_there = engines.any(|known| {
+    let mut is_present = false;
+    let is_address_shared = engines.any(|known| {
         let is_alive = known.state() != EngineState::Deregistered
             && !known.heartbeat_missed
             && known.address == engine.address;
-        is_there |= is_alive && known.id == engine.id;
+        is_present |= is_alive && known.id == engine.id;
         is_alive && known.id != engine.id
     });
-    is_there && !another_is_there
+    is_present && !is_address_shared
 }
 
-/// Orders an engine to load a version, and waits until it shows it. Returns how long the load took.
+/// Orders an engine to load a version, and waits until it reports that version. Returns how long loading took.
 ///
 /// # Errors
 ///
-/// The lease was lost, another engine answers at the address, or the order has no end in time.
+/// The lease was lost, a higher fencing token was seen, the engine is no longer known, another engine answers at its
+/// address, or the order did not complete in time.
 ///
 /// # Cancel safety
 ///
-/// An order that was sent is carried out by the engine, also where nobody waits for it.
-pub async fn order(
+/// The engine executes an order that was sent even if this future is dropped.
+pub async fn execute(
     rollout: &Rollout,
     client: &mut EngineClient,
     engine: &Engine,
     model: &str,
     version: u64,
 ) -> Result<Duration, OrderError> {
-    let latest = Instant::now() + constants::ORDER_LONGEST;
-    let mut until = Instant::now() + constants::ORDER_TIMEOUT;
+    let hard_deadline = Instant::now() + constants::ORDER_LONGEST;
+    let mut deadline = Instant::now() + constants::ORDER_TIMEOUT;
     let mut progress = Progress::new(model, version);
-    while Instant::now() < until {
-        let is_there = |state: &ClusterState| is_at_its_address(engine, state.engines.values());
-        if !rollout.cluster_state.read(is_there) {
-            return Err(OrderError::Unknown);
+    while Instant::now() < deadline {
+        let is_present = |state: &ClusterState| is_at_its_address(engine, state.engines.values());
+        if !rollout.cluster_state.read(is_present) {
+            return Err(OrderError::UnknownEngine);
         }
-        if let Some(report) = report(client, engine).await? {
+        if let Some(report) = fetch_report(client, engine).await? {
             if report.busy {
-                until = latest.min(Instant::now() + constants::ORDER_TIMEOUT);
+                deadline = hard_deadline.min(Instant::now() + constants::ORDER_TIMEOUT);
             }
-            if let Some(load) = advance(rollout, client, &mut progress, engine, &report).await? {
-                return Ok(load);
+            if let Some(load_duration) =
+                advance(rollout, client, &mut progress, engine, &report).await?
+            {
+                return Ok(load_duration);
             }
         }
         tokio::time::sleep(constants::REPORT_INTERVAL).await;
@@ -166,7 +177,7 @@
     Err(OrderError::Timeout)
 }
 
-/// Does what follows from a report; returns how long the load took once it is complete.
+/// Acts on a report; returns how long loading took once it is complete.
 async fn advance(
     rollout: &Rollout,
     client: &mut EngineClient,
@@ -175,30 +186,30 @@
     report: &Report,
 ) -> Result<Option<Duration>, OrderError> {
     let expected = match progress.on_report(report, Instant::now())? {
-        Next::Done(load) => return Ok(Some(load)),
-        Next::Wait => return Ok(None),
-        Next::Order(expected) => expected,
+        NextStep::Done(load_duration) => return Ok(Some(load_duration)),
+        NextStep::Wait => return Ok(None),
+        NextStep::Order(expected) => expected,
     };
     match send_order(rollout, client, progress, engine, expected).await? {
         OrderOutcome::Accepted => {
             fleet_core::log_event!(rollout.process.log, Event::WeightUpdateOrdered,
                 "id" => &engine.id, "version" => progress.version);
-            progress.ordered(report.active, Instant::now());
+            progress.on_order_accepted(report.active, Instant::now());
             Ok(None)
         }
         OrderOutcome::AlreadyApplied => Ok(Some(Duration::ZERO)),
-        OrderOutcome::Unclear => Ok(None),
+        OrderOutcome::Indeterminate => Ok(None),
     }
 }
 
-/// What became of an order that was sent.
+/// Outcome of sending an order.
 enum OrderOutcome {
-    /// The engine carries it out.
+    /// The engine executes it.
     Accepted,
     /// The engine has the weights already.
     AlreadyApplied,
-    /// It was not taken, or got no answer: the next report tells.
-    Unclear,
+    /// It was not accepted, or not answered: the next report shows whether it took effect.
+    Indeterminate,
 }
 
 async fn send_order(
@@ -209,11 +220,11 @@
     expected: u64,
 ) -> Result<OrderOutcome, OrderError> {
     if client.open().await.is_err() {
-        return Ok(OrderOutcome::Unclear);
+        return Ok(OrderOutcome::Indeterminate);
     }
     let lease = rollout.leases.fenced_lease(ROLLOUT_LEASE).ok_or(OrderError::LeaseLost)?;
-    let Some(limit) = order_timeout(lease, Instant::now()) else {
-        return Ok(OrderOutcome::Unclear);
+    let Some(timeout) = order_timeout(lease, Instant::now()) else {
+        return Ok(OrderOutcome::Indeterminate);
     };
     let body = serde_json::json!({
         "operation": "revision", "model": progress.model, "revision": progress.version,
@@ -222,10 +233,10 @@
     });
     let target = [("X-Target-Instance", engine.id.as_str())];
     let body = body.to_string().into_bytes();
-    let sent = client.send(http::Method::POST, "/anisedyke/order", &target, body, limit);
+    let response = client.send(http::Method::POST, "/anisedyke/order", &target, body, timeout);
     let mut shutting_down = rollout.process.shutdown_signal();
     let answer = tokio::select! {
-        answer = sent => answer,
+        answer = response => answer,
         _ = shutting_down.wait_for(|is_shutting_down| *is_shutting_down) => {
             return Err(OrderError::LeaseLost);
         }
@@ -238,18 +249,21 @@
             Err(OrderError::Fenced)
         }
         Ok(421) => Err(OrderError::WrongEngine),
-        Ok(_) | Err(_) => Ok(OrderOutcome::Unclear),
+        Ok(_) | Err(_) => Ok(OrderOutcome::Indeterminate),
     }
 }
 
-async fn report(client: &mut EngineClient, engine: &Engine) -> Result<Option<Report>, OrderError> {
+async fn fetch_report(
+    client: &mut EngineClient,
+    engine: &Engine,
+) -> Result<Option<Report>, OrderError> {
     let target = [("X-Target-Instance", engine.id.as_str())];
-    let limit = constants::ENGINE_CALL_TIMEOUT;
+    let timeout = constants::ENGINE_CALL_TIMEOUT;
     let path = "/anisedyke/report";
-    read_report(client.call(http::Method::GET, path, &target, Vec::new(), limit).await)
+    parse_report(client.call(http::Method::GET, path, &target, Vec::new(), timeout).await)
 }
 
-fn read_report(answer: Result<Answer, CallError>) -> Result<Option<Report>, OrderError> {
+fn parse_report(answer: Result<Answer, CallError>) -> Result<Option<Report>, OrderError> {
     match answer {
         Ok(answer) if answer.status == http::StatusCode::MISDIRECTED_REQUEST => {
             Err(OrderError::WrongEngine)
--- a/crates/control-plane/src/rollout/plan.rs
+++ b/crates/control-plane/src/rollout/plan.rs
@@ -1,9 +1,8 @@
-//! Which engines are updated next, as pure state: time and the engines' loads are passed in.
+//! Selects the engines to update next. Pure state without I/O: time and engine loads are passed in.
 //!
-//! An engine goes from serving, if it has long streams through [`Step::DrainingStreams`], to
-//! [`Step::Updating`], and is done once it reports the target weights. Engines that serve interactive
-//! requests come first, so that people get the new weights (and lose the old engines) for as short a time
-//! as possible.
+//! An engine that serves interactive requests first goes through [`Step::DrainingStreams`]; then every engine goes
+//! through [`Step::Updating`], and is done once it reports the target weights. Interactive engines come first, to keep
+//! the time short in which users are served by a mix of old and new weights with fewer engines.
 
 use super::concurrency::Concurrency;
 use fleet_core::constants;
@@ -14,51 +13,51 @@
 /// An engine that lacks the target weights.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutdatedEngine {
-    /// Its instance id.
+    /// Instance id of the engine.
     pub id: String,
     /// The zone it is in.
     pub zone: String,
-    /// Share of its recent requests that somebody waits for, from 0 to 1.
+    /// Share of its recent requests that are interactive (a user is waiting for the response), from 0 to 1.
     pub interactive_share: f64,
-    /// Requests in flight that somebody waits for.
+    /// Interactive requests in flight.
     pub interactive_runs: u32,
     /// All requests in flight.
     pub runs: u32,
-    /// Time until routers send it nothing more under the weights that it has; less, the older these are.
+    /// Time until routers stop sending it requests because of its outdated weights; the older these are, the shorter.
     pub remaining: Duration,
-    /// Time in which it should have the target weights: what it serves later counts for less.
+    /// Time in which it should load the target weights: requests that it serves with older weights later are worth less.
     pub goal: Duration,
 }
 
-/// How far the update of one engine has come, and since when.
+/// Current step of an engine's update, and when it started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// It gets no more long streams.
+    /// Routers send it no new long streams.
     DrainingStreams(Instant),
-    /// It gets no requests: those that run end, then it loads the weights and reports them.
+    /// Routers send it no requests. It finishes those in flight, then loads the weights and reports them.
     Updating(Instant),
 }
 
-/// What is to be begun, with the engine's id.
+/// An action to start, with the id of the engine that it applies to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Keep long streams away from it.
+    /// Have routers send the engine no new long streams.
     DrainStreams(String),
-    /// Order it to load the target weights.
+    /// Order the engine to load the target weights.
     Update(String),
 }
 
-/// The engines of one roll-out and what was learnt of them.
+/// Progress of the engines of a rollout, and what was measured during it.
 pub struct Plan {
     steps: HashMap<String, Step>,
-    /// Whether an engine serves interactive requests, as found when the plan first saw it: one whose
-    /// streams are drained loses its mix of requests.
+    /// Whether each engine serves interactive requests, as determined when the plan first saw it: once its streams are
+    /// drained, its request mix no longer shows this.
     is_interactive: HashMap<String, bool>,
-    /// None until the first engines are known.
+    /// `None` until the first call of [`Plan::next`].
     concurrency: Option<Concurrency>,
-    /// Moving average of how long an update takes, kept from one roll-out to the next.
+    /// Moving average of the duration of an update, retained across rollouts.
     update_duration: Duration,
-    /// Why the last update of an engine failed.
+    /// Error of the last failed update of each engine.
     errors: HashMap<String, String>,
 }
 
@@ -74,35 +73,35 @@
     }
 }
 
-/// How many updates may begin now.
+/// How many updates may start now.
 struct UpdateBudget {
     capacity: usize,
-    /// The learnt concurrency does not suffice for the time that is left, or for the goal.
+    /// The current concurrency limit is too low for the remaining time, or leaves little slack for the goal.
     is_late: bool,
 }
 
 impl Plan {
-    /// The step that an engine is in; none if nothing was begun with it.
+    /// The step that an engine is in; `None` if its update has not started.
     pub fn step(&self, id: &str) -> Option<Step> {
         self.steps.get(id).copied()
     }
 
-    /// Engines that are being updated.
+    /// Number of engines that are being updated.
     pub fn updating(&self) -> usize {
         self.steps.values().filter(|step| matches!(step, Step::Updating(_))).count()
     }
 
-    /// Engines that may load at once; 0 before the roll-out has begun.
+    /// Number of engines that may load weights at the same time; 0 before the rollout has started.
     pub fn concurrency(&self) -> usize {
         self.concurrency.as_ref().map_or(0, Concurrency::limit)
     }
 
-    /// Takes over an engine whose streams a former lease holder has drained.
+    /// Takes over an engine whose streams are already being drained on behalf of a former lease holder.
     pub fn adopt(&mut self, id: &str, now: Instant) {
         self.steps.entry_ref(id).or_insert(Step::DrainingStreams(now));
     }
 
-    /// Ends an update: with the time that the engine took to load, or with none if it failed.
+    /// Records the end of an update, with the time that the engine took to load the weights, or `None` if it failed.
     pub fn ended(&mut self, id: &str, now: Instant, load: Option<Duration>) {
         let step = self.steps.remove(id);
         if let (Some(Step::Updating(since)), Some(load)) = (step, load) {
@@ -113,33 +112,33 @@
         }
     }
 
-    /// Ends an update that failed, and remembers why.
+    /// Records that an update failed, and the reason.
     pub fn failed(&mut self, id: &str, now: Instant, why: &str) {
         self.ended(id, now, None);
         self.errors.insert(id.to_owned(), why.to_owned());
     }
 
-    /// Why the last update of an engine failed.
+    /// Why the last failed update of an engine failed, if one did during this rollout.
     pub fn error(&self, id: &str) -> Option<&str> {
         self.errors.get(id).map(String::as_str)
     }
 
-    /// Forgets a roll-out that is complete, but for how long an update takes.
+    /// Clears the state of a completed rollout, except for the measured update duration.
     pub fn reset(&mut self) {
         *self = Plan { update_duration: self.update_duration, ..Plan::default() };
     }
 
-    /// What to begin now, of `all` engines of a service of which some are outdated. Those that have the least time left
-    /// come first.
-    pub fn next(&mut self, now: Instant, all: usize, outdated: &[OutdatedEngine]) -> Vec<Action> {
+    /// Returns the actions to start now, where `outdated` of `total` engines lack the target weights. Engines with the
+    /// least time remaining come first.
+    pub fn next(&mut self, now: Instant, total: usize, outdated: &[OutdatedEngine]) -> Vec<Action> {
         self.track(outdated);
-        let budget = self.update_budget(all, outdated);
-        let serving = self.serving(outdated);
-        let mut actions = self.begin_drains(now, outdated, &serving);
+        let budget = self.update_budget(total, outdated);
+        let not_started = self.not_started(outdated);
+        let mut actions = self.begin_drains(now, outdated, &not_started);
         let mut updates = self.drained(now, outdated);
         updates.truncate(budget.capacity);
-        if budget.is_late || self.interactive_ones_are_ready(outdated) {
-            let others = serving.iter().filter(|engine| !self.is_interactive(engine));
+        if budget.is_late || self.is_interactive_quota_updated(outdated) {
+            let others = not_started.iter().filter(|engine| !self.is_interactive(engine));
             let free = budget.capacity - updates.len();
             updates.extend(others.take(free).map(|engine| engine.id.clone()));
         }
@@ -150,7 +149,7 @@
         actions
     }
 
-    /// Notes the kind of engines that are new here, and drops those that are no longer outdated.
+    /// Classifies engines that are seen for the first time, and removes those that are no longer outdated.
     fn track(&mut self, outdated: &[OutdatedEngine]) {
         for engine in outdated {
             let is_interactive = engine.interactive_share >= constants::INTERACTIVE_SHARE;
@@ -164,70 +163,74 @@
         self.is_interactive.get(&engine.id).copied().unwrap_or(false)
     }
 
-    fn update_budget(&mut self, all: usize, outdated: &[OutdatedEngine]) -> UpdateBudget {
-        let concurrency = self.concurrency.get_or_insert_with(|| Concurrency::new(all)).limit();
-        let needed = self.needed_concurrency(outdated.iter().map(|engine| engine.remaining));
-        let engines = |share: f64| ((all as f64 * share).ceil() as usize).max(1);
-        // the goal is worth a wider roll-out, but neither crowded engines nor slow loads
-        let wanted = self.needed_concurrency(outdated.iter().map(|engine| engine.goal));
-        let wanted = wanted.min(concurrency * 2).min(engines(constants::ROLLOUT_MAX_SHARE));
-        let max_share = if needed > engines(constants::ROLLOUT_MAX_SHARE) {
+    fn update_budget(&mut self, total: usize, outdated: &[OutdatedEngine]) -> UpdateBudget {
+        let concurrency = self.concurrency.get_or_insert_with(|| Concurrency::new(total)).limit();
+        let required = self.needed_concurrency(outdated.iter().map(|engine| engine.remaining));
+        let engines = |share: f64| ((total as f64 * share).ceil() as usize).max(1);
+        // Meeting the goal justifies updating more engines at the same time, but not to the point of overloading the
+        // remaining engines or slowing down loads.
+        let desired = self.needed_concurrency(outdated.iter().map(|engine| engine.goal));
+        let desired = desired.min(concurrency * 2).min(engines(constants::ROLLOUT_MAX_SHARE));
+        let max_share = if required > engines(constants::ROLLOUT_MAX_SHARE) {
             constants::ROLLOUT_MAX_SHARE_LATE
         } else {
             constants::ROLLOUT_MAX_SHARE
         };
-        // no faster than the goal asks: what engines cached is read again under the new weights, all the more at once
-        let unhurried = concurrency.min(engines(constants::ROLLOUT_INITIAL_SHARE));
-        let at_once = unhurried.max(needed).max(wanted).min(engines(max_share));
-        let capacity = at_once.saturating_sub(self.updating());
-        let leaves_no_wait = 2 * wanted > concurrency;
-        UpdateBudget { capacity, is_late: leaves_no_wait || needed > concurrency }
+        // Don't go faster than the goal requires: cached prefixes are void under the new weights, and the more engines
+        // are updated at the same time, the more prefixes have to be recomputed at once.
+        let baseline = concurrency.min(engines(constants::ROLLOUT_INITIAL_SHARE));
+        let concurrent = baseline.max(required).max(desired).min(engines(max_share));
+        let capacity = concurrent.saturating_sub(self.updating());
+        let is_goal_tight = 2 * desired > concurrency;
+        UpdateBudget { capacity, is_late: is_goal_tight || required > concurrency }
     }
 
-    /// Engines that have to be updated at once so that each is ready in the time that it has left: for each of them, all
-    /// that have no more time than it come before it or beside it.
+    /// How many engines have to be updated concurrently so that each one is ready in its remaining time, given that all
+    /// engines with less time remaining are updated before it or at the same time.
     fn needed_concurrency(&self, remaining: impl Iterator<Item = Duration>) -> usize {
         let mut remaining: Vec<Duration> = remaining.collect();
         remaining.sort_unstable();
         let duration = self.update_duration.as_secs_f64().max(0.1);
-        let needed = |(before, left): (usize, &Duration)| {
-            let rounds = left.as_secs_f64() / duration;
-            ((before + 1) as f64 / rounds.max(0.5)).ceil() as usize
+        let required = |(index, time_left): (usize, &Duration)| {
+            let rounds = time_left.as_secs_f64() / duration;
+            ((index + 1) as f64 / rounds.max(0.5)).ceil() as usize
         };
-        remaining.iter().enumerate().map(needed).max().unwrap_or(0)
+        remaining.iter().enumerate().map(required).max().unwrap_or(0)
     }
 
-    /// Engines with which nothing was begun: those with the oldest weights first, then the least busy, zones taking turns.
-    fn serving<'a>(&self, outdated: &'a [OutdatedEngine]) -> Vec<&'a OutdatedEngine> {
-        let mut serving: Vec<&OutdatedEngine> =
+    /// Engines whose update has not started: oldest weights first, then the least busy, alternating between zones.
+    fn not_started<'a>(&self, outdated: &'a [OutdatedEngine]) -> Vec<&'a OutdatedEngine> {
+        let mut not_started: Vec<&OutdatedEngine> =
             outdated.iter().filter(|engine| !self.steps.contains_key(&engine.id)).collect();
-        serving.sort_by(|a, b| {
+        not_started.sort_by(|a, b| {
             let rank =
                 |engine: &OutdatedEngine| (engine.remaining, engine.interactive_runs, engine.runs);
             (rank(a), &a.id).cmp(&(rank(b), &b.id))
         });
-        let same_time = |a: &&OutdatedEngine, b: &&OutdatedEngine| a.remaining == b.remaining;
-        serving.chunk_by(same_time).flat_map(interleave_zones).collect()
+        let same_deadline = |a: &&OutdatedEngine, b: &&OutdatedEngine| a.remaining == b.remaining;
+        not_started.chunk_by(same_deadline).flat_map(interleave_zones).collect()
     }
 
-    /// Interactive engines that may be away at once.
+    /// How many interactive engines may be drained or updated at the same time.
     fn drain_quota(&self) -> usize {
-        let interactive = self.is_interactive.values().filter(|is| **is).count();
+        let interactive =
+            self.is_interactive.values().filter(|is_interactive| **is_interactive).count();
         ((interactive as f64 * constants::STREAM_DRAIN_SHARE).ceil() as usize).max(1)
     }
 
-    /// Begins to drain interactive engines, as many as the quota leaves.
+    /// Starts draining interactive engines, as far as the quota allows.
     fn begin_drains(
         &mut self,
         now: Instant,
         outdated: &[OutdatedEngine],
-        serving: &[&OutdatedEngine],
+        not_started: &[&OutdatedEngine],
     ) -> Vec<Action> {
-        let is_away = |engine: &&OutdatedEngine| {
+        let is_being_updated = |engine: &&OutdatedEngine| {
             self.is_interactive(engine) && self.steps.contains_key(&engine.id)
         };
-        let free = self.drain_quota().saturating_sub(outdated.iter().filter(is_away).count());
-        let interactive = serving.iter().filter(|engine| self.is_interactive(engine));
+        let free =
+            self.drain_quota().saturating_sub(outdated.iter().filter(is_being_updated).count());
+        let interactive = not_started.iter().filter(|engine| self.is_interactive(engine));
         let ids: Vec<String> = interactive.take(free).map(|engine| engine.id.clone()).collect();
         for id in &ids {
             self.steps.insert(id.clone(), Step::DrainingStreams(now));
@@ -235,7 +238,7 @@
         ids.into_iter().map(Action::DrainStreams).collect()
     }
 
-    /// Engines whose streams have ended, or had their time: those with the oldest weights first, then the least busy.
+    /// Engines whose streams have ended or timed out: oldest weights first, then the least busy.
     fn drained(&self, now: Instant, outdated: &[OutdatedEngine]) -> Vec<String> {
         let draining = outdated.iter().filter_map(|engine| match self.step(&engine.id) {
             Some(Step::DrainingStreams(since)) => Some((since, engine)),
@@ -253,15 +256,16 @@
         drained.into_iter().map(|(_, engine)| engine.id.clone()).collect()
     }
 
-    /// Whether a quota of interactive engines has the target weights, so that the others may follow.
-    fn interactive_ones_are_ready(&self, outdated: &[OutdatedEngine]) -> bool {
-        let all = self.is_interactive.values().filter(|is| **is).count();
-        let waiting = outdated.iter().filter(|engine| self.is_interactive(engine)).count();
-        all - waiting.min(all) >= self.drain_quota().min(all)
+    /// Whether as many interactive engines as the quota have the target weights, so that the other engines may follow.
+    fn is_interactive_quota_updated(&self, outdated: &[OutdatedEngine]) -> bool {
+        let interactive =
+            self.is_interactive.values().filter(|is_interactive| **is_interactive).count();
+        let pending = outdated.iter().filter(|engine| self.is_interactive(engine)).count();
+        interactive - pending.min(interactive) >= self.drain_quota().min(interactive)
     }
 }
 
-/// One engine of each zone after the other, each zone in the order that it had.
+/// Alternates between the zones, keeping the order of engines within each zone.
 fn interleave_zones<'a>(engines: &[&'a OutdatedEngine]) -> Vec<&'a OutdatedEngine> {
     let mut counts: HashMap<&str, usize> = HashMap::new();
     let mut ranked: Vec<(usize, &OutdatedEngine)> = Vec::with_capacity(engines.len());
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -1,4 +1,4 @@
-//! How the roll-out stands, as this node sees it. The view is made when it is asked for, and changes nothing.
+//! Status of the rollouts, as this node sees them. Computed on request, without side effects.
 
 use super::Rollout;
 use super::plan::{Plan, Step};
@@ -11,26 +11,27 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// The roll-outs of all models. Fields of the views are in the order of their names, as they always were sent.
+/// Rollouts of all models. The views declare their fields in alphabetical order, which is the order in which clients have
+/// always received them.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RolloutView {
-    /// Whether this node holds the lease and carries the roll-out out.
+    /// Whether this node holds the lease and so runs the rollouts.
     pub holds: bool,
-    /// One for each model with target weights, by name.
+    /// All models with target weights, sorted by name.
     pub models: Vec<ModelView>,
-    /// Engines that may be updated at once.
+    /// Number of engines that may be updated at the same time; 0 before a rollout has started.
     pub width: usize,
 }
 
-/// The roll-out of one model's weights.
+/// Rollout of one model's weights.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ModelView {
-    /// ms since this node learned of the target.
+    /// Milliseconds since this node learned of the target.
     pub age_ms: u64,
-    /// Ready engines that serve the model, by id.
+    /// Ready engines that serve the model, sorted by id.
     pub engines: Vec<EngineView>,
-    /// ms until every request is to be answered with the target weights.
+    /// Milliseconds until all requests must be served with the target weights.
     pub left_ms: u64,
     /// Name of the model.
     pub model: String,
@@ -38,22 +39,22 @@
     pub revision: u64,
 }
 
-/// One engine on its way to the target weights.
+/// One engine's progress towards the target weights.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EngineView {
     /// Instance id.
     pub id: String,
-    /// Version of the weights that it serves.
+    /// Version of the weights that it serves; `None` if it doesn't report one.
     pub revision: Option<u64>,
-    /// How far it has come.
+    /// Its step in the rollout.
     pub state: State,
-    /// Why it is no further, where something is wrong with it.
+    /// Why it makes no progress; `None` if nothing is wrong with it.
     pub stuck: Option<String>,
-    /// The zone it is in.
+    /// Zone that it runs in.
     pub zone: String,
 }
 
-/// How far an engine has come.
+/// An engine's step in the rollout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
@@ -61,10 +62,10 @@
     Ready,
     /// Serves with older weights.
     Waiting,
-    /// Gets no more long streams.
+    /// Is sent no new long streams.
     #[serde(rename = "fading")]
     DrainingStreams,
-    /// Gets no requests until it shows the target weights.
+    /// Is sent no requests until it reports the target weights.
     #[serde(rename = "turning")]
     Updating,
     /// Sends no heartbeats.
@@ -73,7 +74,7 @@
 }
 
 impl State {
-    /// Its name in views and metrics.
+    /// The state's name in views and metrics.
     pub fn name(self) -> &'static str {
         match self {
             State::Ready => "ready",
@@ -85,7 +86,7 @@
     }
 }
 
-/// How far an engine has come towards the target version of a model.
+/// Determines an engine's step towards the target version of a model.
 pub fn state_of(engine: &Engine, model: &str, target: u64) -> State {
     if engine.heartbeat_missed {
         State::HeartbeatMissed
@@ -100,7 +101,7 @@
     }
 }
 
-/// Why an engine is no further, where something is wrong with it.
+/// Explains why an engine makes no progress; `None` if nothing is wrong with it.
 pub fn stuck(state: State, step: Option<(Step, Instant)>, error: Option<&str>) -> Option<String> {
     match (state, step) {
         (State::Ready, _) => None,
@@ -113,7 +114,7 @@
     }
 }
 
-/// How the roll-outs stand now.
+/// The current status of all rollouts.
 pub fn view(rollout: &Rollout) -> RolloutView {
     let now = Instant::now();
     let bound = rollout.process.settings().bounds.version;
