--- a/crates/control-plane/src/api/config.rs
+++ b/crates/control-plane/src/api/config.rs
@@ -1,26 +1,26 @@
-//! The operator's configurations.
+//! Handlers that replace and fetch the configuration.
 
-use super::{Context, json, read_limited};
+use super::{Context, json_response, read_limited};
 use crate::service::configuration;
 use http::StatusCode;
 
 #[dropshot::endpoint { method = POST, path = "/anisedyke/Config.Replace" }]
 pub async fn replace(
-    rq: dropshot::RequestContext<Context>,
+    rqctx: dropshot::RequestContext<Context>,
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let base = rq.request.headers().get("X-Base-Revision").and_then(|v| v.to_str().ok());
-    // before the body is read: who sends no base needn't send all of it
+    let base = rqctx.request.headers().get("X-Base-Revision").and_then(|value| value.to_str().ok());
+    // Validate the base before reading the body, so that an invalid request is rejected without receiving all of it.
     configuration::base_of(base)?;
     let body = read_limited(body, fleet_core::constants::CONFIG_BYTES).await?;
-    let replaced = configuration::replace(rq.context().consensus(), base, body).await?;
-    json(StatusCode::OK, format!("{{\"revision\":{}}}", replaced.version))
+    let replaced = configuration::replace(rqctx.context().consensus(), base, body).await?;
+    json_response(StatusCode::OK, format!("{{\"revision\":{}}}", replaced.version))
 }
 
 #[dropshot::endpoint { method = GET, path = "/anisedyke/Config.Fetch" }]
 pub async fn fetch(
-    rq: dropshot::RequestContext<Context>,
+    rqctx: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    let body = configuration::fetch(rq.context().consensus()).await?;
-    json(StatusCode::OK, body.to_vec())
+    let body = configuration::fetch(rqctx.context().consensus()).await?;
+    json_response(StatusCode::OK, body.to_vec())
 }
--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -1,17 +1,17 @@
-//! The fleet as this controller sees it; read-only, and made only when asked for.
+//! Handler for the view of the fleet as this controller sees it. Read-only; the view is computed on request.
 
 use super::{Context, json_view};
 use crate::cluster_state::ClusterState;
 use fleet_core::wire::{Engine, EngineState};
 use serde::Serialize;
 
-/// Fields of the views are in the order of their names, as they always were sent.
+/// The views declare their fields in alphabetical order, which is the order in which clients have always received them.
 #[derive(Serialize)]
 struct FleetView {
     engines: Vec<EngineView>,
-    /// Version of the newest configuration that this controller knows to be chosen; 0 before the first.
+    /// Version of the newest configuration that this controller knows to be committed; 0 before the first.
     revision: u64,
-    /// Routers that are linked to controllers.
+    /// Number of routers that are connected to controllers.
     routers: u32,
 }
 
@@ -21,7 +21,7 @@
     id: String,
     models: Vec<ModelView>,
     service: String,
-    /// Whether its heartbeats are missed.
+    /// Whether the engine missed its heartbeats.
     silent: bool,
     slots: u32,
     standing: &'static str,
@@ -69,7 +69,7 @@
 
 #[dropshot::endpoint { method = GET, path = "/anisedyke/Fleet.Look" }]
 pub async fn view(
-    rq: dropshot::RequestContext<Context>,
+    rqctx: dropshot::RequestContext<Context>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
-    json_view(&rq.context().cluster_state().read(FleetView::of))
+    json_view(&rqctx.context().cluster_state().read(FleetView::of))
 }
--- a/crates/control-plane/src/api/instances.rs
+++ b/crates/control-plane/src/api/instances.rs
@@ -1,33 +1,33 @@
-//! Engines tell that they live, and that they leave.
+//! Handlers for heartbeats and deregistration of engines.
 
-use super::{Context, json, read_limited};
+use super::{Context, json_response, read_limited};
 use crate::service::instances;
 use fleet_core::constants;
 use http::StatusCode;
 
 #[derive(serde::Deserialize, schemars::JsonSchema)]
-pub struct Id {
+pub struct InstancePath {
     id: String,
 }
 
 #[dropshot::endpoint { method = POST, path = "/anisedyke/Instances.Heartbeat/{id}" }]
 pub async fn heartbeat(
-    rq: dropshot::RequestContext<Context>,
-    path: dropshot::Path<Id>,
+    rqctx: dropshot::RequestContext<Context>,
+    path: dropshot::Path<InstancePath>,
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let body = read_limited(body, constants::HEARTBEAT_MAX_BYTES).await?;
-    instances::heartbeat(rq.context().registry(), path.into_inner().id, body).await?;
-    json(StatusCode::OK, "{}")
+    instances::heartbeat(rqctx.context().registry(), path.into_inner().id, body).await?;
+    json_response(StatusCode::OK, "{}")
 }
 
 #[dropshot::endpoint { method = POST, path = "/anisedyke/Instances.Deregister/{id}" }]
 pub async fn deregister(
-    rq: dropshot::RequestContext<Context>,
-    path: dropshot::Path<Id>,
+    rqctx: dropshot::RequestContext<Context>,
+    path: dropshot::Path<InstancePath>,
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let body = read_limited(body, constants::HEARTBEAT_MAX_BYTES).await?;
-    instances::deregister(rq.context().registry(), path.into_inner().id, body).await?;
-    json(StatusCode::OK, "{}")
+    instances::deregister(rqctx.context().registry(), path.into_inner().id, body).await?;
+    json_response(StatusCode::OK, "{}")
 }
--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP side of what engines and the operator call: one handler for each call, one file for each resource.
+//! The HTTP API for engines and operators: one handler per call, one file per resource.
 //!
-//! Handlers translate and decide nothing; what is decided is in [`crate::service`]. Bodies are taken untyped, so that a 400
-//! names the place in the body.
+//! Handlers only translate between HTTP and [`crate::service`], which makes all decisions. They receive bodies as raw bytes
+//! rather than typed by the server, so that the message of a 400 can name the location in the body.
 
 mod config;
 mod fleet;
@@ -15,11 +15,15 @@
 use futures_util::StreamExt;
 use std::sync::Arc;
 
-/// What each handler is given: the controller that it answers for.
+/// Context of all handlers: the controller that they serve.
 pub type Context = Arc<Controller>;
 
-/// Typed answer to what can't be taken.
-pub fn rejected(status: http::StatusCode, code: &str, message: String) -> dropshot::HttpError {
+/// Builds an error response with a machine-readable code and a message.
+pub fn error_response(
+    status: http::StatusCode,
+    code: &str,
+    message: String,
+) -> dropshot::HttpError {
     let status = dropshot::ErrorStatusCode::from_status(status)
         .unwrap_or(dropshot::ErrorStatusCode::INTERNAL_SERVER_ERROR);
     dropshot::HttpError {
@@ -33,16 +37,16 @@
 
 impl From<Rejection> for dropshot::HttpError {
     fn from(rejection: Rejection) -> Self {
-        rejected(rejection.status, rejection.code, rejection.message)
+        error_response(rejection.status, rejection.code, rejection.message)
     }
 }
 
-/// An answer of JSON.
+/// Builds a JSON response.
 ///
 /// # Errors
 ///
-/// The status or a header is none; handlers only use constants.
-pub fn json(
+/// The status or a header is invalid, which can't happen with the constants that handlers pass.
+pub fn json_response(
     status: http::StatusCode,
     body: impl Into<dropshot::Body>,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
@@ -50,47 +54,47 @@
         .status(status)
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(body.into())
-        .map_err(|e| dropshot::HttpError::for_internal_error(e.to_string()))
+        .map_err(|error| dropshot::HttpError::for_internal_error(error.to_string()))
 }
 
-/// An answer that shows how something stands.
+/// Serializes a view into a JSON response with status 200.
 fn json_view(
     view: &impl serde::Serialize,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let body = serde_json::to_string(view)
         .map_err(|error| dropshot::HttpError::for_internal_error(error.to_string()))?;
-    json(http::StatusCode::OK, body)
+    json_response(http::StatusCode::OK, body)
 }
 
-/// The body, or 413 where it holds more than it may.
+/// Reads a request body of at most `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// 413 for a body of more than `most` bytes, and the server's own error where the connection broke.
+/// 413 for a body of more than `max_bytes` bytes, and the server's own error if reading from the connection fails.
 pub async fn read_limited(
     body: dropshot::StreamingBody,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<bytes::Bytes, dropshot::HttpError> {
-    let mut parts = std::pin::pin!(body.into_stream());
-    let mut out = bytes::BytesMut::new();
-    while let Some(part) = parts.next().await {
-        out.extend_from_slice(&part?);
-        if out.len() > most {
-            let message = format!("more than {most} bytes");
-            return Err(rejected(http::StatusCode::PAYLOAD_TOO_LARGE, "too_large", message));
+    let mut chunks = std::pin::pin!(body.into_stream());
+    let mut body_bytes = bytes::BytesMut::new();
+    while let Some(chunk) = chunks.next().await {
+        body_bytes.extend_from_slice(&chunk?);
+        if body_bytes.len() > max_bytes {
+            let message = format!("more than {max_bytes} bytes");
+            return Err(error_response(http::StatusCode::PAYLOAD_TOO_LARGE, "too_large", message));
         }
     }
-    Ok(out.freeze())
+    Ok(body_bytes.freeze())
 }
 
-/// Starts the server of all handlers.
+/// Starts the HTTP server of the API.
 ///
 /// # Errors
 ///
-/// The address can't be listened at.
+/// The server can't listen on the address.
 pub fn serve(
     controller: &Context,
-    at: std::net::SocketAddr,
+    address: std::net::SocketAddr,
 ) -> Result<dropshot::HttpServer<Context>, std::io::Error> {
     let mut api = dropshot::ApiDescription::new();
     let registered = api
@@ -102,16 +106,16 @@
         .and_then(|()| api.register(fleet::view))
         .and_then(|()| api.register(rollout::view))
         .and_then(|()| api.register(membership::view));
-    registered.map_err(|e| std::io::Error::other(e.to_string()))?;
+    registered.map_err(|error| std::io::Error::other(error.to_string()))?;
     let settings = dropshot::ConfigDropshot {
-        bind_address: at,
+        bind_address: address,
         default_request_body_max_bytes: fleet_core::constants::CONFIG_BYTES * 2,
         default_handler_task_mode: dropshot::HandlerTaskMode::Detached,
         ..Default::default()
     };
-    let quiet = slog::Logger::root(slog::Discard, slog::o!());
-    dropshot::ServerBuilder::new(api, controller.clone(), quiet)
+    let discard_log = slog::Logger::root(slog::Discard, slog::o!());
+    dropshot::ServerBuilder::new(api, controller.clone(), discard_log)
         .config(settings)
         .start()
-        .map_err(|e| std::io::Error::other(e.to_string()))
+        .map_err(|error| std::io::Error::other(error.to_string()))
 }
--- a/crates/control-plane/src/api/weights.rs
+++ b/crates/control-plane/src/api/weights.rs
@@ -1,15 +1,15 @@
-//! New weights are named.
+//! Handler that sets the target version of a model's weights.
 
-use super::{Context, json, read_limited};
+use super::{Context, json_response, read_limited};
 use crate::service::weights;
 use http::StatusCode;
 
 #[dropshot::endpoint { method = POST, path = "/anisedyke/version-put" }]
 pub async fn put(
-    rq: dropshot::RequestContext<Context>,
+    rqctx: dropshot::RequestContext<Context>,
     body: dropshot::StreamingBody,
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let body = read_limited(body, fleet_core::constants::HEARTBEAT_MAX_BYTES).await?;
-    weights::put(rq.context().consensus(), body).await?;
-    json(StatusCode::OK, "{}")
+    weights::put(rqctx.context().consensus(), body).await?;
+    json_response(StatusCode::OK, "{}")
 }
--- a/crates/control-plane/src/config_distribution/bodies.rs
+++ b/crates/control-plane/src/config_distribution/bodies.rs
@@ -1,11 +1,11 @@
-//! The last bodies that were in force, packed, and the deltas between them.
+//! Compressed bodies of the most recent configurations, and the deltas between them.
 
 use fleet_core::digest::BodyDigest;
 use fleet_core::{constants, delta, packing};
 use prost::Message;
 use std::collections::VecDeque;
 
-/// Bodies by their digests, bounded in number and in bytes; the oldest gives way.
+/// Compressed bodies by digest. Bounded in number and in bytes; the oldest is evicted first.
 #[derive(Default)]
 pub struct Bodies {
     retained: VecDeque<(BodyDigest, bytes::Bytes)>,
@@ -13,16 +13,16 @@
     deltas: VecDeque<RetainedDelta>,
 }
 
-/// A packed delta, for the next router that has the same body.
+/// A compressed delta, kept for other routers that have the same base.
 struct RetainedDelta {
-    former: BodyDigest,
-    new: BodyDigest,
+    base: BodyDigest,
+    target: BodyDigest,
     packed: bytes::Bytes,
 }
 
 impl Bodies {
-    /// Keeps a packed body.
-    pub fn remember(&mut self, digest: BodyDigest, packed: bytes::Bytes) {
+    /// Stores a compressed body, unless it is stored already.
+    pub fn retain(&mut self, digest: BodyDigest, packed: bytes::Bytes) {
         if self.packed(digest).is_some() {
             return;
         }
@@ -44,15 +44,16 @@
         packing::unpack(self.packed(digest)?, constants::CONFIG_BYTES).ok()
     }
 
-    /// The packed delta between two bodies, if both are still kept; reckoned once for all routers.
-    pub fn delta(&mut self, former: BodyDigest, new: BodyDigest) -> Option<bytes::Bytes> {
-        let retained = self.deltas.iter().find(|delta| delta.former == former && delta.new == new);
+    /// The compressed delta from one body to another; `None` unless both are still retained. Computed once for all routers.
+    pub fn delta(&mut self, base: BodyDigest, target: BodyDigest) -> Option<bytes::Bytes> {
+        let retained =
+            self.deltas.iter().find(|delta| delta.base == base && delta.target == target);
         if let Some(retained) = retained {
             return Some(retained.packed.clone());
         }
-        let delta = delta::between(&self.body(former)?, &self.body(new)?);
+        let delta = delta::between(&self.body(base)?, &self.body(target)?);
         let packed = packing::pack(&delta.encode_to_vec());
-        self.deltas.push_back(RetainedDelta { former, new, packed: packed.clone() });
+        self.deltas.push_back(RetainedDelta { base, target, packed: packed.clone() });
         if self.deltas.len() > constants::DELTAS_CAPACITY {
             self.deltas.pop_front();
         }
--- a/crates/control-plane/src/config_distribution/bodies_tests.rs
+++ b/crates/control-plane/src/config_distribution/bodies_tests.rs
@@ -8,29 +8,29 @@
 }
 
 #[test]
-fn only_the_newest_bodies_are_kept_and_their_bytes_are_bounded() {
+fn only_the_newest_bodies_are_retained_and_their_bytes_are_bounded() {
     let mut bodies = Bodies::default();
     for number in 0..=constants::BODIES_CAPACITY {
         let (digest, packed) = body(number);
-        bodies.remember(digest, packed.clone());
-        bodies.remember(digest, packed);
+        bodies.retain(digest, packed.clone());
+        bodies.retain(digest, packed);
     }
     assert!(bodies.packed(body(0).0).is_none());
     assert!(bodies.packed(body(1).0).is_some());
     let large = vec![0; constants::BODIES_CAPACITY_BYTES - 10].into();
-    bodies.remember(BodyDigest::of(b"large"), large);
+    bodies.retain(BodyDigest::of(b"large"), large);
     assert_eq!(bodies.retained.len(), 1);
     assert!(bodies.bytes <= constants::BODIES_CAPACITY_BYTES);
 }
 
 #[test]
-fn a_delta_needs_both_bodies() {
+fn a_delta_requires_both_bodies() {
     let mut bodies = Bodies::default();
-    let ((former, packed), (new, _)) = (body(1), body(2));
-    bodies.remember(former, packed);
-    assert_eq!(bodies.delta(former, new), None);
-    bodies.remember(new, body(2).1);
-    let first = bodies.delta(former, new).unwrap();
-    assert_eq!(bodies.delta(former, new).unwrap(), first);
+    let ((base, packed), (target, _)) = (body(1), body(2));
+    bodies.retain(base, packed);
+    assert_eq!(bodies.delta(base, target), None);
+    bodies.retain(target, body(2).1);
+    let first = bodies.delta(base, target).unwrap();
+    assert_eq!(bodies.delta(base, target).unwrap(), first);
     assert_eq!(bodies.deltas.len(), 1);
 }
--- a/crates/control-plane/src/config_distribution/distribution_tests.rs
+++ b/crates/control-plane/src/config_distribution/distribution_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of what routers are given.
+//! Tests of the configuration responses to routers.
 
 use super::*;
 use fleet_core::{delta, packing};
@@ -24,55 +24,58 @@
 }
 
 #[test]
-fn a_router_gets_a_delta_for_a_kept_body_and_else_the_whole() {
-    let config_distribution = ConfigBodies::default();
-    let (former, new) = (text(4), text(5));
-    let (old, now) = (value(&former, 4), value(&new, 5));
-    config_distribution.remember(&old);
+fn a_router_gets_a_delta_against_a_retained_body_and_otherwise_the_full_body() {
+    let config_bodies = ConfigBodies::default();
+    let (base_text, current_text) = (text(4), text(5));
+    let (base, current) = (value(&base_text, 4), value(&current_text, 5));
+    config_bodies.retain(&base);
     let unknown = bytes::Bytes::copy_from_slice(BodyDigest::of(b"?").as_bytes());
     for digest in [&unknown, &bytes::Bytes::new()] {
-        let respond = config_distribution.respond(&request(digest), &now);
-        assert_eq!(respond.form, Some(ConfigForm::Full(now.packed.clone())));
-        assert_eq!((respond.version, respond.isolation, &respond.digest), (5, 3, &now.digest));
+        let response = config_bodies.respond(&request(digest), &current);
+        assert_eq!(response.form, Some(ConfigForm::Full(current.packed.clone())));
+        assert_eq!(
+            (response.version, response.isolation, &response.digest),
+            (5, 3, &current.digest)
+        );
     }
     let Some(ConfigForm::Delta(packed)) =
-        config_distribution.respond(&request(&old.digest), &now).form
+        config_bodies.respond(&request(&base.digest), &current).form
     else {
-        panic!("the former body is kept")
+        panic!("the base body is retained")
     };
-    assert!(packed.len() * 5 < now.packed.len(), "{} bytes", packed.len());
-    let plain = packing::unpack(&packed, 1 << 20).unwrap();
-    let delta = fleet_core::wire::ConfigDelta::decode(plain).unwrap();
-    assert_eq!(delta::apply(&delta, former.as_bytes(), 1 << 20).unwrap(), new);
+    assert!(packed.len() * 5 < current.packed.len(), "{} bytes", packed.len());
+    let unpacked = packing::unpack(&packed, 1 << 20).unwrap();
+    let delta = fleet_core::wire::ConfigDelta::decode(unpacked).unwrap();
+    assert_eq!(delta::apply(&delta, base_text.as_bytes(), 1 << 20).unwrap(), current_text);
 }
 
 #[test]
-fn a_delta_larger_than_the_whole_is_not_given() {
-    let config_distribution = ConfigBodies::default();
-    let old = value(&text(4), 4);
-    config_distribution.remember(&old);
-    let now = value("{}", 5);
-    let respond = config_distribution.respond(&request(&old.digest), &now);
-    assert_eq!(respond.form, Some(ConfigForm::Full(now.packed.clone())));
+fn a_delta_larger_than_the_full_body_is_not_sent() {
+    let config_bodies = ConfigBodies::default();
+    let base = value(&text(4), 4);
+    config_bodies.retain(&base);
+    let current = value("{}", 5);
+    let response = config_bodies.respond(&request(&base.digest), &current);
+    assert_eq!(response.form, Some(ConfigForm::Full(current.packed.clone())));
 }
 
 #[test]
-fn a_router_that_has_the_body_gets_none() {
-    let now = value(&text(5), 5);
-    let respond = ConfigBodies::default().respond(&request(&now.digest), &now);
-    assert_eq!((respond.version, respond.form), (5, None));
+fn a_router_that_has_the_current_body_is_sent_no_body() {
+    let current = value(&text(5), 5);
+    let response = ConfigBodies::default().respond(&request(&current.digest), &current);
+    assert_eq!((response.version, response.form), (5, None));
 }
 
 #[test]
-fn stores_follow_the_configuration() {
-    let config_distribution = ConfigBodies::default();
+fn kv_stores_are_those_of_the_given_configuration() {
+    let config_bodies = ConfigBodies::default();
     let body = |store: &str| {
         serde_json::json!({"revision": 1, "routes": [], "services": [{"name": "k", "kvStore": store}]})
             .to_string()
     };
     for (version, store) in [(1, "10.0.0.1:1"), (2, "10.0.0.1:1"), (3, "10.0.0.2:1")] {
         let value = value(&body(store), version);
-        assert_eq!(config_distribution.kv_stores(&value), [store.to_owned()]);
+        assert_eq!(config_bodies.kv_stores(&value), [store.to_owned()]);
     }
-    assert!(config_distribution.kv_stores(&value("{", 4)).is_empty());
+    assert!(config_bodies.kv_stores(&value("{", 4)).is_empty());
 }
--- a/crates/control-plane/src/config_distribution/mod.rs
+++ b/crates/control-plane/src/config_distribution/mod.rs
@@ -1,8 +1,8 @@
-//! Gives configurations to routers: confirmed by a majority, and only what changed of them.
+//! Distributes configurations to routers: each is confirmed by a majority, and sent as a delta where possible.
 //!
-//! A router says which body it has. Where that one is still retained here it gets a delta against it, else the
-//! complete body, deflated. When a configuration comes into force all routers ask at once: those that wait behind a
-//! read share the next one.
+//! A router sends the digest of the body that it has. If that body is still retained here, the router gets a delta against
+//! it, otherwise the full compressed body. When a configuration comes into force, all routers request it at the same
+//! time: requests that wait behind a read share the next one.
 
 mod bodies;
 mod shared_read;
@@ -17,14 +17,14 @@
 use shared_read::SharedRead;
 use std::sync::Arc;
 
-/// The last configurations that were in force, and what is derived from them. Both locks are leaves.
+/// The most recent configurations, and data derived from them. No other lock is taken while either lock is held.
 #[derive(Default)]
 pub struct ConfigBodies {
     bodies: Mutex<Bodies>,
     kv_stores: Mutex<KvStores>,
 }
 
-/// Addresses of the stores that a configuration names.
+/// Addresses of the KV stores in a configuration, with the digest of that configuration.
 #[derive(Default)]
 struct KvStores {
     digest: bytes::Bytes,
@@ -32,18 +32,21 @@
 }
 
 impl ConfigBodies {
-    /// Keeps a committed body, so that routers that have it get only what changed since.
-    pub fn remember(&self, value: &ConfigValue) {
+    /// Retains a committed body, so that routers that have it can be sent deltas against it.
+    pub fn retain(&self, value: &ConfigValue) {
         if let Some(digest) = BodyDigest::from_bytes(&value.digest) {
-            self.bodies.lock().remember(digest, value.packed.clone());
+            self.bodies.lock().retain(digest, value.packed.clone());
         }
     }
 
-    /// The answer to a router that says which body it has.
+    /// Builds the response to a router, given the digest of the body that it has.
     pub fn respond(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigResponse {
-        self.remember(value);
-        let form =
-            if request.digest == value.digest { None } else { Some(self.form(request, value)) };
+        self.retain(value);
+        let form = if request.digest == value.digest {
+            None
+        } else {
+            Some(self.choose_form(request, value))
+        };
         ConfigResponse {
             version: value.version,
             isolation: value.isolation,
@@ -52,71 +55,71 @@
         }
     }
 
-    /// A delta where the former body is still kept and the delta is smaller than the whole.
-    fn form(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigForm {
-        let complete = ConfigForm::Full(value.packed.clone());
-        let (Some(former), Some(new)) =
+    /// A delta if the base body is still retained and the delta is smaller than the full body; otherwise the full body.
+    fn choose_form(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigForm {
+        let full = ConfigForm::Full(value.packed.clone());
+        let (Some(base), Some(target)) =
             (BodyDigest::from_bytes(&request.digest), BodyDigest::from_bytes(&value.digest))
         else {
-            return complete;
+            return full;
         };
-        match self.bodies.lock().delta(former, new) {
+        match self.bodies.lock().delta(base, target) {
             Some(delta) if delta.len() < value.packed.len() => ConfigForm::Delta(delta),
-            _ => complete,
+            _ => full,
         }
     }
 
-    /// Addresses of the stores in the configuration that was learned last; it is read once.
+    /// Addresses of the KV stores in a configuration. The result is cached, so that each configuration is parsed only once.
     pub fn kv_stores(&self, value: &ConfigValue) -> Vec<String> {
-        let mut retained = self.kv_stores.lock();
-        if retained.digest != value.digest {
+        let mut cached = self.kv_stores.lock();
+        if cached.digest != value.digest {
             let body = value.body().unwrap_or_default();
             let services = fleet_core::configuration::Configuration::read(&body)
                 .map(|configuration| configuration.services)
                 .unwrap_or_default();
-            *retained = KvStores {
+            *cached = KvStores {
                 digest: value.digest.clone(),
                 addresses: services.into_iter().filter_map(|service| service.kv_store).collect(),
             };
         }
-        retained.addresses.clone()
+        cached.addresses.clone()
     }
 }
 
 impl ConfigObserver for ConfigBodies {
     fn config_committed(&self, value: &ConfigValue) {
-        self.remember(value);
+        self.retain(value);
     }
 }
 
-/// Gives configurations to routers.
+/// Serves the configuration in force to routers.
 pub struct ConfigDistribution {
     consensus: Arc<Consensus>,
     bodies: Arc<ConfigBodies>,
-    confirmed: SharedRead<ConfigValue>,
+    confirmed_read: SharedRead<ConfigValue>,
 }
 
 impl ConfigDistribution {
-    /// Reads through this node's part in the agreement.
+    /// `consensus` is used to read the configuration in force, `bodies` to compute deltas.
     pub fn new(consensus: Arc<Consensus>, bodies: Arc<ConfigBodies>) -> ConfigDistribution {
-        ConfigDistribution { consensus, bodies, confirmed: SharedRead::default() }
+        ConfigDistribution { consensus, bodies, confirmed_read: SharedRead::default() }
     }
 
-    /// The committed configuration, confirmed by a majority after this call; none if there is none, or no
-    /// majority confirms one.
-    async fn confirmed(&self) -> Option<Arc<ConfigValue>> {
+    /// The committed configuration, confirmed by a majority after this call; `None` if there is none, or if no majority
+    /// confirms one in time.
+    async fn read_confirmed(&self) -> Option<Arc<ConfigValue>> {
         let read = async {
             let read = self.consensus.read(state_machine::CONFIG);
             let chosen = tokio::time::timeout(constants::CHANGE_TIMEOUT, read).await.ok()??;
             ConfigValue::decode(chosen.value).ok().filter(|value| value.version > 0)
         };
-        self.confirmed.get(read).await
+        self.confirmed_read.get(read).await
     }
 
-    /// Answers a router that asks for the configuration in force; version 0 where no majority confirms one, so
-    /// that the router goes on to another controller.
+    /// Answers a router's request for the configuration in force. The version is 0 if no majority confirms one; the router
+    /// then tries another controller.
     pub async fn answer(&self, request: &ConfigRequest) -> ConfigResponse {
-        let value = self.confirmed().await;
+        let value = self.read_confirmed().await;
         value.map_or_else(ConfigResponse::default, |value| self.bodies.respond(request, &value))
     }
 }
--- a/crates/control-plane/src/environment.rs
+++ b/crates/control-plane/src/environment.rs
@@ -1,4 +1,4 @@
-//! What a controller is started with from outside.
+//! The external dependencies that a controller is started with.
 
 use crate::ControllerError;
 use crate::storage::RecordQueue;
@@ -10,28 +10,27 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// All that a controller gets from outside: the programs give TCP, files and a seed like no
-/// other, a simulation gives its own.
+/// External dependencies of a controller. The program uses TCP, files and a unique seed; a simulation provides its own.
 pub struct Environment {
-    /// Where it listens, and reaches others.
+    /// Transport for listening and for connecting to other nodes.
     pub transport: Arc<dyn Transport>,
-    /// What it keeps records with.
+    /// Persists records.
     pub disk: Arc<dyn RecordQueue>,
-    /// What was on the disk at the start.
+    /// State that was read from the disk at startup.
     pub state: State,
-    /// Whether this is the first start of all, which founds the membership.
+    /// Whether this is the very first start of the cluster, in which this node creates the initial membership.
     pub first_start: bool,
-    /// All pseudo-random numbers and the incarnation follow from it; each start needs another.
+    /// Determines all pseudo-random numbers and the incarnation; must be different for each start.
     pub seed: u64,
 }
 
 impl Environment {
-    /// The environment of a program: TCP, the files of its data folder, and a seed like no other.
+    /// The environment of a real process: TCP, the files of its data folder, and a unique seed.
     ///
     /// # Errors
     ///
-    /// [`ControllerError::Disk`] where the data folder can't be opened or read.
-    pub(crate) fn of_program(
+    /// [`ControllerError::Disk`] if the data folder can't be opened or read.
+    pub(crate) fn for_program(
         settings: &Settings,
         log: &slog::Logger,
     ) -> Result<Environment, ControllerError> {
@@ -41,11 +40,12 @@
     }
 }
 
-/// The disk, and what it holds.
+/// The disk, and the state that was read from it.
 struct OpenedDisk {
     disk: Disk,
     state: State,
-    /// Whether this is the first start of all: an empty disk alone may as well be a lost one.
+    /// Whether this is the very first start of the cluster. An empty disk alone doesn't show this: its contents may have been
+    /// lost.
     first_start: bool,
 }
 
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,21 +1,21 @@
 //! The control plane: the library that the `controller` program runs.
 //!
-//! A controller keeps the state that routers, engines and the operator have to agree on, and does what one node
-//! at a time may do. [`Controller`] wires the areas below and does nothing itself; each area owns its state and
-//! its locks, and is built with the areas that it needs, so that the order of construction in [`controller`] is also
-//! the order in which locks may be taken.
+//! A controller replicates the state on which routers, engines and operators have to agree, and runs the tasks that only
+//! one node at a time may run. [`Controller`] connects the components below and has no logic of its own. Each component
+//! owns its state and its locks, and receives the components that it depends on when it is constructed, so that the order
+//! of construction in [`controller`] is also the order in which locks may be taken.
 //!
-//! Read them in this order:
+//! Suggested reading order:
 //!
-//! 1. [`process`]: who the process is; [`cluster_state`]: what it knows of the cluster
+//! 1. [`process`]: identity and settings of the process; [`cluster_state`]: its knowledge of the cluster
 //! 2. [`storage`] and [`consensus`]: the replicated registers
-//! 3. [`membership`]: who the voters are, and the links between processes
-//! 4. [`leases`], and what runs under one: [`rollout`], [`index_owner`]
-//! 5. [`engines`]: the engines and calls to them; [`config_distribution`]: configurations for routers
-//! 6. [`service`]: what engines and operators ask, [`api`]: the same over HTTP
-//! 7. [`environment`], [`controller`], [`runtime`]: what it is started with, how all is wired, start and end
+//! 3. [`membership`]: the set of voters, and the links between processes
+//! 4. [`leases`], and the tasks that run under a lease: [`rollout`], [`index_owner`]
+//! 5. [`engines`]: the engine registry and calls to engines; [`config_distribution`]: configurations for routers
+//! 6. [`service`]: operations for engines and operators; [`api`]: their HTTP interface
+//! 7. [`environment`], [`controller`], [`runtime`]: external dependencies, construction, startup and shutdown
 
-// A process that carries traffic does not panic for a value that is not there; tests may.
+// A process that carries traffic must not panic because a value is missing; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
 
 pub mod api;
@@ -39,15 +39,15 @@
 pub use environment::Environment;
 pub use runtime::{RunningController, run};
 
-/// Why a controller doesn't run.
+/// Why a controller failed to start.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum ControllerError {
-    /// {0}: not in the settings, which a controller needs
+    /// {0}: missing from the settings, but required for a controller
     SettingMissing(&'static str),
-    /// the disk can't be used: {0}
+    /// cannot use the disk: {0}
     Disk(storage::DiskError),
-    /// cannot listen at {0}: {1}
+    /// cannot listen on {0}: {1}
     Listen(std::net::SocketAddr, std::io::ErrorKind),
-    /// cannot serve control: {0}
-    Control(std::io::ErrorKind),
+    /// cannot start the HTTP API server: {0}
+    ApiServer(std::io::ErrorKind),
 }
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a controller shows of itself as metrics: its part in the agreement, its leases and the roll-out.
+//! Metrics of a controller: its role in consensus, its leases and the rollouts.
 
 use crate::controller::Controller;
 use crate::leases::{INDEX_OWNER_LEASE, ROLLOUT_LEASE};
@@ -9,16 +9,16 @@
 
 impl Source for Controller {
     fn write(&self, exposition: &mut Exposition<'_>) -> fmt::Result {
-        write_agreement(self, exposition)?;
+        write_consensus(self, exposition)?;
         write_leases(self, exposition)?;
         write_rollout(self, exposition)
     }
 }
 
-fn write_agreement(controller: &Controller, exposition: &mut Exposition<'_>) -> fmt::Result {
+fn write_consensus(controller: &Controller, exposition: &mut Exposition<'_>) -> fmt::Result {
     let consensus = controller.consensus();
-    let flag = |holds: bool| f64::from(u8::from(holds));
-    let config = controller.cluster_state().read(|state| state.config_version());
+    let flag = |is_set: bool| f64::from(u8::from(is_set));
+    let config_version = controller.cluster_state().read(|state| state.config_version());
     let shutting_down = controller.process().is_shutting_down();
     exposition.gauge("shutting_down", "1 from SIGTERM on", flag(shutting_down))?;
     exposition.gauge("votes", "1 if this node votes", flag(consensus.votes()))?;
@@ -26,7 +26,11 @@
     exposition.gauge("quorum_contact", help, flag(consensus.in_contact()))?;
     let epoch = consensus.membership_epoch() as f64;
     exposition.gauge("membership_epoch", "Epoch of the membership in force", epoch)?;
-    exposition.gauge("config_version", "Newest configuration known to be chosen", config as f64)
+    exposition.gauge(
+        "config_version",
+        "Newest configuration known to be chosen",
+        config_version as f64,
+    )
 }
 
 fn write_leases(controller: &Controller, exposition: &mut Exposition<'_>) -> fmt::Result {
@@ -44,13 +48,13 @@
     let view = status::view(controller.rollout());
     let help = "Engines that may load weights at once";
     exposition.gauge("rollout_concurrency", help, view.width as f64)?;
-    let by_model = |figure: fn(&ModelView) -> u64| -> Vec<_> {
-        let of = |model: &ModelView| ([("model", model.model.clone())], figure(model) as f64);
-        view.models.iter().map(of).collect()
+    let by_model = |field: fn(&ModelView) -> u64| -> Vec<_> {
+        let sample = |model: &ModelView| ([("model", model.model.clone())], field(model) as f64);
+        view.models.iter().map(sample).collect()
     };
-    let mut write = |name, help, figure| {
-        let series = by_model(figure);
-        exposition.gauges(name, help, series.iter().map(|(labels, n)| (&labels[..], *n)))
+    let mut write = |name, help, field| {
+        let series = by_model(field);
+        exposition.gauges(name, help, series.iter().map(|(labels, value)| (&labels[..], *value)))
     };
     write("rollout_target_version", "Target version of the weights", |model| model.revision)?;
     write("rollout_target_age_ms", "Age of the target", |model| model.age_ms)?;
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -1,7 +1,7 @@
-//! What every part of a controller knows of the process that it runs in.
+//! Process-wide context that all components of a controller share.
 //!
-//! It is built once, before any part, and holds nothing that they decide on together: who the process is,
-//! where it logs, the settings in force, random numbers, and whether the process is to end.
+//! It is built once, before any component, and holds none of the replicated state: only the identity of the process, its
+//! log, the current settings, the random number generator, and the shutdown signal.
 
 use fleet_core::node::Node;
 use fleet_core::random::RandomSource;
@@ -11,13 +11,13 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// One run of a controller's process.
+/// One run of a controller process.
 pub struct Process {
-    /// Who it is.
+    /// Identity of this node.
     pub node: Node,
-    /// Where its events go.
+    /// Destination of log events.
     pub log: slog::Logger,
-    /// When it started.
+    /// Start time of the process.
     pub started: Instant,
     settings: parking_lot::RwLock<Arc<Settings>>,
     random: RandomSource,
@@ -25,7 +25,7 @@
 }
 
 impl Process {
-    /// A process that has just started. Its random numbers follow from its incarnation.
+    /// Creates the context of a process that has just started. The node's incarnation seeds its random numbers.
     pub fn new(node: Node, settings: Settings, log: slog::Logger) -> Process {
         Process {
             random: RandomSource::seeded(node.incarnation),
@@ -37,12 +37,12 @@
         }
     }
 
-    /// The settings in force; they may be read again while the process runs.
+    /// The current settings; they may be replaced while the process runs.
     pub fn settings(&self) -> Arc<Settings> {
         self.settings.read().clone()
     }
 
-    /// Puts other settings in force.
+    /// Replaces the settings.
     pub fn reconfigure(&self, settings: Settings) {
         *self.settings.write() = Arc::new(settings);
     }
@@ -52,27 +52,27 @@
         self.random.next()
     }
 
-    /// A pseudo-random number below a bound.
+    /// A pseudo-random number below `bound`.
     pub fn random_below(&self, bound: u64) -> u64 {
         self.random.below(bound)
     }
 
-    /// A random pause of up to so many ms, never none, before something is tried again.
-    pub fn random_backoff(&self, most_ms: u64) -> Duration {
-        Duration::from_millis(1 + self.random_below(most_ms))
+    /// A random delay before a retry, from 1 to `max_ms` milliseconds.
+    pub fn random_backoff(&self, max_ms: u64) -> Duration {
+        Duration::from_millis(1 + self.random_below(max_ms))
     }
 
-    /// Whether the process was asked to end.
+    /// Whether shutdown of the process has begun.
     pub fn is_shutting_down(&self) -> bool {
         *self.shutting_down.borrow()
     }
 
-    /// Turns true when the process is asked to end.
+    /// A receiver whose value becomes true when shutdown begins.
     pub fn shutdown_signal(&self) -> watch::Receiver<bool> {
         self.shutting_down.subscribe()
     }
 
-    /// Tells all parts that the process is to end.
+    /// Signals all components that the process is shutting down.
     pub fn begin_shutdown(&self) {
         self.shutting_down.send_replace(true);
     }
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -1,4 +1,4 @@
-//! A controller's life: how it starts, and how it ends.
+//! Startup and shutdown of a controller.
 
 use crate::controller::Controller;
 use crate::environment::Environment;
@@ -12,10 +12,10 @@
 use tokio::task::JoinSet;
 
 impl Controller {
-    /// Starts all of a controller but its HTTP server.
+    /// Starts a controller, except for its HTTP server.
     ///
     /// # Errors
-    /// [`ControllerError::Listen`] where the port for peers can't be listened at.
+    /// [`ControllerError::Listen`] if it can't listen on the port for peers.
     pub async fn start(
         settings: Settings,
         log: slog::Logger,
@@ -36,26 +36,27 @@
     }
 }
 
-/// A controller and its tasks, which are aborted when this is dropped.
+/// A running controller. Its tasks are aborted when this is dropped.
 pub struct RunningController {
     controller: Arc<Controller>,
     tasks: JoinSet<()>,
 }
 
 impl RunningController {
-    /// The controller itself, for the functions of [`crate::service`].
+    /// The controller, for use with the functions of [`crate::service`].
     pub fn controller(&self) -> &Arc<Controller> {
         &self.controller
     }
 
-    /// Ends in good order, as a program does on SIGTERM: releases its leases and keys, and sends the
-    /// others what they may not know of the engines.
+    /// Shuts down gracefully, as the program does on SIGTERM: releases the leases and the ownership of keys, and sends the
+    /// other controllers any engine state that they may lack.
     pub async fn leave(&self) {
         self.controller.leave().await;
     }
 
-    /// Ends at once, as in a crash: its tasks stop where they are, its connections close. Steps that it had
-    /// already handed on (records, answers being made) end where transport and disk take no more of them.
+    /// Stops at once, as in a crash: aborts all tasks and closes all connections. Operations that were already handed over
+    /// (records to be written, responses being produced) complete only as far as the transport and the disk still accept
+    /// them.
     pub fn abort(self) {
         drop(self);
     }
@@ -68,30 +69,30 @@
     }
 }
 
-/// Runs a controller until it is stopped.
+/// Runs a controller until it is told to stop, then shuts it down gracefully.
 ///
 /// # Errors
 ///
-/// A setting is missing, the disk can't be used, or a port can't be listened at. Nothing runs then.
+/// A required setting is missing, the disk can't be used, or a port can't be listened on. Nothing is left running then.
 pub async fn run(start: Start) -> Result<(), ControllerError> {
     let Start { settings, log, stop, reread, metrics } = start;
     let control = settings.control.ok_or(ControllerError::SettingMissing("bindAddrs.control"))?;
-    let environment = Environment::of_program(&settings, &log)?;
+    let environment = Environment::for_program(&settings, &log)?;
     let mut running = Controller::start(settings, log.clone(), environment).await?;
     if let Some(address) = metrics {
         let source = running.controller.clone();
         running.tasks.spawn(telemetry::serve(address, log, source));
     }
     let server = api::serve(running.controller(), control)
-        .map_err(|e| ControllerError::Control(e.kind()))?;
-    until_stopped(running.controller(), stop, reread).await;
+        .map_err(|error| ControllerError::ApiServer(error.kind()))?;
+    run_until_stopped(running.controller(), stop, reread).await;
     running.leave().await;
     let _ = tokio::time::timeout(constants::SERVER_CLOSE_TIMEOUT, server.close()).await;
     running.abort();
     Ok(())
 }
 
-async fn until_stopped(
+async fn run_until_stopped(
     controller: &Controller,
     mut stop: watch::Receiver<bool>,
     mut reread: mpsc::Receiver<Settings>,
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configurations: replaced on a base, and read as a majority has it.
+//! Operator access to the configuration: conditional replacement, and reads confirmed by a majority.
 
 use super::{Rejection, require_contact};
 use crate::consensus::Consensus;
@@ -12,18 +12,18 @@
 use prost::Message;
 use std::sync::Arc;
 
-/// A configuration that is in force.
+/// A configuration that has come into force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Replaced {
-    /// its version
+    /// Version of the configuration.
     pub version: u64,
 }
 
-/// The version that a change builds on, from the text of its header.
+/// Parses the base version of a change from the value of its `X-Base-Revision` header.
 ///
 /// # Errors
 ///
-/// 400 where the header is missing or no number.
+/// 400 if the header is missing or not a number.
 pub fn base_of(header: Option<&str>) -> Result<u64, Rejection> {
     header
         .map(str::trim)
@@ -32,11 +32,11 @@
         .ok_or_else(|| Rejection::bad_request("no_base", "X-Base-Revision: not a version"))
 }
 
-/// Puts a configuration in force in place of the one that it builds on.
+/// Replaces the configuration in force, provided that its version is the base given in the header.
 ///
 /// # Errors
 ///
-/// 412 and 400 only where the change is certain not to be in force; after 503 it may be.
+/// 412 and 400 are returned only if the change has certainly not taken effect; after 503 it may have.
 pub async fn replace(
     consensus: &Arc<Consensus>,
     base_header: Option<&str>,
@@ -44,22 +44,25 @@
 ) -> Result<Replaced, Rejection> {
     require_contact(consensus)?;
     let base = base_of(base_header)?;
-    let configuration = Configuration::read(&body).map_err(|error| refused(consensus, &error))?;
+    let configuration =
+        Configuration::read(&body).map_err(|error| reject_invalid(consensus, &error))?;
     let packed = fleet_core::packing::pack(&body);
     let change = ReplaceConfig { base, version: configuration.revision, packed };
     let changed = forward::submit(consensus, ChangeKind::Replace(change.clone())).await;
     match changed.outcome() {
         Outcome::Done => Ok(Replaced { version: change.version }),
-        Outcome::Stale => Err(stale(&changed)),
-        Outcome::Invalid => Err(refused(consensus, &state_machine::error_of(&change, &changed))),
-        Outcome::Unproven => Err(unproven(&changed)),
+        Outcome::Stale => Err(reject_stale_base(&changed)),
+        Outcome::Invalid => {
+            Err(reject_invalid(consensus, &state_machine::error_of(&change, &changed)))
+        }
+        Outcome::Unproven => Err(reject_unproven(&changed)),
         Outcome::Unknown => {
             Err(Rejection::unavailable("unknown", "no majority in time: it may yet be in force"))
         }
     }
 }
 
-fn stale(changed: &ChangeResponse) -> Rejection {
+fn reject_stale_base(changed: &ChangeResponse) -> Rejection {
     Rejection {
         status: StatusCode::PRECONDITION_FAILED,
         code: "stale_base",
@@ -67,8 +70,8 @@
     }
 }
 
-/// It may have been taken so long ago that nobody knows, or its base is yet to come.
-fn unproven(changed: &ChangeResponse) -> Rejection {
+/// The change may have been accepted too long ago for any record of it to remain, or its base is not in force yet.
+fn reject_unproven(changed: &ChangeResponse) -> Rejection {
     let message = format!(
         "version {} is in place; whether this change was taken isn't known",
         changed.number
@@ -76,16 +79,19 @@
     Rejection::unavailable("unknown", &message)
 }
 
-fn refused(consensus: &Consensus, error: &fleet_core::configuration::ConfigError) -> Rejection {
+fn reject_invalid(
+    consensus: &Consensus,
+    error: &fleet_core::configuration::ConfigError,
+) -> Rejection {
     fleet_core::log_event!(consensus.process().log, Event::ConfigRejected, "why" => error.to_string());
     Rejection::bad_request(error.code(), error)
 }
 
-/// The configuration in force, confirmed by a majority after the call came.
+/// Returns the configuration in force, confirmed by a majority after this call.
 ///
 /// # Errors
 ///
-/// 503 out of contact, before the first configuration, and where no majority confirms one in time.
+/// 503 without contact with a majority, before the first configuration, and if no majority confirms one in time.
 pub async fn fetch(consensus: &Arc<Consensus>) -> Result<Bytes, Rejection> {
     require_contact(consensus)?;
     let read =
--- a/crates/control-plane/src/service/instances.rs
+++ b/crates/control-plane/src/service/instances.rs
@@ -1,4 +1,4 @@
-//! Engines tell that they live, and that they leave.
+//! Heartbeats and deregistration of engines.
 
 use super::{Rejection, require_contact};
 use crate::engines::registry::{EngineRegistry, HeartbeatSource};
@@ -16,21 +16,21 @@
     zone: String,
     #[serde(default)]
     slots: u32,
-    state: State,
+    state: ReportedState,
     #[serde(default)]
-    models: Vec<Loaded>,
+    models: Vec<LoadedModel>,
     call_seq: u64,
 }
 
 #[derive(serde::Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-enum State {
+enum ReportedState {
     Ready,
     Draining,
 }
 
 #[derive(serde::Deserialize)]
-struct Loaded {
+struct LoadedModel {
     name: String,
     revision: u64,
 }
@@ -48,8 +48,10 @@
 
 impl HeartbeatBody {
     fn into_engine(self, id: String) -> Engine {
-        let weights =
-            self.models.into_iter().map(|m| Weights { model: m.name, version: m.revision });
+        let weights = self
+            .models
+            .into_iter()
+            .map(|loaded| Weights { model: loaded.name, version: loaded.revision });
         let mut engine = Engine {
             id,
             call: self.call_seq,
@@ -61,18 +63,19 @@
             ..Default::default()
         };
         engine.set_state(match self.state {
-            State::Ready => EngineState::Ready,
-            State::Draining => EngineState::Draining,
+            ReportedState::Ready => EngineState::Ready,
+            ReportedState::Draining => EngineState::Draining,
         });
         engine
     }
 }
 
-/// Takes a heartbeat; that of a draining engine is acknowledged when a majority has it.
+/// Records a heartbeat. The heartbeat of a draining engine is acknowledged only once a majority has recorded it.
 ///
 /// # Errors
 ///
-/// 400 for a call that can't be read; 503 out of contact, and where no majority has a drain in time. It is recorded all the same.
+/// 400 for an invalid call; 503 without contact with a majority, and if no majority records a drain in time. After 503 the
+/// heartbeat is recorded on this node all the same.
 pub async fn heartbeat(
     registry: &Arc<EngineRegistry>,
     id: String,
@@ -83,11 +86,11 @@
         return Err(malformed("address: not an address with a port"));
     }
     check_id(&id)?;
-    let draining = heartbeat.state == State::Draining;
-    // also out of contact: routers that reach only this node need to hear of it
+    let is_draining = heartbeat.state == ReportedState::Draining;
+    // Record it even without contact with a majority, for the routers that reach only this node.
     let engine = registry.record_heartbeat(heartbeat.into_engine(id), HeartbeatSource::Engine);
     require_contact(registry.consensus())?;
-    if draining {
+    if is_draining {
         record_departure(registry, engine).await?;
     }
     Ok(())
@@ -100,20 +103,21 @@
     Err(malformed("id: too long"))
 }
 
-/// Acknowledged only when a majority of the controllers has it, in memory and on disk.
+/// Succeeds only once a majority of the controllers has the departure in memory and on disk.
 async fn record_departure(registry: &Arc<EngineRegistry>, engine: Engine) -> Result<(), Rejection> {
-    // a drain that comes late, behind a call that says that the engine is ready
+    // A ready state means that this drain arrived late, after a newer call that reported the engine as ready.
     if engine.state() == EngineState::Ready || registry.record_departure(engine).await {
         return Ok(());
     }
     Err(Rejection::unavailable("no_majority", "not told to a majority"))
 }
 
-/// Takes an engine's farewell, acknowledged when a majority has it.
+/// Records that an engine terminates. Acknowledged only once a majority has recorded it.
 ///
 /// # Errors
 ///
-/// 400 for a call that can't be read; 503 out of contact, and where no majority has it in time. It is recorded all the same.
+/// 400 for an invalid call; 503 without contact with a majority, and if no majority records it in time. After 503 the
+/// deregistration is recorded on this node all the same.
 pub async fn deregister(
     registry: &Arc<EngineRegistry>,
     id: String,
@@ -126,7 +130,7 @@
     };
     check_id(&id)?;
     let current = registry.get(&id);
-    let call = current.as_ref().map_or(0, |e| e.call);
+    let call = current.as_ref().map_or(0, |engine| engine.call);
     let mut engine = current.unwrap_or_else(|| Engine { id, ..Default::default() });
     engine.call = call.max(deregister_body.call_seq.unwrap_or(call + 1));
     engine.set_state(EngineState::Deregistered);
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -1,5 +1,5 @@
-//! What an operator is shown of the control plane itself. Made only when asked for: nothing is kept for
-//! it, and nothing that the voters answer is taken up.
+//! The operator's view of the control plane itself. Computed on request: no state is kept for it, and the voters' responses
+//! don't change this node's state.
 
 mod view;
 
@@ -16,25 +16,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a view is made of.
+/// The components that a view is built from.
 pub struct ViewSources {
-    /// This node's vote, and its contact with the others.
+    /// This node's acceptor state, and its contact with the other voters.
     pub consensus: Arc<Consensus>,
-    /// The zones of the other controllers.
+    /// Provides the zones of the other controllers.
     pub links: Arc<PeerLinks>,
-    /// The leases that it granted and holds.
+    /// The leases that this node granted and holds.
     pub leases: Arc<LeaseManager>,
 }
 
-/// The control plane as this controller sees it, in contact or not.
+/// The control plane as this controller sees it. Available even without contact with a majority.
 pub async fn view(sources: &ViewSources) -> MembersView {
     let consensus = &sources.consensus;
     let (membership, votes, recovery_epoch) = consensus.with_acceptor(|acceptor| {
         (acceptor.membership().clone(), acceptor.votes(), acceptor.recovery_epoch())
     });
-    let answers = query_voters(consensus, &membership).await;
-    let highest = highest_accepted(&answers, state_machine::CONFIG);
-    let voter = |member: &Member| voter_view(sources, member, &answers, highest);
+    let reports = query_voters(consensus, &membership).await;
+    let highest = highest_accepted(&reports, state_machine::CONFIG);
+    let voter = |member: &Member| voter_view(sources, member, &reports, highest);
     let process = consensus.process();
     MembersView {
         name: process.node.name.clone(),
@@ -48,7 +48,7 @@
         tolerated_losses: process.settings().losses,
         config: BallotView::of(highest),
         voters: membership.members.iter().map(voter).collect(),
-        keys: key_views(&answers),
+        keys: key_views(&reports),
         leases: lease_views(sources),
     }
 }
@@ -60,7 +60,7 @@
     if consensus.is_disk_broken() { DiskState::Refused } else { DiskState::Works }
 }
 
-/// What each voter answers, this one too; one that says nothing in time is left out.
+/// Queries all voters, including this node. Voters that don't respond in time are left out.
 async fn query_voters(
     consensus: &Consensus,
     membership: &Membership,
@@ -75,22 +75,22 @@
             }
         },
     );
-    let own = tokio::time::timeout(
+    let own_report = tokio::time::timeout(
         constants::PHASE_TIMEOUT,
         consensus.vote(|acceptor| acceptor.read_ballots(false)),
     );
-    let (others, own) = tokio::join!(futures_util::future::join_all(calls), own);
-    let mut answers: BTreeMap<u64, BallotReport> = others.into_iter().flatten().collect();
+    let (others, own_report) = tokio::join!(futures_util::future::join_all(calls), own_report);
+    let mut reports: BTreeMap<u64, BallotReport> = others.into_iter().flatten().collect();
     let is_member = consensus.with_acceptor(|acceptor| acceptor.is_member());
-    if is_member && let Ok(Some(report)) = own {
-        answers.insert(consensus.process().node.id(), report);
+    if is_member && let Ok(Some(report)) = own_report {
+        reports.insert(consensus.process().node.id(), report);
     }
-    answers
+    reports
 }
 
-/// Highest ballot under which a voter has accepted a value of the key.
-fn highest_accepted(answers: &BTreeMap<u64, BallotReport>, key: &str) -> Ballot {
-    let voting = answers.values().filter(|report| report.votes);
+/// Highest ballot under which a responding voter has accepted a value of the key.
+fn highest_accepted(reports: &BTreeMap<u64, BallotReport>, key: &str) -> Ballot {
+    let voting = reports.values().filter(|report| report.votes);
     voting.map(|report| accepted(report, key)).max().unwrap_or_default()
 }
 
@@ -102,7 +102,7 @@
 fn voter_view(
     sources: &ViewSources,
     member: &Member,
-    answers: &BTreeMap<u64, BallotReport>,
+    reports: &BTreeMap<u64, BallotReport>,
     highest: Ballot,
 ) -> VoterView {
     let node = &sources.consensus.process().node;
@@ -116,7 +116,7 @@
         joined_epoch: member.joined_epoch,
         ..Default::default()
     };
-    let Some(report) = id.and_then(|id| answers.get(&id)) else {
+    let Some(report) = id.and_then(|id| reports.get(&id)) else {
         let age = id.and_then(|id| sources.consensus.last_answer_age(id));
         return VoterView { last_answer_ms: age.map(as_millis), ..view };
     };
@@ -133,10 +133,10 @@
     }
 }
 
-/// The owner of a key is the node that a voter promised the highest epoch to.
-fn key_views(answers: &BTreeMap<u64, BallotReport>) -> Vec<KeyView> {
+/// One view per key. A key's owner is the node to which a voter promised the highest epoch.
+fn key_views(reports: &BTreeMap<u64, BallotReport>) -> Vec<KeyView> {
     let mut promised: BTreeMap<&str, Ballot> = BTreeMap::new();
-    let voting = answers.values().filter(|report| report.votes);
+    let voting = reports.values().filter(|report| report.votes);
     for register in voting.flat_map(|report| &report.registers) {
         let highest = promised.entry(&register.key).or_default();
         *highest = register.promised.max(*highest);
@@ -149,8 +149,8 @@
 }
 
 fn lease_views(sources: &ViewSources) -> Vec<LeaseView> {
-    let all = [leases::INDEX_OWNER_LEASE, leases::ROLLOUT_LEASE];
-    all.into_iter().filter_map(|lease_name| lease_view(sources, lease_name)).collect()
+    let names = [leases::INDEX_OWNER_LEASE, leases::ROLLOUT_LEASE];
+    names.into_iter().filter_map(|lease_name| lease_view(sources, lease_name)).collect()
 }
 
 fn lease_view(sources: &ViewSources, lease_name: &str) -> Option<LeaseView> {
@@ -170,6 +170,6 @@
     })
 }
 
-fn as_millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn as_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/control-plane/src/service/membership/view.rs
+++ b/crates/control-plane/src/service/membership/view.rs
@@ -1,4 +1,4 @@
-//! The shape of what [`super::view`] returns; `fleetctl` reads it back.
+//! Types returned by [`super::view`]; `fleetctl` deserializes them.
 
 use fleet_core::wire::Ballot;
 use serde::{Deserialize, Serialize};
@@ -8,38 +8,38 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MembersView {
-    /// Name of the controller that answers.
+    /// Name of the responding controller.
     pub name: String,
-    /// Its address.
+    /// IP address of the responding controller.
     pub ip: String,
-    /// Whether a majority of the voters answered it a short time ago; without that it answers no other call.
+    /// Whether a majority of the voters responded to it recently; without such contact it rejects all calls but views.
     pub in_contact: bool,
-    /// Whether it has a vote.
+    /// Whether it votes.
     pub votes: bool,
     /// Whether it is shutting down.
     #[serde(rename = "leaving")]
     pub shutting_down: bool,
-    /// How its disk stands.
+    /// State of its disk.
     pub disk: DiskState,
-    /// Epoch of the membership that it goes by; 0 before it knows one.
+    /// Epoch of the membership that it uses; 0 before it knows one.
     pub membership_epoch: u64,
     /// Its own recovery epoch.
     pub recovery_epoch: u64,
-    /// Machines that may be lost at once, by its settings.
+    /// Number of machines that may fail at the same time, according to its settings.
     pub tolerated_losses: usize,
-    /// Highest ballot under which a voter that answered has accepted a configuration.
+    /// Highest ballot under which a responding voter has accepted a configuration.
     pub config: Option<BallotView>,
-    /// All voters of that membership, by address.
+    /// All voters of that membership, sorted by address.
     pub voters: Vec<VoterView>,
-    /// All keys that voters hold, by name.
+    /// All keys that voters store, sorted by name.
     pub keys: Vec<KeyView>,
-    /// All leases that were ever held, by name.
+    /// All leases that have ever been held, sorted by name.
     #[serde(rename = "duties")]
     pub leases: Vec<LeaseView>,
 }
 
 impl MembersView {
-    /// Voters whose vote counts now: they answered, vote, and go by the same membership.
+    /// Number of voters whose votes currently count: they responded, vote, and use the same membership.
     pub fn voting(&self) -> usize {
         let counts = |voter: &&VoterView| {
             voter.answered && voter.votes && voter.membership_epoch == self.membership_epoch
@@ -47,91 +47,91 @@
         self.voters.iter().filter(counts).count()
     }
 
-    /// Voters that make a majority.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 }
 
-/// How a controller's disk stands.
+/// State of a controller's disk.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DiskState {
-    /// It takes writes.
+    /// The disk accepts writes.
     #[default]
     Works,
-    /// It refused the last write.
+    /// The last write failed.
     Refused,
-    /// There is none.
+    /// The controller runs without a disk.
     Absent,
 }
 
-/// One voter, as another controller sees it.
+/// One voter, as the responding controller sees it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct VoterView {
-    /// Its address.
+    /// IP address of the voter.
     pub ip: String,
-    /// Its zone; empty if it is not known.
+    /// Zone of the voter; empty if unknown.
     pub zone: String,
-    /// Where it takes calls.
+    /// Address of its control API.
     pub control: String,
-    /// Membership epoch that took it in.
+    /// Epoch of the membership that added it.
     pub joined_epoch: u64,
-    /// Whether it answered for this view.
+    /// Whether it responded to the query for this view.
     pub answered: bool,
-    /// Age of its last answer; none if it has not answered since the teller's start.
+    /// Milliseconds since its last response; `None` if it has not responded since the responding controller started.
     pub last_answer_ms: Option<u64>,
-    /// Whether it votes; not while it reads its state back.
+    /// Whether it votes; it doesn't while it is recovering its state.
     pub votes: bool,
-    /// The membership epoch that it goes by.
+    /// Epoch of the membership that it uses.
     pub membership_epoch: u64,
-    /// Its recovery epoch.
+    /// Recovery epoch of the voter.
     pub recovery_epoch: u64,
-    /// Ballot under which it accepted its configuration.
+    /// Ballot under which it accepted its configuration; `None` if it has accepted none.
     pub config: Option<BallotView>,
-    /// How far that is behind the highest one, if it is.
+    /// How far that ballot is behind the highest one; `None` if it is not behind.
     pub behind: Option<Lag>,
 }
 
-/// A ballot.
+/// A ballot in readable form.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BallotView {
-    /// Rises with each take-over of the key.
+    /// Increases with each change of the key's owner.
     pub epoch: u64,
     /// Address of the owner under this epoch.
     pub owner: String,
-    /// Rounds of that owner.
+    /// Round number within this epoch.
     pub round: u64,
 }
 
 impl BallotView {
-    /// Of a ballot; none of the default, which stands for nothing accepted or promised.
+    /// Converts a ballot; `None` for the default ballot, which means that nothing was accepted or promised.
     pub fn of(ballot: Ballot) -> Option<BallotView> {
         (ballot != Ballot::default()).then(|| BallotView {
             epoch: ballot.n,
-            owner: address(ballot.node),
+            owner: node_address(ballot.node),
             round: ballot.seq,
         })
     }
 }
 
-/// The address that a node number in a ballot stands for.
-fn address(node: u64) -> String {
+/// The IP address that a node id in a ballot encodes.
+fn node_address(node: u64) -> String {
     u32::try_from(node).map_or_else(|_| node.to_string(), |bits| Ipv4Addr::from(bits).to_string())
 }
 
 /// How far an accepted ballot is behind the highest one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lag {
-    /// Epochs in between.
+    /// Difference of the epochs.
     pub epochs: u64,
-    /// Rounds of the highest epoch that are missing.
+    /// Number of missing rounds of the highest epoch.
     pub rounds: u64,
 }
 
 impl Lag {
-    /// Of a ballot against the highest one; none if it is not behind.
+    /// Lag of a ballot behind the highest one; `None` if it is not behind.
     pub fn between(accepted_ballot: Ballot, highest: Ballot) -> Option<Lag> {
         if accepted_ballot >= highest {
             return None;
@@ -142,41 +142,41 @@
     }
 }
 
-/// Who owns a key.
+/// Ownership of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyView {
     /// Name of the key.
     pub key: String,
-    /// Address of the node that a voter promised the highest epoch to.
+    /// IP address of the node to which a voter promised the highest epoch.
     pub owner: String,
-    /// That epoch.
+    /// The highest epoch that a voter promised.
     pub epoch: u64,
 }
 
-/// A lease by the newest value that the reporting controller knows, and its own part in it.
+/// The newest value of a lease that the responding controller knows, and that controller's own role in it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseView {
     /// Name of the lease.
     #[serde(rename = "duty")]
     pub name: String,
-    /// Name of the node that raised the fencing token last.
+    /// Name of the node that last acquired the lease with a new fencing token.
     pub holder: String,
-    /// The fencing token.
+    /// Current fencing token.
     #[serde(rename = "fence")]
     pub fencing_token: u64,
-    /// Whether the teller itself may act under it now.
+    /// Whether the responding controller holds the lease and may act under it.
     pub acts: bool,
-    /// The lease that the teller granted, if one runs.
+    /// The grant that the responding controller has made, if one is current.
     pub granted: Option<GrantView>,
 }
 
-/// A lease that a voter granted.
+/// A voter's current grant of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct GrantView {
-    /// Name of the node that it was granted to.
+    /// Name of the node that the lease was granted to.
     pub node: String,
-    /// How long the voter grants the lease to nobody else.
+    /// Milliseconds for which the voter grants the lease to no other node.
     #[serde(rename = "leftMs")]
     pub remaining_ms: u64,
 }
--- a/crates/control-plane/src/service/mod.rs
+++ b/crates/control-plane/src/service/mod.rs
@@ -1,7 +1,8 @@
-//! What engines and operators ask of a controller, decided apart from HTTP: the handlers in `api`
-//! translate, and tests and simulations call the same functions.
+//! Operations that engines and operators request from a controller, independent of HTTP: the handlers in `api` translate
+//! requests into calls of these functions, which tests and simulations call directly.
 //!
-//! Each function takes the areas that it works on. All but the views need contact with a majority first ([`require_contact`]).
+//! Each function takes the components that it works on. All except the views require contact with a majority
+//! ([`require_contact`]).
 
 pub mod configuration;
 pub mod instances;
@@ -10,8 +11,8 @@
 
 use crate::consensus::Consensus;
 
-/// Out of contact with a majority of the voters nothing is acknowledged, refused or handed out: the caller
-/// goes on to another node at once.
+/// Checks for contact with a majority of the voters. Without it, requests are neither acknowledged, refused nor served, so
+/// that the caller tries another node at once.
 ///
 /// # Errors
 ///
@@ -23,26 +24,26 @@
     Err(Rejection::unavailable("no_contact", "out of contact with a majority of the controllers"))
 }
 
-/// Why a call isn't carried out, or may not have been.
+/// Why a call was not executed, or may not have been.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 #[displaydoc("{status} {code}: {message}")]
 pub struct Rejection {
-    /// status of the answer
+    /// HTTP status of the response.
     pub status: http::StatusCode,
-    /// word for programs
+    /// Machine-readable error code.
     pub code: &'static str,
-    /// sentence for people
+    /// Human-readable description.
     pub message: String,
 }
 
 impl Rejection {
-    /// The call itself is wrong.
+    /// 400: the call itself is invalid.
     pub fn bad_request(code: &'static str, message: impl ToString) -> Rejection {
         let message = message.to_string();
         Rejection { status: http::StatusCode::BAD_REQUEST, code, message }
     }
 
-    /// The call can't be carried out now, or nobody knows whether it was.
+    /// 503: the call can't be executed now, or it is unknown whether it was.
     pub fn unavailable(code: &'static str, message: &str) -> Rejection {
         let message = message.to_owned();
         Rejection { status: http::StatusCode::SERVICE_UNAVAILABLE, code, message }
