--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A holder to follow.
+/// How to reach a holder.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Source {
+pub struct HolderEndpoint {
     /// Address and port.
     pub address: String,
     /// Whether it is an engine, whose id can be named in calls; a store has no id.
@@ -22,7 +22,7 @@
 
 /// Engines to follow, by id. If two engines are known at the same address, one of them has terminated without this being
 /// known yet. Neither is followed then, since a response doesn't show which engine sent it.
-pub fn engines<'a>(engines: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, Source> {
+pub fn engines<'a>(engines: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, HolderEndpoint> {
     let mut by_address: BTreeMap<&str, Option<&Engine>> = BTreeMap::new();
     for engine in engines
         .filter(|engine| engine.state() != EngineState::Deregistered && !engine.heartbeat_missed)
@@ -32,8 +32,9 @@
             .and_modify(|known| *known = None)
             .or_insert(Some(engine));
     }
-    let source = |engine: &Engine| Source { address: engine.address.clone(), is_engine: true };
-    by_address.into_values().flatten().map(|engine| (engine.id.clone(), source(engine))).collect()
+    let endpoint =
+        |engine: &Engine| HolderEndpoint { address: engine.address.clone(), is_engine: true };
+    by_address.into_values().flatten().map(|engine| (engine.id.clone(), endpoint(engine))).collect()
 }
 
 /// Position in the events of one incarnation of a holder.
@@ -65,8 +66,8 @@
 }
 
 /// Follows one holder until the task is aborted.
-pub async fn follow(index_owner: Arc<IndexOwner>, holder: String, source: Source) {
-    let Ok(address) = source.address.parse::<SocketAddr>() else { return };
+pub async fn follow(index_owner: Arc<IndexOwner>, holder: String, endpoint: HolderEndpoint) {
+    let Ok(address) = endpoint.address.parse::<SocketAddr>() else { return };
     let mut client = index_owner.client(address).with_most(constants::EVENTS_BYTES);
     let mut position: Option<Position> = None;
     let invalidate_holder = || {
@@ -80,7 +81,7 @@
             None => index_owner.first_reads.acquire().await.ok(),
             Some(_) => None,
         };
-        let target = source.is_engine.then_some(holder.as_str());
+        let target = endpoint.is_engine.then_some(holder.as_str());
         let Some(batch) = fetch_events(&mut client, target, position).await else {
             drop(permit);
             if position.take().is_some() {
@@ -117,11 +118,12 @@
     let wait = wait.to_string();
     let mut headers = vec![("Wait-Ms", wait.as_str())];
     headers.extend(target.map(|id| ("X-Target-Instance", id)));
-    let answer = client.call(http::Method::GET, &path, &headers, Vec::new(), timeout).await.ok()?;
-    if answer.status != http::StatusCode::OK {
+    let response =
+        client.call(http::Method::GET, &path, &headers, Vec::new(), timeout).await.ok()?;
+    if response.status != http::StatusCode::OK {
         return None;
     }
-    serde_json::from_slice(&answer.body).ok()
+    serde_json::from_slice(&response.body).ok()
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/index_owner/index.rs
+++ b/crates/control-plane/src/index_owner/index.rs
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 
 type TokensByPart = hashbrown::HashMap<u64, u64, ahash::RandomState>;
+/// Holder, salt, number of cached tokens.
 type UnsharedPart = (Arc<str>, Arc<str>, u64);
 type UnsharedParts = hashbrown::HashMap<u64, Vec<UnsharedPart>, ahash::RandomState>;
 
@@ -31,11 +32,13 @@
 #[derive(Default)]
 pub struct Index {
     holders: BTreeMap<Arc<str>, BTreeMap<Arc<str>, TokensByPart>>,
+    /// Parts that routers have reported as shared.
     shared_parts: hashbrown::HashSet<u64, ahash::RandomState>,
     /// Number of shared parts that some holder cached when `shared_parts` was last pruned.
     cached_at_last_prune: usize,
     /// Parts of single requests, in two generations: when the newer one is full, the older one is dropped.
     unshared: [UnsharedParts; 2],
+    /// The most recent findings: holder, salt, part, number of cached tokens.
     recent_findings: std::collections::VecDeque<(Arc<str>, Arc<str>, u64, u64)>,
     findings_total: u64,
 }
@@ -182,35 +185,35 @@
     }
 
     /// Total number of findings so far; positions for [`Index::findings_since`] refer to it.
-    pub fn finding_count(&self) -> u64 {
+    pub fn findings_total(&self) -> u64 {
         self.findings_total
     }
 
-    /// Findings after a position. Findings that are no longer retained are left out: a reader that misses them only finds
+    /// Findings after a position. Findings that are no longer retained are omitted: a reader that misses them only finds
     /// fewer cached prefixes.
     pub fn findings_since(&self, position: u64) -> Vec<CachedParts> {
         let behind = self.findings_total.saturating_sub(position) as usize;
         let skip = self.recent_findings.len().saturating_sub(behind);
         let mut positions = hashbrown::HashMap::<(&str, &str), usize>::new();
-        let mut out: Vec<CachedParts> = Vec::new();
+        let mut entries: Vec<CachedParts> = Vec::new();
         for (holder, salt, part, cached) in self.recent_findings.iter().skip(skip) {
             let index = *positions.entry((&**holder, &**salt)).or_insert_with(|| {
-                out.push(CachedParts {
+                entries.push(CachedParts {
                     holder: holder.to_string(),
                     salt: salt.to_string(),
                     ..Default::default()
                 });
-                out.len() - 1
+                entries.len() - 1
             });
             if !salt.is_empty() {
-                out[index].parts.push(*part);
-                out[index].cached_tokens.push(*cached);
+                entries[index].parts.push(*part);
+                entries[index].cached_tokens.push(*cached);
             }
         }
-        out
+        entries
     }
 
-    /// Upper estimate of the encoded size of a snapshot in bytes, computed without building one.
+    /// Estimated encoded size of a snapshot in bytes, computed without building one.
     pub fn snapshot_bytes(&self) -> usize {
         let salts = self.holders.values().flatten();
         let names = self.holders.len() + salts.clone().count();
@@ -220,28 +223,28 @@
 
     /// All shared parts that holders are believed to cache.
     pub fn snapshot(&self) -> Vec<CachedParts> {
-        let mut out = Vec::new();
+        let mut entries = Vec::new();
         for (holder, salts) in &self.holders {
-            out.push(CachedParts { holder: holder.to_string(), ..Default::default() });
+            entries.push(CachedParts { holder: holder.to_string(), ..Default::default() });
             for (salt, parts) in salts.iter().filter(|(_, parts)| !parts.is_empty()) {
                 let (parts, cached_tokens) = parts.iter().unzip();
                 let (holder, salt) = (holder.to_string(), salt.to_string());
-                out.push(CachedParts { holder, salt, parts, cached_tokens });
+                entries.push(CachedParts { holder, salt, parts, cached_tokens });
             }
         }
-        out
+        entries
     }
 
     /// Applies a batch of events of one holder, and returns the invalidations of the shared parts that it evicted.
     pub fn apply_events(&mut self, holder: &str, batch: &KvEvents) -> Vec<Invalidation> {
-        let mut out = Vec::new();
+        let mut invalidations = Vec::new();
         self.meet(holder);
         for (_, sign, salt, id, cached, _) in &batch.events {
             let Ok(part) = u64::from_str_radix(id, 16) else { continue };
             if sign == "+" {
                 self.found(holder, salt, part, Some(*cached));
             } else if self.shared_parts.contains(&part) {
-                out.push(Invalidation::Part(PartLocation {
+                invalidations.push(Invalidation::Part(PartLocation {
                     holder: holder.to_owned(),
                     salt: salt.clone(),
                     part,
@@ -251,7 +254,7 @@
                 self.evict(holder, salt, part, *cached);
             }
         }
-        out
+        invalidations
     }
 }
 
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -35,7 +35,7 @@
     RingRequest, RingResponse, Weights,
 };
 use fleet_core::{constants, fleet};
-use follower::Source;
+use follower::HolderEndpoint;
 use parking_lot::Mutex;
 use prost::Message;
 use published::PublishedIndex;
@@ -53,7 +53,7 @@
 pub struct IndexOwnershipParts {
     /// The process that the index owner runs in.
     pub process: Arc<Process>,
-    /// Holds or observes [`INDEX_OWNER_LEASE`].
+    /// Provides the fencing token while this node holds [`INDEX_OWNER_LEASE`].
     pub leases: Arc<LeaseManager>,
     /// Provides the configuration, and the links to the other voters.
     pub consensus: Arc<Consensus>,
@@ -143,19 +143,21 @@
     }
 
     /// Current engines and stores, by engine id or store address.
-    fn holders(&self) -> BTreeMap<String, Source> {
+    fn holders(&self) -> BTreeMap<String, HolderEndpoint> {
         let state = &self.parts.cluster_state;
         let mut holders = state.read(|state| follower::engines(state.engines.values()));
         holders.extend(self.stores());
         holders
     }
 
-    fn stores(&self) -> Vec<(String, Source)> {
+    fn stores(&self) -> Vec<(String, HolderEndpoint)> {
         let learned = self.parts.consensus.learned(state_machine::CONFIG);
         let config = learned.and_then(|known| ConfigValue::decode(known.value).ok());
         let Some(config) = config else { return Vec::new() };
         let addresses = self.parts.config_bodies.kv_stores(&config).into_iter();
-        addresses.map(|address| (address.clone(), Source { address, is_engine: false })).collect()
+        addresses
+            .map(|address| (address.clone(), HolderEndpoint { address, is_engine: false }))
+            .collect()
     }
 }
 
@@ -262,7 +264,7 @@
     fn follow(
         &mut self,
         owner: &Arc<IndexOwner>,
-        holders: BTreeMap<String, Source>,
+        holders: BTreeMap<String, HolderEndpoint>,
     ) -> Vec<Invalidation> {
         while self.tasks.try_join_next().is_some() {}
         owner.holder_count.store(holders.len(), Ordering::Relaxed);
@@ -275,9 +277,9 @@
             }
             stays
         });
-        for (holder, source) in holders {
+        for (holder, endpoint) in holders {
             self.by_holder.entry(holder.clone()).or_insert_with(|| {
-                self.tasks.spawn(follower::follow(owner.clone(), holder, source))
+                self.tasks.spawn(follower::follow(owner.clone(), holder, endpoint))
             });
         }
         invalidations
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -60,7 +60,7 @@
             incarnation: self.incarnation,
             head: self.ring.head(),
             owner: self.process.node.ip.to_string(),
-            found: self.index.lock().finding_count(),
+            found: self.index.lock().findings_total(),
         }
     }
 
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -149,10 +149,10 @@
         let request = self.position.request(ownership.parts.process.node.incarnation);
         let timeout =
             if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
-        let answer = link.call(Body::RingRequest(request), timeout).await;
-        let Ok(Body::RingResponse(answer)) = answer else { return false };
-        let head = answer.head.as_ref().map_or(0, |head| head.head);
-        let Some((next, update)) = step(self.position, answer) else { return false };
+        let response = link.call(Body::RingRequest(request), timeout).await;
+        let Ok(Body::RingResponse(response)) = response else { return false };
+        let head = response.head.as_ref().map_or(0, |head| head.head);
+        let Some((next, update)) = step(self.position, response) else { return false };
         self.position = next;
         self.last_response = Some(Instant::now());
         let Some(update) = update else { return false };
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -49,7 +49,7 @@
 pub struct RolloutParts {
     /// The process that the rollout runs in.
     pub process: Arc<Process>,
-    /// Holds or observes [`ROLLOUT_LEASE`].
+    /// Provides the fencing token while this node holds [`ROLLOUT_LEASE`].
     pub leases: Arc<LeaseManager>,
     /// Replicates the update state of engines.
     pub registry: Arc<EngineRegistry>,
--- a/crates/control-plane/src/rollout/order.rs
+++ b/crates/control-plane/src/rollout/order.rs
@@ -61,6 +61,7 @@
 pub struct Progress<'a> {
     model: &'a str,
     version: u64,
+    /// Whether the engine has accepted the order.
     ordered: bool,
     /// When the engine, having accepted the order, became idle.
     idle_since: Option<Instant>,
@@ -233,15 +234,16 @@
     });
     let target = [("X-Target-Instance", engine.id.as_str())];
     let body = body.to_string().into_bytes();
-    let response = client.send(http::Method::POST, "/anisedyke/order", &target, body, timeout);
+    let pending_response =
+        client.send(http::Method::POST, "/anisedyke/order", &target, body, timeout);
     let mut shutting_down = rollout.process.shutdown_signal();
-    let answer = tokio::select! {
-        answer = response => answer,
+    let response = tokio::select! {
+        response = pending_response => response,
         _ = shutting_down.wait_for(|is_shutting_down| *is_shutting_down) => {
             return Err(OrderError::LeaseLost);
         }
     };
-    match answer.map(|answer| answer.status.as_u16()) {
+    match response.map(|response| response.status.as_u16()) {
         Ok(202) => Ok(OrderOutcome::Accepted),
         Ok(200) => Ok(OrderOutcome::AlreadyApplied),
         Ok(412) => {
@@ -263,13 +265,13 @@
     parse_report(client.call(http::Method::GET, path, &target, Vec::new(), timeout).await)
 }
 
-fn parse_report(answer: Result<Answer, CallError>) -> Result<Option<Report>, OrderError> {
-    match answer {
-        Ok(answer) if answer.status == http::StatusCode::MISDIRECTED_REQUEST => {
+fn parse_report(response: Result<Answer, CallError>) -> Result<Option<Report>, OrderError> {
+    match response {
+        Ok(response) if response.status == http::StatusCode::MISDIRECTED_REQUEST => {
             Err(OrderError::WrongEngine)
         }
-        Ok(answer) if answer.status == http::StatusCode::OK => {
-            Ok(serde_json::from_slice(&answer.body).ok())
+        Ok(response) if response.status == http::StatusCode::OK => {
+            Ok(serde_json::from_slice(&response.body).ok())
         }
         Ok(_) | Err(_) => Ok(None),
     }
--- a/crates/control-plane/src/rollout/plan.rs
+++ b/crates/control-plane/src/rollout/plan.rs
@@ -166,21 +166,23 @@
     fn update_budget(&mut self, total: usize, outdated: &[OutdatedEngine]) -> UpdateBudget {
         let concurrency = self.concurrency.get_or_insert_with(|| Concurrency::new(total)).limit();
         let required = self.needed_concurrency(outdated.iter().map(|engine| engine.remaining));
-        let engines = |share: f64| ((total as f64 * share).ceil() as usize).max(1);
+        let share_of_engines = |share: f64| ((total as f64 * share).ceil() as usize).max(1);
         // Meeting the goal justifies updating more engines at the same time, but not to the point of overloading the
         // remaining engines or slowing down loads.
         let desired = self.needed_concurrency(outdated.iter().map(|engine| engine.goal));
-        let desired = desired.min(concurrency * 2).min(engines(constants::ROLLOUT_MAX_SHARE));
-        let max_share = if required > engines(constants::ROLLOUT_MAX_SHARE) {
+        let desired =
+            desired.min(concurrency * 2).min(share_of_engines(constants::ROLLOUT_MAX_SHARE));
+        let max_share = if required > share_of_engines(constants::ROLLOUT_MAX_SHARE) {
             constants::ROLLOUT_MAX_SHARE_LATE
         } else {
             constants::ROLLOUT_MAX_SHARE
         };
         // Don't go faster than the goal requires: cached prefixes are void under the new weights, and the more engines
         // are updated at the same time, the more prefixes have to be recomputed at once.
-        let baseline = concurrency.min(engines(constants::ROLLOUT_INITIAL_SHARE));
-        let concurrent = baseline.max(required).max(desired).min(engines(max_share));
-        let capacity = concurrent.saturating_sub(self.updating());
+        let baseline = concurrency.min(share_of_engines(constants::ROLLOUT_INITIAL_SHARE));
+        let target_concurrency =
+            baseline.max(required).max(desired).min(share_of_engines(max_share));
+        let capacity = target_concurrency.saturating_sub(self.updating());
         let is_goal_tight = 2 * desired > concurrency;
         UpdateBudget { capacity, is_late: is_goal_tight || required > concurrency }
     }
