--- a/crates/control-plane/src/rollout/order_tests.rs
+++ b/crates/control-plane/src/rollout/order_tests.rs
@@ -8,39 +8,48 @@
 }
 
 fn engine(id: &str, state: EngineState) -> Engine {
-    let mut e = Engine { id: id.into(), address: "10.0.0.1:80".into(), ..Default::default() };
-    e.set_state(state);
-    e
+    let mut engine = Engine { id: id.into(), address: "10.0.0.1:80".into(), ..Default::default() };
+    engine.set_state(state);
+    engine
 }
 
 #[test]
 fn an_order_is_sent_once_and_completes_when_the_weights_are_loaded() {
-    let t = Instant::now();
-    let s = Duration::from_secs(1);
-    let mut p = Progress::new("m", 2);
-    assert_eq!(p.on_report(&report_of("m", 1, 4, 3), t), Ok(NextStep::Order(4)));
-    p.on_order_accepted(3, t);
-    assert_eq!(p.on_report(&report_of("m", 1, 5, 1), t + s), Ok(NextStep::Wait));
-    assert_eq!(p.on_report(&report_of("m", 1, 5, 0), t + s * 2), Ok(NextStep::Wait));
-    assert_eq!(p.on_report(&report_of("m", 2, 5, 0), t + s * 5), Ok(NextStep::Done(s * 3)));
+    let start = Instant::now();
+    let second = Duration::from_secs(1);
+    let mut progress = Progress::new("m", 2);
+    assert_eq!(progress.on_report(&report_of("m", 1, 4, 3), start), Ok(NextStep::Order(4)));
+    progress.on_order_accepted(3, start);
+    assert_eq!(progress.on_report(&report_of("m", 1, 5, 1), start + second), Ok(NextStep::Wait));
+    assert_eq!(
+        progress.on_report(&report_of("m", 1, 5, 0), start + second * 2),
+        Ok(NextStep::Wait)
+    );
+    assert_eq!(
+        progress.on_report(&report_of("m", 2, 5, 0), start + second * 5),
+        Ok(NextStep::Done(second * 3))
+    );
 }
 
 #[test]
 fn reports_of_another_engine_at_the_address_are_rejected() {
-    let t = Instant::now();
+    let start = Instant::now();
     let progress = || {
-        let mut p = Progress::new("m", 3);
-        p.on_report(&report_of("m", 2, 4, 0), t).unwrap();
-        p
+        let mut initial = Progress::new("m", 3);
+        initial.on_report(&report_of("m", 2, 4, 0), start).unwrap();
+        initial
     };
-    assert_eq!(progress().on_report(&report_of("other", 9, 4, 0), t), Err(OrderError::WrongEngine));
     assert_eq!(
-        progress().on_report(&report_of("m", 3, 0, 0), t),
+        progress().on_report(&report_of("other", 9, 4, 0), start),
+        Err(OrderError::WrongEngine)
+    );
+    assert_eq!(
+        progress().on_report(&report_of("m", 3, 0, 0), start),
         Err(OrderError::WrongEngine),
         "lower order count"
     );
     assert_eq!(
-        progress().on_report(&report_of("m", 1, 5, 0), t),
+        progress().on_report(&report_of("m", 1, 5, 0), start),
         Err(OrderError::WrongEngine),
         "older weights"
     );
@@ -54,15 +63,18 @@
 
 #[test]
 fn an_engine_is_at_its_address_only_while_it_is_the_only_live_one_there() {
-    let e = engine("a", EngineState::Ready);
-    let other = engine("b", EngineState::Ready);
-    assert!(is_at_its_address(&e, [&e].into_iter()));
-    assert!(is_at_its_address(&e, [&e, &engine("b", EngineState::Deregistered)].into_iter()));
-    assert!(!is_at_its_address(&e, [&e, &other].into_iter()));
-    assert!(!is_at_its_address(&e, [&other].into_iter()));
-    assert!(!is_at_its_address(&e, [&engine("a", EngineState::Deregistered)].into_iter()));
-    let heartbeat_missed = Engine { heartbeat_missed: true, ..e.clone() };
-    assert!(!is_at_its_address(&e, [&heartbeat_missed].into_iter()));
+    let engine_a = engine("a", EngineState::Ready);
+    let engine_b = engine("b", EngineState::Ready);
+    assert!(is_at_its_address(&engine_a, [&engine_a].into_iter()));
+    assert!(is_at_its_address(
+        &engine_a,
+        [&engine_a, &engine("b", EngineState::Deregistered)].into_iter()
+    ));
+    assert!(!is_at_its_address(&engine_a, [&engine_a, &engine_b].into_iter()));
+    assert!(!is_at_its_address(&engine_a, [&engine_b].into_iter()));
+    assert!(!is_at_its_address(&engine_a, [&engine("a", EngineState::Deregistered)].into_iter()));
+    let heartbeat_missed = Engine { heartbeat_missed: true, ..engine_a.clone() };
+    assert!(!is_at_its_address(&engine_a, [&heartbeat_missed].into_iter()));
 }
 
 #[test]
