--- a/crates/fleet-core/src/change_log.rs
+++ b/crates/fleet-core/src/change_log.rs
@@ -1,14 +1,14 @@
-//! A journal in memory: events are appended, views are folded from it.
+//! A bounded in-memory event log with a view that is derived from its events.
 
-/// A view that is made from events alone.
+/// A view that is derived from events alone.
 pub trait Fold {
-    /// What happens to the view.
+    /// A single change of the view.
     type Event;
-    /// Brings one event into the view.
+    /// Applies one event to the view.
     fn fold(&mut self, event: &Self::Event);
 }
 
-/// Keeps the view and the newest events; older ones live on in the view only.
+/// Keeps the view and the newest events; older events are only reflected in the view.
 #[derive(Debug)]
 pub struct ChangeLog<V: Fold> {
     view: V,
@@ -18,12 +18,12 @@
 }
 
 impl<V: Fold> ChangeLog<V> {
-    /// A journal with this view of the events before it, which keeps `capacity` events.
+    /// Creates an empty log that starts from this view and keeps at most `capacity` events.
     pub fn new(view: V, capacity: usize) -> Self {
         ChangeLog { view, tail: std::collections::VecDeque::new(), capacity, head: 0 }
     }
 
-    /// Folds an event into the view and keeps it; gives the new head.
+    /// Applies an event to the view and keeps it; returns the new head.
     pub fn append(&mut self, event: V::Event) -> u64 {
         self.view.fold(&event);
         self.tail.push_back(event);
@@ -34,23 +34,23 @@
         self.head
     }
 
-    /// Changes the view by what no reader of the events has to hear of.
+    /// Changes the view without recording an event, for changes that readers of the events need not see.
     pub fn amend<T>(&mut self, change: impl FnOnce(&mut V) -> T) -> T {
         change(&mut self.view)
     }
 
-    /// The view of all events so far.
+    /// The view after all events appended so far.
     pub fn view(&self) -> &V {
         &self.view
     }
 
-    /// Number of events so far.
+    /// Number of events appended so far.
     pub fn head(&self) -> u64 {
         self.head
     }
 
-    /// The events after the first `position`; none if some of them are no longer kept, or if there were
-    /// never so many.
+    /// The events after the first `position`; `None` if some of them are no longer kept or if `position` is beyond
+    /// the head.
     pub fn since(&self, position: u64) -> Option<impl Iterator<Item = &V::Event>> {
         let gap = self.head.checked_sub(position)? as usize;
         let skip = self.tail.len().checked_sub(gap)?;
--- a/crates/fleet-core/src/change_log_tests.rs
+++ b/crates/fleet-core/src/change_log_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `journal`.
+//! Tests of `change_log`.
 
 use super::*;
 
--- a/crates/fleet-core/src/configuration/checks.rs
+++ b/crates/fleet-core/src/configuration/checks.rs
@@ -1,4 +1,4 @@
-//! Reading a configuration, and the checks that its form alone doesn't make.
+//! Parsing of a configuration, and the checks that its schema alone does not make.
 
 use super::{ConfigError, Configuration};
 use hashbrown::{HashMap, HashSet};
@@ -23,11 +23,11 @@
 }
 
 impl Configuration {
-    /// Reads and checks a configuration by itself, without what is in force.
+    /// Parses a configuration and checks it on its own, without comparing it with the one in force.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong, with its place: the text, then bounds of fields, routes, and keys.
+    /// The first error with its location, in the order: JSON text, bounds of fields, routes, keys.
     pub fn read(body: &[u8]) -> Result<Configuration, ConfigError> {
         let configuration: Configuration = serde_json::from_slice(body).map_err(|e| {
             ConfigError::Unreadable { line: e.line(), column: e.column(), reason: e.to_string() }
@@ -40,7 +40,7 @@
         Ok(configuration)
     }
 
-    /// Each route has a place of its own, known services and some weight.
+    /// Each route has a unique host and prefix, known services and a total weight above 0.
     fn check_routes(&self) -> Result<(), ConfigError> {
         let services: HashSet<&str> =
             self.services.iter().map(|service| service.name.as_str()).collect();
@@ -62,7 +62,7 @@
         Ok(())
     }
 
-    /// No key stands for two tenants.
+    /// No API key belongs to two tenants.
     fn check_keys(&self) -> Result<(), ConfigError> {
         let mut owners: HashMap<&str, usize> = HashMap::new();
         for (index, tenant) in self.tenants.iter().enumerate() {
--- a/crates/fleet-core/src/configuration/error.rs
+++ b/crates/fleet-core/src/configuration/error.rs
@@ -1,6 +1,6 @@
-//! What makes a configuration invalid.
+//! Errors of an invalid configuration.
 
-/// What makes a configuration invalid, with the place in it.
+/// Why a configuration is invalid, with the location in it.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum ConfigError {
     /// unreadable: {reason} (line {line}, column {column})
@@ -9,7 +9,7 @@
         line: usize,
         /// column of that line, from 1
         column: usize,
-        /// what is wrong there
+        /// parser message
         reason: String,
     },
     /// {place}: out of bounds
@@ -21,7 +21,7 @@
     UnknownService {
         /// path of the route
         place: String,
-        /// the name that no service has
+        /// name that matches no service
         service: String,
     },
     /// {place}: same host and prefix as {other}
@@ -45,15 +45,15 @@
     },
     /// revision: {version} is not above {current}
     VersionNotAbove {
-        /// the number sent
+        /// the revision in the request
         version: u64,
-        /// the number in force
+        /// the revision in force
         current: u64,
     },
 }
 
 impl ConfigError {
-    /// The error's stable name, for programs.
+    /// Stable identifier of the error for programs.
     pub fn code(&self) -> &'static str {
         match self {
             ConfigError::Unreadable { .. } => "unreadable",
--- a/crates/fleet-core/src/configuration/mod.rs
+++ b/crates/fleet-core/src/configuration/mod.rs
@@ -1,7 +1,8 @@
-//! The operator's configuration: its form ([`Configuration`]), and what makes it invalid ([`ConfigError`]).
+//! The operator's configuration: its schema ([`Configuration`]) and its validation errors ([`ConfigError`]).
 //!
-//! Names of fields are the operator's. A configuration that was read ([`Configuration::read`]) is valid by itself; whether it
-//! may follow the one in force is decided where it is proposed.
+//! The JSON field names are part of the operator's interface. A configuration that was parsed
+//! ([`Configuration::read`]) is valid on its own; whether it may replace the one in force is decided where it is
+//! proposed.
 
 mod checks;
 mod error;
--- a/crates/fleet-core/src/configuration/schema.rs
+++ b/crates/fleet-core/src/configuration/schema.rs
@@ -1,78 +1,78 @@
-//! The form of a configuration, with the defaults of what may be left out.
+//! The schema of a configuration, with the defaults of optional fields.
 
 use serde::Deserialize;
 use validator::Validate;
 
-/// What may be repeated on a route.
+/// Retry semantics of the requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// A request may run more than once.
+    /// Idempotent: a request may be executed more than once.
     Safe,
-    /// A request may run at most once.
+    /// A request may be executed at most once.
     Unsafe,
-    /// The answer is a series of events; a request may run at most once unless it can be resumed.
+    /// The response is an event stream; a request may be executed at most once unless the stream can be resumed.
     Streaming,
 }
 
-/// A service's share of a route.
+/// A service with its weight in the traffic split of a route.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct Share {
     /// Name of the service.
     pub service: String,
-    /// Its part, in relation to the other weights of the route; 0 for none.
+    /// Weight in relation to the other weights of the route; a service of weight 0 gets no requests.
     #[serde(default)]
     pub weight: u32,
 }
 
-/// Which requests go to which service, and how.
+/// Matches requests by host and path prefix and defines where and how they are sent.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct Route {
-    /// For people; may be empty.
+    /// Descriptive name; may be empty.
     #[serde(default)]
     pub name: String,
-    /// Host that it belongs to; case does not count.
+    /// Host to match; case-insensitive.
     pub host: String,
-    /// Start of the paths that it takes; of several, the longest wins.
+    /// Path prefix to match; the longest matching prefix wins.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether and how requests may be retried.
     pub kind: Kind,
-    /// Longest time that a request is held, in ms; at least 1.
+    /// Maximum time in ms that a request is held; at least 1.
     #[serde(deserialize_with = "whole")]
     #[validate(range(min = 1))]
     pub timeout_ms: u64,
-    /// Time in ms within which an answer is worth most; 0 for none.
+    /// Target latency in ms: a response within this time has its full value; 0 for none.
     #[serde(default, deserialize_with = "whole")]
     pub target_ms: u64,
-    /// Rank, 0 is the highest; a tenant's goes before it.
+    /// Priority; 0 is the highest. A tenant's priority takes precedence.
     #[serde(default)]
     pub priority: i64,
     /// The only service, if there is no split.
     #[serde(default)]
     pub service: Option<String>,
-    /// Services with their weights; goes before `service`.
+    /// Services with their weights; takes precedence over `service`.
     #[serde(default)]
     pub split: Option<Vec<Share>>,
-    /// Engines that one request may be sent to; 1 if not given.
+    /// Maximum number of engines that one request may be sent to; defaults to 1.
     #[serde(default = "one")]
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     #[serde(default)]
     pub public: bool,
-    /// Whether requests share parts of their prompts.
+    /// Whether requests share prompt prefixes.
     #[serde(default)]
     pub sticky: bool,
-    /// Whether a broken stream may go on at another engine.
+    /// Whether an interrupted stream may be resumed at another engine.
     #[serde(default)]
     pub resumable: bool,
-    /// Longest pause in ms between two events of a stream that is in time; 0 for none.
+    /// Maximum pause in ms between two events of a stream that is on time; 0 for none.
     #[serde(default, deserialize_with = "whole")]
     pub gap_target_ms: u64,
 }
 
-/// Whole numbers are also taken when written as fractions.
+/// Also accepts whole numbers that are written with a fraction, such as `5.0`.
 fn whole<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     let number = f64::deserialize(deserializer)?;
     if !(0.0..1e15).contains(&number) || number.fract() != 0.0 {
@@ -85,78 +85,78 @@
     1
 }
 
-/// A model that engines run.
+/// A model that engines serve.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Model {
     /// Name of the model.
     pub name: String,
 }
 
-/// What the operator says of the engines of a service. 0 where not given.
+/// Declared properties of the engines of a service; 0 where not given.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EngineFacts {
-    /// Requests that an engine runs at a time.
+    /// Number of requests that an engine runs concurrently.
     #[serde(default)]
     pub slots: u32,
-    /// Tokens of running requests and kept parts that fit its memory.
+    /// Capacity of the KV cache in tokens, for running requests and cached prefixes together.
     #[serde(default)]
     pub kv_capacity: u64,
-    /// Bytes of a token that is moved.
+    /// Size in bytes of one token in a KV transfer.
     #[serde(default)]
     pub kv_token_bytes: f64,
-    /// The engine's line, in Mbit/s.
+    /// Bandwidth of the engine's network link, in Mbit/s.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Calls that it takes at a time besides requests.
+    /// Number of control calls that it accepts concurrently, in addition to requests.
     #[serde(default)]
     pub max_inflight: u32,
-    /// Models that it runs.
+    /// Models that it serves.
     #[serde(default)]
     pub models: Vec<Model>,
 }
 
-/// A group of engines that answer alike, or a store of kept prompts.
+/// A group of interchangeable engines, or a store of cached prefixes.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct Service {
     /// Its name; never empty.
     #[validate(length(min = 1))]
     pub name: String,
-    /// Connections that one engine takes from all callers together.
+    /// Maximum number of connections that one engine accepts from all clients together.
     #[serde(default)]
     pub max_conns: u32,
-    /// What its engines are; none for a store.
+    /// Properties of its engines; `None` for a store.
     #[serde(default)]
     pub engine: Option<EngineFacts>,
-    /// Address of the store; only a store has one.
+    /// Address of the store; `None` for a group of engines.
     #[serde(default)]
     pub kv_store: Option<String>,
     /// Zone of the store.
     #[serde(default)]
     pub zone: Option<String>,
-    /// Tokens that the store holds.
+    /// Capacity of the store in tokens.
     #[serde(default)]
     pub kv_capacity: u64,
-    /// The store's line, in Mbit/s.
+    /// Bandwidth of the store's network link, in Mbit/s.
     #[serde(default)]
     pub link_mbps: f64,
-    /// Calls that the store takes at a time.
+    /// Number of calls that the store accepts concurrently.
     #[serde(default)]
     pub max_inflight: u32,
 }
 
-/// Limits on what clients send.
+/// Limits on client requests and connections.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Time in ms for a head to arrive.
+    /// Time-out in ms for receiving a request's head.
     pub header_timeout_ms: u64,
-    /// Time in ms that a connection without a request stays open.
+    /// Time in ms after which an idle client connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -171,47 +171,47 @@
     }
 }
 
-/// Who requests belong to.
+/// A customer of the fleet, identified by API keys.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct Tenant {
     /// Its name; never empty.
     #[validate(length(min = 1))]
     pub name: String,
-    /// Keys that stand for it.
+    /// API keys that identify the tenant.
     #[serde(default)]
     pub api_keys: Vec<String>,
-    /// Rank of its requests, before the route's; 0 is the highest.
+    /// Priority of its requests, which takes precedence over the route's; 0 is the highest.
     #[serde(default)]
     pub priority: i64,
-    /// Whether it shares no kept prompts with others.
+    /// Whether its cached prefixes are not shared with other tenants.
     #[serde(default)]
     pub isolated: bool,
 }
 
-/// The operator's configuration as a whole.
+/// The complete configuration of the fleet.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
 pub struct Configuration {
-    /// The operator's number of it; higher ones replace lower ones.
+    /// Revision number; a configuration replaces those with lower numbers.
     pub revision: u64,
-    /// All routes.
+    /// Routes in any order; each has a unique host and prefix.
     #[validate(nested)]
     pub routes: Vec<Route>,
-    /// All services and stores.
+    /// Engine services and stores.
     #[validate(nested)]
     pub services: Vec<Service>,
-    /// Limits on what clients send.
+    /// Limits on client requests and connections.
     #[serde(default)]
     pub limits: Limits,
-    /// All tenants; none if requests need no key.
+    /// Tenants; empty if no request needs an API key.
     #[serde(default)]
     #[validate(nested)]
     pub tenants: Vec<Tenant>,
 }
 
 impl Route {
-    /// The services that it goes to, with their weights.
+    /// The services of the route with their weights; a single `service` has weight 1.
     pub fn shares(&self) -> Vec<(&str, u32)> {
         if let Some(split) = &self.split {
             return split.iter().map(|share| (share.service.as_str(), share.weight)).collect();
--- a/crates/fleet-core/src/constants/config_distribution.rs
+++ b/crates/fleet-core/src/constants/config_distribution.rs
@@ -1,27 +1,29 @@
-//! The configuration on its way to routers.
+//! Distribution of the configuration to routers.
 
 use std::time::Duration;
 
-/// bytes; largest configuration read, above any limit an operator sets on bodies.
+/// Largest accepted configuration body, in bytes; larger than any body limit that an operator sets.
 pub const CONFIG_BYTES: usize = 6 << 20;
-/// level of deflate for bodies of configurations: on one of 1,600 routes it takes 1.5 ms in place of
-/// the usual level's 2.7 ms, for 6 in 100 more bytes.
+/// Deflate level for configuration bodies. For a configuration of 1,600 routes it takes 1.5 ms instead of the 2.7 ms
+/// of the default level and produces 6% more bytes.
 pub const PACKING_LEVEL: u32 = 3;
-/// bodies; former configurations that a controller keeps packed, to tell routers only what changed:
-/// more than come into force while a router is cut off for a few seconds.
+/// Number of previous configuration bodies that a controller keeps compressed to compute deltas for routers: more
+/// than are committed while a router is disconnected for a few seconds.
 pub const BODIES_CAPACITY: usize = 32;
-/// bytes; bound of all these packed bodies together.
+/// Limit on the total size of these compressed bodies, in bytes.
 pub const BODIES_CAPACITY_BYTES: usize = 4 << 20;
-/// deltas; those that a controller keeps for the next router that asks for the same.
+/// Number of computed deltas that a controller caches for routers that request the same one.
 pub const DELTAS_CAPACITY: usize = 8;
-/// ms; a router asks another controller for a configuration after this; a confirming round takes
-/// tens of ms, and three tries have to fit well inside the time in which a change is to be in force.
+/// A router asks another controller for the configuration after this time. A confirming consensus round takes tens of
+/// milliseconds, and three attempts have to fit well within the time in which a change must be in force.
 pub const CONFIG_FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// ms; the same for a configuration that has to come whole: all routers may share a few lines then.
+/// The same time-out for a configuration that has to be sent in full: all routers may then share a few network links.
 pub const CONFIG_FULL_FETCH_TIMEOUT: Duration = Duration::from_millis(1000);
-/// ms; longest such wait: a large configuration over a slow line.
+/// Upper bound of this time-out, for a large configuration over a slow network link.
 pub const CONFIG_FETCH_TIMEOUT_MAX: Duration = Duration::from_millis(4000);
-/// ms; pause before a failed fetch of a configuration is tried again, at random up to this; doubles.
+/// Initial upper bound, in ms, of the randomized delay before a failed configuration fetch is retried; doubles with
+/// each failure.
 pub const CONFIG_FETCH_BACKOFF_MS: u64 = 50;
-/// ms; a controller answers a router's heartbeat each second: one without an answer for longer is asked last.
+/// Controllers answer a router's heartbeat every second; a controller that has not answered for longer than this is
+/// asked last.
 pub const CONTROLLER_FRESH: Duration = Duration::from_millis(1500);
--- a/crates/fleet-core/src/constants/engines.rs
+++ b/crates/fleet-core/src/constants/engines.rs
@@ -1,35 +1,36 @@
-//! Engines as the controllers know them.
+//! Engine heartbeats, departures, orders and reports, as the controllers handle them.
 
 use std::time::Duration;
 
-/// bytes; what a heartbeat of an engine may hold.
+/// Maximum size of an engine's heartbeat, in bytes.
 pub const HEARTBEAT_MAX_BYTES: usize = 4096;
-/// ms; routine heartbeats are shared with the other controllers this often.
+/// How often routine heartbeats are sent to the other controllers.
 pub const HEARTBEAT_SHARE_INTERVAL: Duration = Duration::from_millis(300);
-/// ms; a drain is replicated to a majority within this, inside the second engines wait.
+/// Time-out for replicating a drain to a majority, within the one second that engines wait.
 pub const HEARTBEAT_SHARE_TIMEOUT: Duration = Duration::from_millis(700);
-/// heartbeats; an engine that missed so many is suspected.
+/// Heartbeat periods without a heartbeat after which an engine is suspected.
 pub const MISSED_HEARTBEATS: f64 = 3.5;
-/// s; the departure of an instance is remembered this long at least, so that no late call brings it back.
+/// Minimum time that the departure of an instance is remembered, so that no delayed call makes it ready again.
 pub const DEPARTURE_RETENTION: Duration = Duration::from_secs(300);
-/// records; departures that are kept at the most: a whole fleet leaves within the retention, and some more.
+/// Maximum number of departure records: a whole fleet departing within the retention period, plus a margin.
 pub const DEPARTURES_CAPACITY: usize = 1024;
-/// bytes; a value with that many records of ids of a dozen characters.
+/// Size in bytes of a value with that many records, for ids of a dozen characters.
 pub const DEPARTURES_VALUE_BYTES: usize = DEPARTURES_CAPACITY * 26;
-/// bytes; an id of an engine is at most this long, so that the records of departures are bounded.
+/// Maximum length of an engine id in bytes; bounds the size of the departure records.
 pub const ENGINE_ID_MAX_BYTES: usize = 128;
-/// ms; an engine under order is asked for its report this often.
+/// How often an engine with a pending order is asked for its report.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// s; an order that the engine doesn't report to be under way is given up and looked at anew.
+/// An order that the engine does not report as in progress is abandoned after this time and evaluated again.
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(6);
-/// s; an order is given up after this even if it is under way: the runs that the engine ends first have passed their
-/// deadlines by then.
+/// An order is abandoned after this time even if it is in progress: the requests that the engine completes first have
+/// passed their deadlines by then.
 pub const ORDER_LONGEST: Duration = Duration::from_secs(20);
-/// bytes; read from an engine or store at once: the index owner has a connection to each, and the HTTP library takes no less.
+/// Read buffer, in bytes, of a connection to an engine or store. The index owner has a connection to each, and this
+/// is the smallest buffer that the HTTP library accepts.
 pub const ENGINE_CLIENT_BUFFER: usize = 8 << 10;
-/// ms; answers to orders and reports come within a round trip and a step.
+/// Time-out of orders and reports; an engine answers within a round trip and one engine step.
 pub const ENGINE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// ms; an order has reached its engine this long after it was sent, on a link that is not in trouble.
+/// Time after which an order has reached its engine over a healthy network link.
 pub const ORDER_TRAVEL: Duration = Duration::from_millis(100);
-/// ms; with less of the lease than this left, an order waits for the renewal: it would only be given up.
+/// With less of the lease left than this, an order waits for the renewal, because it would only be abandoned.
 pub const ORDER_LEAST: Duration = Duration::from_millis(100);
--- a/crates/fleet-core/src/constants/membership.rs
+++ b/crates/fleet-core/src/constants/membership.rs
@@ -2,28 +2,28 @@
 
 use std::time::Duration;
 
-/// ms; a member unreachable for this long may be replaced by a candidate of its own zone.
+/// A member that is unreachable for this long may be replaced by a candidate of its own zone.
 pub const MEMBER_TIMEOUT_SAME_ZONE: Duration = Duration::from_millis(3000);
-/// ms; what is left of `catchUpS` for an exchange and for the newcomer's reading back: half a second until
-/// it is looked for, two pauses by rank, a round, and over a second for a large state.
+/// Time reserved within `catchUpS` to replace a member and to transfer the state to the new one: half a second until
+/// the check, two rank delays, a consensus round, and over a second for a large state.
 pub const REPLACEMENT_TIME: Duration = Duration::from_millis(2500);
-/// ms; a member unreachable for this long may be replaced by any candidate.
+/// A member that is unreachable for this long may be replaced by any candidate.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_millis(7000);
-/// ms; a joiner asks again this often.
+/// Interval at which a joining controller repeats its request.
 pub const JOIN_INTERVAL: Duration = Duration::from_millis(400);
-/// s; a controller without a disk looks for a newer membership this often.
+/// Interval at which a controller without a disk asks for a newer membership.
 pub const OBSERVE_INTERVAL: Duration = Duration::from_secs(2);
-/// s; a member that is linked but hasn't voted for this long may be replaced: reading back some MiB over a
-/// slow line takes a third of it.
+/// A member that is connected but has not voted for this long may be replaced: transferring a state of several MiB
+/// over a slow network link takes a third of it.
 pub const NON_VOTING_TIMEOUT: Duration = Duration::from_secs(20);
-/// ms; a voter waits this long for each voter of a lower address before it moves the membership: a round
-/// and its notice take less.
+/// Delay of a voter, for each voter with a lower address, before it changes the membership: a consensus round and its
+/// commit notice take less.
 pub const REPLACEMENT_RANK_DELAY: Duration = Duration::from_millis(400);
-/// s; who votes is asked this often while a candidate waits and nobody is unreachable.
+/// Interval at which the members are asked whether they vote while a candidate waits and no member is unreachable.
 pub const VOTE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// bytes; part of a value that a member reads back at once: a tenth of a second of a 10 Mbit/s line.
+/// Chunk size in bytes for transferring a value to a member: a tenth of a second of a 10 Mbit/s network link.
 pub const CHUNK_BYTES: usize = 128 << 10;
-/// ms; one part of a value over a busy line; the next holder is asked after that.
+/// Time-out of one chunk over a busy network link, after which the next holder is asked.
 pub const CHUNK_TIMEOUT: Duration = Duration::from_millis(1500);
-/// s; a holder keeps a value that has been replaced for a reader that asks on, this long after it asked.
+/// After a reader's last request, a holder keeps a replaced value for this long so that the reader can continue.
 pub const STATE_TRANSFER_RETENTION: Duration = Duration::from_secs(10);
--- a/crates/fleet-core/src/constants/process.rs
+++ b/crates/fleet-core/src/constants/process.rs
@@ -1,23 +1,24 @@
-//! The life of a process.
+//! Start-up, shutdown and resources of a process.
 
 use std::time::Duration;
 
-/// s; after SIGTERM, the platform has seen two missed probes by then.
+/// Time after SIGTERM by which the platform has seen two failed readiness probes.
 pub const PROBES_MISSED: Duration = Duration::from_millis(2600);
-/// ms; a process ends this long before its grace does.
+/// A process ends this long before the end of its grace period.
 pub const GRACE_MARGIN: Duration = Duration::from_millis(400);
-/// ms; a router answers what still waits this long before its grace ends: the answers are on their way when it ends.
+/// A router answers the requests that still wait this long before the end of its grace period, so that the responses
+/// are sent before it ends.
 pub const ANSWERS_DUE_MARGIN: Duration = Duration::from_millis(600);
-/// ms; a router that ends looks this often whether a client still has a connection.
+/// Interval at which a router that shuts down checks for open client connections.
 pub const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// ms; a controller waits for its machine's router until this long before its grace ends: the router has ended by then, and
-/// closing its own server takes less.
+/// A controller waits for its machine's router until this long before the end of its grace period: the router has
+/// ended by then, and closing the controller's own server takes less.
 pub const CONTROLLER_GRACE_MARGIN: Duration = Duration::from_millis(280);
-/// ms; calls of engines and operators that are under way when a controller ends get this long.
+/// Time that pending calls of engines and operators get when a controller ends.
 pub const SERVER_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
-/// s; the settings file is read again this often without a signal.
+/// Interval at which the settings file is read again without a signal.
 pub const SETTINGS_REREAD_INTERVAL: Duration = Duration::from_secs(5);
-/// s; counters are written out this often.
+/// Interval at which counters are logged.
 pub const COUNTERS_INTERVAL: Duration = Duration::from_secs(20);
-/// bytes of stack of a thread; calls are shallow and memory is dear.
+/// Stack size of a thread in bytes; call chains are short and memory is limited.
 pub const STACK_BYTES: usize = 512 << 10;
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -1,118 +1,125 @@
-//! Requests: budget, loads, placement, connections to engines and answers.
+//! Request handling: retry budget, loads, placement, engine connections and responses.
 
 use std::time::Duration;
 
-/// ms; routers tell the controllers that they live this often.
+/// Interval of a router's heartbeats to the controllers.
 pub const ROUTER_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// ms; a router without a heartbeat for this long no longer counts.
+/// A router without a heartbeat for this long is no longer counted.
 pub const ROUTER_TIMEOUT: Duration = Duration::from_millis(4000);
-/// share of a budget that is used; the rest covers windows that slide against each other.
+/// Ratio of the retry budget that is used; the rest covers time windows that are not aligned.
 pub const BUDGET_SHARE: f64 = 0.8;
-/// routers; how many may join before the others hear of it.
+/// Number of routers that may join before the other routers know of them.
 pub const BUDGET_SPARES: usize = 3;
-/// ms; loads of engines are passed on this often, twice on their way; most reads take longer.
+/// Interval at which engine loads are forwarded, twice on their way; most prefills take longer.
 pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
-/// ms; loads that have not changed are reported again this often.
+/// Interval at which unchanged loads are reported again.
 pub const LOAD_REPORT_REFRESH: Duration = Duration::from_millis(500);
-/// engines in a report that goes out at each `LOAD_REPORT_INTERVAL`: 18 KB a second, a seventieth of a line of 10 Mbit/s. Of
-/// more engines, reports go out less often.
+/// Number of engines up to which a report is sent every `LOAD_REPORT_INTERVAL`: 18 KB per second, a seventieth of a
+/// 10 Mbit/s network link. Reports of more engines are sent less often.
 pub const LOAD_REPORT_ENGINES: usize = 256;
-/// ms; longest pause between two reports: they must not lapse before the next.
+/// Maximum interval between two reports, which must not expire before the next one arrives.
 pub const LOAD_REPORT_INTERVAL_MAX: Duration = Duration::from_millis(1000);
-/// ms; loads older than this count no more.
+/// Loads that are older than this are ignored.
 pub const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// tokens; unit in which loads are reported.
+/// Unit, in tokens, in which loads are reported.
 pub const LOAD_TOKENS: u64 = 64;
-/// connections kept idle to one engine.
+/// Maximum number of idle connections kept to one engine.
 pub const IDLE_CONNECTIONS: usize = 12;
-/// connections to one engine that a router may open, whatever its part of all of them.
+/// Number of connections to one engine that a router may always open, whatever its share of them.
 pub const CONNECTIONS_LEAST: usize = 2;
-/// ms; how long the body of a refusal is read, so that its connection may serve again.
+/// How long the remaining body of a rejected request is read so that its connection can be reused.
 pub const REJECTION_BODY_TIMEOUT: Duration = Duration::from_millis(50);
-/// pieces of a body read ahead of its client; an event each, so that slow clients slow the engine.
+/// Number of body chunks, of one event each, that are read ahead of the client, so that slow clients slow down the
+/// engine.
 pub const RELAY_BACKLOG: usize = 4;
-/// s; an idle connection is given up before engines usually close it.
+/// An idle connection is closed after this time, before engines usually close it.
 pub const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
-/// s; rest after which a request that may run only once takes another connection, until more is
-/// known: half of what is kept.
+/// Idle time after which a request that must not be retried uses another connection, until a safe idle time has been
+/// learned: half of the time that connections are kept.
 pub const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(2);
-/// ms; a connection that rested for less was in use: its break is due to the engine, not to the rest.
+/// A connection that was idle for less than this was in use: its failure is attributed to the engine, not to an idle
+/// time-out.
 pub const IDLE_TIMEOUT_MIN: Duration = Duration::from_millis(100);
-/// share of the shortest rest seen forgotten that counts as safe, for rests vary.
+/// Ratio of the shortest idle time after which a connection was found closed that counts as safe, because idle
+/// time-outs vary.
 pub const IDLE_TIMEOUT_MARGIN: f64 = 0.6;
-/// share of the way to a longer rest by which one answer after it moves what counts as safe.
+/// Smoothing factor by which a response after a longer idle time raises the safe idle time.
 pub const IDLE_TIMEOUT_GAIN: f64 = 0.125;
-/// s; what was learnt to be short is doubled this often, for engines change.
+/// A learned short idle time is doubled at this interval, because engines change.
 pub const IDLE_TIMEOUT_DOUBLING_PERIOD: Duration = Duration::from_secs(30);
-/// doublings at the most; more than lead from the least to the unproven one.
+/// Maximum number of doublings; more than are needed from the minimum to the default.
 pub const IDLE_TIMEOUT_MAX_DOUBLINGS: f64 = 16.0;
-/// bytes; read ahead from an engine, a few events of a stream.
+/// Read buffer for an engine's response, in bytes: a few events of a stream.
 pub const ENGINE_READ_BUFFER: usize = 32 << 10;
-/// tokens a ms; how fast an engine reads a prompt until more is known.
+/// Prefill rate of an engine, in tokens per ms, until it has been measured.
 pub const READ_RATE: f64 = 35.0;
-/// ms; what one more running request costs the others.
+/// Cost, in ms, that one more running request adds to the others.
 pub const RUN_COST_MS: f64 = 2.0;
-/// ms; what a request waiting at an engine costs.
+/// Cost, in ms, of a request that is queued at an engine.
 pub const WAIT_COST_MS: f64 = 40.0;
-/// ms; what an engine reported of its own load counts this long.
+/// How long an engine's report of its own load is used.
 pub const REPORTED_LOAD_TIMEOUT: Duration = Duration::from_millis(500);
-/// ms; what leaving the zone costs in bytes and time.
+/// Cost, in ms, of leaving the zone, for traffic and latency.
 pub const ZONE_COST_MS: f64 = 4.0;
-/// ms; what a new connection to an engine costs: a round trip, its set-up there, its price, and at times a slot.
+/// Cost, in ms, of a new connection to an engine: a round trip, its setup at the engine, its price, and sometimes a
+/// slot.
 pub const NEW_CONNECTION_COST_MS: f64 = 5.0;
-/// ms; what the last engine of a router's own order costs more than its first: less than a KV transfer, so that a router
-/// leaves its subset for a cached prefix, and as much as a few running requests.
+/// Additional cost, in ms, of the last engine in a router's own preference order over the first: less than a KV
+/// transfer, so that a router leaves its subset for a cached prefix, and as much as a few running requests.
 pub const SUBSET_SPREAD_MS: f64 = 12.0;
-/// routers that have an engine in their subsets, about: what they send before they hear of each other keeps an engine busy
-/// for some tenths of a second.
+/// Approximate number of routers that have an engine in their subsets: the requests that they send before they learn
+/// of each other's load keep an engine busy for a few tenths of a second.
 pub const SUBSET_ROUTERS: usize = 16;
-/// engines in a subset at the least: of both groups, with some that change their weights or fail.
+/// Minimum number of engines in a subset: enough for both groups, including some that are updating their weights or
+/// fail.
 pub const SUBSET_ENGINES_LEAST: usize = 12;
-/// what the distance of an engine in the router's own zone counts: half of a subset is there where there are six zones.
+/// Factor applied to the distance of engines in the router's own zone; with six zones, half of a subset is in the
+/// router's zone.
 pub const NEAR_DISTANCE: f64 = 0.2;
-/// other routers beside which a router's own order has half of its weight.
+/// Number of other routers at which a router's own preference order has half of its weight.
 pub const SUBSET_HALF_ROUTERS: f64 = 64.0;
-/// tokens; a move of fewer costs about as much as reading them.
+/// Minimum transfer size in tokens; a smaller transfer costs about as much as the prefill.
 pub const TRANSFER_MIN_TOKENS: u64 = 400;
-/// own tokens that may go along to the store with shared ones, as their share.
+/// Ratio of unshared to shared tokens that may be written to the store together.
 pub const SINK_OWN_SHARE: f64 = 0.25;
-/// holders of one depth that are weighed as sources; more hardly differ.
+/// Number of holders of one depth that are considered as transfer sources; more of them hardly differ.
 pub const SOURCES_WEIGHED: usize = 3;
-/// tokens; shared parts of this size are worth a place in the store.
+/// Minimum size, in tokens, of a shared part that is written to the store.
 pub const SINK_TOKENS: u64 = 1500;
-/// tokens read for each token put out, above which a request counts as heavy to read.
+/// Ratio of prompt tokens to output tokens above which a request counts as prefill-heavy.
 pub const PREFILL_HEAVY_RATIO: u64 = 10;
-/// share of a service's engines that heavy requests settle at.
+/// Initial share of a service's engines that is assigned to prefill-heavy requests.
 pub const PREFILL_HEAVY_SHARE: f64 = 0.67;
-/// share of their slots that long streams may fill, before more engines are kept for them.
+/// Share of their slots that long streams may fill before more engines are reserved for them.
 pub const LIGHT_FILL: f64 = 0.75;
-/// share of a service's engines that heavy requests keep in any case.
+/// Minimum share of a service's engines that is reserved for prefill-heavy requests.
 pub const PREFILL_HEAVY_MIN_SHARE: f64 = 0.58;
-/// engines by which the division has to be off before it moves, as a share of all.
+/// Hysteresis of the division between the groups, as a share of all engines.
 pub const DIVISION_STEP: f64 = 0.05;
-/// weight of the newest sum of runs in what the division goes by; a second or two of reports.
+/// Smoothing factor of the request count that the division is based on; covers one or two seconds of reports.
 pub const DIVISION_WEIGHT: f64 = 0.05;
-/// ms; what it costs to leave the half of the engines where one belongs.
+/// Cost, in ms, of sending a request to an engine of the other group.
 pub const WRONG_GROUP_COST_MS: f64 = 120.0;
-/// calls; an engine met with no more of them behind it has just started.
+/// An engine that is first seen with at most this many calls has just started.
 pub const NEW_ENGINE_CALLS: u64 = 3;
-/// s; how long a newcomer is not taken for the home of parts that it was not seen to keep.
+/// How long a new engine is not considered the rendezvous home of parts that it is not known to cache.
 pub const WARM_UP_PERIOD: Duration = Duration::from_secs(5);
-/// ms; what bringing a shared part to its new home is worth while the newcomer is taken in.
+/// Bonus, in ms, for sending a shared part to its new home while the new engine warms up.
 pub const WARM_UP_BONUS_MS: f64 = 30.0;
-/// answers to heavy requests over which a newcomer's waits are set against all others'.
+/// Number of responses to prefill-heavy requests over which a new engine's waits are compared with those of the
+/// others.
 pub const WARM_UP_ANSWERS: u64 = 8;
-/// ms; setting up a move.
+/// Setup cost of a KV transfer, in ms.
 pub const TRANSFER_COST_MS: f64 = 3.0;
-/// share of a shared part that the first engine by rendezvous is taken to hold unseen.
+/// Ratio of a shared part that the first engine by rendezvous hashing is assumed to cache without confirmation.
 pub const RENDEZVOUS_TRUST: f64 = 0.8;
-/// ms; an engine that broke a connection is left alone this long; doubles.
+/// An engine that broke a connection is ejected for this long; doubles.
 pub const BASE_EJECTION_TIME: Duration = Duration::from_millis(400);
-/// ms; longest such rest.
+/// Maximum ejection time.
 pub const MAX_EJECTION_TIME: Duration = Duration::from_millis(3200);
-/// ms; answer to a client goes out this long before its deadline.
+/// A response to a client is sent this long before its deadline.
 pub const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// ms; what a client with no deadline waits.
+/// Deadline of a client that gives none.
 pub const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
-/// s; `Retry-After` of a client that is rejected.
+/// Value of `Retry-After`, in seconds, for rejected clients.
 pub const RETRY_AFTER: &str = "0.3";
--- a/crates/fleet-core/src/delta.rs
+++ b/crates/fleet-core/src/delta.rs
@@ -1,30 +1,30 @@
-//! What changed from one body of a configuration to the next, as pieces to copy and to insert.
+//! Deltas between two configuration bodies, as ranges to copy and bytes to insert.
 //!
-//! A body is the operator's own text, and its digest is that of these very bytes; so a delta gives
-//! the text again and not merely the same meaning. Bodies are cut behind each closing brace, which
-//! makes an element (a route, a service, a tenant, the limits) one part or a few; a part that both
-//! bodies have is copied, wherever it stood, and the order is that of the new body.
+//! A body is the operator's exact text, and its digest covers these bytes; a delta therefore has to reproduce the
+//! text, not only its meaning. Bodies are split after each closing brace, which makes an element (a route, a service,
+//! a tenant, the limits) one part or a few. A part that occurs in both bodies is copied from wherever it is in the
+//! base, in the order of the new body.
 
 use crate::wire::{ConfigDelta, DeltaOp};
 
-/// Why a delta doesn't fit the body that it is applied to.
+/// Why a delta cannot be applied to a base body.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum DeltaError {
-    /// a piece lies outside of the former body
+    /// the delta copies a range outside of the base body
     OutOfRange,
-    /// the body gets larger than {0} bytes
+    /// the body is larger than {0} bytes
     TooLarge(usize),
 }
 
-/// Parts shorter than this are found only where the copy under way goes on: they stand at too many
-/// places, and naming one costs as much as inserting it.
+/// Shorter parts are copied only when they extend the previous copy: they occur at too many positions, and a
+/// reference to one costs as much as inserting it.
 const SHORTEST_COPY: usize = 16;
 
 fn parts(body: &[u8]) -> impl Iterator<Item = &[u8]> {
     body.split_inclusive(|byte| *byte == b'}')
 }
 
-/// The pieces so far, and where in the former body the last copy ended.
+/// The operations so far, and the end of the last copied range in the base body.
 struct Builder<'a> {
     former: &'a [u8],
     ops: Vec<DeltaOp>,
@@ -32,7 +32,7 @@
 }
 
 impl Builder<'_> {
-    /// Appends a part that goes on where the last copy ended, if it does.
+    /// Extends the previous copy by this part if the base body continues with it; returns whether it does.
     fn goes_on(&mut self, part: &[u8]) -> bool {
         let Some(last) = self.ops.last_mut().filter(|op| op.insert.is_empty()) else {
             return false;
@@ -60,7 +60,7 @@
     }
 }
 
-/// The delta that makes `new` of `former`.
+/// Computes the delta that turns `base` into `new`.
 pub fn between(former: &[u8], new: &[u8]) -> ConfigDelta {
     let mut places: hashbrown::HashMap<&[u8], usize, ahash::RandomState> =
         hashbrown::HashMap::default();
@@ -82,11 +82,11 @@
     ConfigDelta { ops: builder.ops }
 }
 
-/// The body that a delta makes of `former`, of `most` bytes at the most.
+/// Applies a delta to `base`; the result has at most `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// The delta does not belong to `former`, its packing is broken, or it makes more than `most` bytes.
+/// The delta copies a range outside of `base`, or its result is larger than `max_bytes`.
 pub fn apply(delta: &ConfigDelta, former: &[u8], most: usize) -> Result<bytes::Bytes, DeltaError> {
     let mut body = Vec::with_capacity(former.len());
     for op in &delta.ops {
--- a/crates/fleet-core/src/delta_tests.rs
+++ b/crates/fleet-core/src/delta_tests.rs
@@ -38,7 +38,7 @@
 }
 
 proptest! {
-    /// Routes added, removed, changed, moved and doubled, and bytes that are no JSON at all.
+    /// Covers added, removed, changed, moved and duplicated routes, and bytes that are not JSON.
     #[test]
     fn any_body_comes_back_byte_for_byte(
         former in prop::collection::vec((0u32..30, 0u32..3), 0..40),
--- a/crates/fleet-core/src/digest.rs
+++ b/crates/fleet-core/src/digest.rs
@@ -1,19 +1,18 @@
-//! The digest that names the body of a configuration.
+//! Digest that identifies the body of a configuration.
 
 use sha2::Digest;
 
-/// The first 128 bits of SHA-256 over the bytes of a body, as the operator sent them.
+/// The first 128 bits of SHA-256 over the bytes of a body, exactly as the operator sent them.
 ///
-/// Two different bodies with one digest don't come up by chance, and can't be made on purpose
-/// with any effort that counts here.
+/// Collisions do not occur by chance, and constructing one takes an infeasible effort.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct BodyDigest([u8; BodyDigest::BYTES]);
 
 impl BodyDigest {
-    /// Length of a digest on the wire and on the disk.
+    /// Length of a digest in messages and in stored data, in bytes.
     pub const BYTES: usize = 16;
 
-    /// The digest of these bytes.
+    /// Computes the digest of a body.
     pub fn of(body: &[u8]) -> BodyDigest {
         let complete: [u8; 32] = sha2::Sha256::digest(body).into();
         let mut first = [0; BodyDigest::BYTES];
@@ -21,12 +20,12 @@
         BodyDigest(first)
     }
 
-    /// A digest as it was sent; none where it has another length.
+    /// Decodes a digest from a message; `None` if the length is wrong.
     pub fn from_bytes(bytes: &[u8]) -> Option<BodyDigest> {
         bytes.try_into().ok().map(BodyDigest)
     }
 
-    /// The digest as it is sent.
+    /// The digest as it is encoded in messages.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -1,10 +1,10 @@
-//! What is known of an engine, and how updates of it merge; alike at controllers and routers.
+//! Merging of updates about engines, with the same rules on controllers and routers.
 
 use crate::wire::{Engine, EngineState};
 
-/// Merges an update into what is known; false if nothing but the call's number is new.
-/// News of a later call replace what is known; of an earlier one, only what never falls counts:
-/// versions, states of the roll-out, and that it was deregistered.
+/// Merges an update into the known state; returns false if nothing but the call number changed. An update from a
+/// later call replaces the known state. From an earlier call, only monotonic fields are merged: versions, states of
+/// the roll-out, and deregistration.
 pub fn merge(known: &mut Engine, update: &Engine) -> bool {
     let before = known.clone();
     if update.call > known.call {
@@ -22,7 +22,7 @@
     changed
 }
 
-/// Takes from `other` what never falls, whichever of the two is newer.
+/// Merges the monotonic fields of `other`, whichever of the two is newer.
 fn keep_what_never_falls(engine: &mut Engine, other: &Engine) {
     for weights in &other.weights {
         raise(engine, &weights.model, weights.version);
@@ -34,8 +34,8 @@
     }
 }
 
-/// Raises the version of a model at an instance; false if it was there already. Versions of one
-/// instance only ever rise.
+/// Raises the version of a model on an engine instance; returns false if it has that version or a later one. Versions
+/// of one instance never decrease.
 pub fn raise(engine: &mut Engine, model: &str, version: u64) -> bool {
     match engine.weights.iter_mut().find(|weights| weights.model == model) {
         Some(weights) if weights.version >= version => false,
@@ -50,20 +50,20 @@
     }
 }
 
-/// Version of a model that an engine has; none if it lacks the model.
+/// Version of a model on an engine; `None` if it does not have the model.
 pub fn version_of(engine: &Engine, model: &str) -> Option<u64> {
     let weights = engine.weights.iter().find(|weights| weights.model == model)?;
     Some(weights.version)
 }
 
-/// Whether the engine is to be ordered soon, and is not yet at the named weights.
+/// Whether the engine will be ordered to update soon and does not have the target version yet.
 pub fn is_draining_streams(engine: &Engine, model: &str, target: Option<u64>) -> bool {
     let is_behind = |version| target.is_some_and(|target| version < target);
     engine.drain_seq % 2 == 1 && version_of(engine, model).is_some_and(is_behind)
 }
 
-/// Whether the engine is under order, and not yet at the named weights: whoever ordered it may have
-/// died before telling the end.
+/// Whether the engine has been ordered to update and does not have the target version yet. The version is compared as
+/// well because the controller that issued the order may have failed before it reported completion.
 pub fn is_updating(engine: &Engine, model: &str, target: Option<u64>) -> bool {
     let is_behind = |version| target.is_none_or(|target| version < target);
     engine.update_seq % 2 == 1 && version_of(engine, model).is_none_or(is_behind)
--- a/crates/fleet-core/src/lib.rs
+++ b/crates/fleet-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the controller, the router and the tool share: settings, configuration, messages and the links that carry
-//! them, log events, constants. It depends on no other crate of the workspace.
+//! Code shared by the controller, the router and the command line tool: settings, configuration, messages, links that
+//! carry them, log events, and constants. It depends on no other crate of the workspace.
 
-// A process that carries traffic does not panic for a value that is not there; tests may.
+// A process that serves traffic must not panic on a missing value; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used))]
 
 pub mod change_log;
--- a/crates/fleet-core/src/link/backlog_tests.rs
+++ b/crates/fleet-core/src/link/backlog_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the bounds on what `link` keeps for a slow reader.
+//! Tests of the limits on what `link` queues for a slow reader.
 
 use super::frame::{encode, read_frame};
 use super::peer::serve_peer;
@@ -12,7 +12,7 @@
 
 const FRAMES: usize = 100;
 
-/// A host that shows its peer as soon as there is one.
+/// A handler that reports its first peer once it is connected.
 struct Shows(parking_lot::Mutex<Option<tokio::sync::oneshot::Sender<Peer>>>);
 
 impl PeerHandler for Shows {
@@ -31,7 +31,7 @@
     fn message_rejected(self: &Arc<Self>, _: &LinkError) {}
 }
 
-/// Lets all tasks run until they wait for each other.
+/// Runs all tasks until they block on each other.
 async fn settle() {
     for _ in 0..FRAMES * 10 {
         tokio::task::yield_now().await;
--- a/crates/fleet-core/src/link/client.rs
+++ b/crates/fleet-core/src/link/client.rs
@@ -1,4 +1,4 @@
-//! The side of a link that connects: it keeps one connection to an address up, and sends calls and messages over it.
+//! The connecting side of a link: it maintains one connection to an address and sends calls and messages over it.
 
 use super::LinkError;
 use super::frame::{self, NO_CALL, read_frame};
@@ -18,22 +18,22 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Calls without an answer yet, by number. An answer of a kind that this program does not know comes as none.
+/// Pending calls by number. An answer of a kind that this program does not know is delivered as `None`.
 ///
 /// Ordered, so that a broken connection wakes its callers in the order of their calls.
 type PendingCalls = Arc<Mutex<BTreeMap<u64, oneshot::Sender<Option<Body>>>>>;
 
-/// The connection that stands.
+/// The state of an established connection.
 struct Connected {
     frames: mpsc::Sender<Frame>,
     pending: PendingCalls,
 }
 
-/// Our end of a link that is kept up to one address.
+/// The local end of a link that is maintained to one address.
 ///
-/// Dropping it closes the connection and ends its task.
+/// Dropping it closes the connection and aborts its task.
 pub struct Link {
-    /// The address of the other side.
+    /// Address of the remote side.
     pub to: SocketAddr,
     own: Ipv4Addr,
     transport: Arc<dyn Transport>,
@@ -46,7 +46,7 @@
     task: Mutex<Option<AbortHandle>>,
 }
 
-/// How a node introduces itself on a new connection.
+/// Creates the handshake with which a node identifies itself on a new connection.
 fn handshake(node: &Node) -> Handshake {
     Handshake {
         name: node.name.clone(),
@@ -66,12 +66,12 @@
 }
 
 impl Link {
-    /// Keeps a link over TCP up until dropped; what the other side pushes goes to `pushed`.
+    /// Maintains a link over TCP until it is dropped; messages pushed by the remote side are sent to `pushed`.
     pub fn keep(node: &Node, to: SocketAddr, pushed: Option<mpsc::Sender<Body>>) -> Arc<Link> {
         Self::keep_over(Tcp::shared(), node, to, pushed)
     }
 
-    /// As [`Link::keep`], over any transport.
+    /// Like [`Link::keep`], over any transport.
     pub fn keep_over(
         transport: Arc<dyn Transport>,
         node: &Node,
@@ -96,7 +96,7 @@
         link
     }
 
-    /// Connects, serves the connection until it breaks, and starts anew; ends with the link.
+    /// Connects, serves the connection until it breaks, and reconnects; ends when the link is dropped.
     async fn reconnect(weak: Weak<Link>, pushed: Option<mpsc::Sender<Body>>) {
         loop {
             let Some(link) = weak.upgrade() else { return };
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Carries one connection from the handshake to its end.
+    /// Serves one connection from the handshake to its end.
     async fn serve(
         weak: &Weak<Link>,
         stream: BoxedStream,
@@ -137,11 +137,11 @@
             *link.connected.lock() = None;
             link.is_up.send_replace(false);
         }
-        // No call can be added any more: those that wait learn that no answer will come.
+        // No call can be added any more; dropping the senders tells the waiting callers that no answer will come.
         pending.lock().clear();
     }
 
-    /// Hands answers to their calls and pushed messages to `pushed`, until the connection ends.
+    /// Delivers answers to their calls and pushed messages to `pushed`, until the connection ends.
     async fn receive(
         weak: &Weak<Link>,
         reader: ByteReader,
@@ -161,7 +161,7 @@
             drop(link);
             if frame.answer {
                 if let Some(caller) = pending.lock().remove(&frame.call) {
-                    // A caller that gave up meanwhile needs no answer.
+                    // The send fails if the caller has stopped waiting.
                     let _ = caller.send(frame.body);
                 }
             } else if let (Some(pushed), Some(body)) = (pushed, frame.body)
@@ -172,22 +172,22 @@
         }
     }
 
-    /// Whether the connection stands, as far as this side knows.
+    /// Whether the connection is established, as far as this side knows.
     pub fn is_up(&self) -> bool {
         *self.is_up.borrow()
     }
 
-    /// Follows whether the connection stands.
+    /// Subscribes to whether the connection is established.
     pub fn watch(&self) -> watch::Receiver<bool> {
         self.is_up.subscribe()
     }
 
-    /// Time since the other side last sent anything; none before the first connection.
+    /// Time since the remote side last sent anything; `None` before the first connection.
     pub fn time_since_received(&self) -> Option<Duration> {
         self.last_received.lock().map(|received| received.elapsed())
     }
 
-    /// Frames and answers of the other side that could not be taken.
+    /// Number of frames and answers of the remote side that were rejected.
     pub fn rejected(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
@@ -196,12 +196,12 @@
         self.rejected.fetch_add(u64::from(error.is_protocol_violation()), Ordering::Relaxed);
     }
 
-    /// Sends a message that needs no answer; it is lost where the connection breaks.
+    /// Sends a message that needs no answer; it is lost if the connection breaks.
     ///
     /// # Errors
     ///
-    /// [`LinkError::TooLarge`], or [`LinkError::Down`] where there is no connection or its backlog is full; nothing was
-    /// sent then.
+    /// [`LinkError::TooLarge`], or [`LinkError::NotConnected`] if there is no connection or its queue is full;
+    /// nothing was sent in either case.
     pub fn notify(&self, body: Body) -> Result<(), LinkError> {
         let frame = frame::request(NO_CALL, body)?;
         let connected = self.connected.lock();
@@ -209,16 +209,16 @@
         connected.frames.try_send(frame).map_err(|_| LinkError::Down)
     }
 
-    /// Sends a call and waits for its answer, not longer than the limit.
+    /// Sends a call and waits for its answer, at most until the time-out `limit`.
     ///
     /// # Errors
     ///
-    /// [`LinkError::TooLarge`] where it was not sent. After [`LinkError::Down`], [`LinkError::Timeout`] and
-    /// [`LinkError::UnexpectedAnswer`] the other side may have carried it out.
+    /// [`LinkError::TooLarge`] if it was not sent. After [`LinkError::NotConnected`], [`LinkError::Timeout`] and
+    /// [`LinkError::UnexpectedAnswer`] the remote side may have executed the call.
     ///
     /// # Cancel safety
     ///
-    /// A call that is dropped may have been sent; its answer goes to nobody.
+    /// If the future is dropped, the call may have been sent; its answer is discarded.
     pub async fn call(&self, body: Body, limit: Duration) -> Result<Body, LinkError> {
         let fits = body.answer_test();
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
@@ -236,7 +236,8 @@
         }
     }
 
-    /// Sends a call over the connection that stands; gives the receiver of its answer, and the calls it waits among.
+    /// Sends a call over the current connection; returns the receiver of its answer and the map of pending calls that
+    /// it was added to.
     fn send_call(
         &self,
         number: u64,
@@ -255,7 +256,8 @@
     }
 }
 
-/// The next frame, or [`LinkError::Down`] once nothing can be written any more: a connection that only reads is lost.
+/// Reads the next frame; returns [`LinkError::NotConnected`] once writing has failed, because a connection that can
+/// only be read is unusable.
 async fn next_frame(
     reader: &mut BufReader<ByteReader>,
     writer: &Writer,
--- a/crates/fleet-core/src/link/error.rs
+++ b/crates/fleet-core/src/link/error.rs
@@ -1,26 +1,26 @@
-//! Why a message or a call over a link failed.
+//! Errors of messages and calls over a link.
 
-/// Why a message or a call failed.
+/// Why a message or a call over a link failed.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum LinkError {
     /// not connected
     Down,
     /// no answer in time
     Timeout,
-    /// a frame of {0} bytes is too large
+    /// frame of {0} bytes exceeds the size limit
     TooLarge(usize),
-    /// a frame can't be read
+    /// frame cannot be decoded
     Malformed,
-    /// an answer of another kind than the call, or to no call
+    /// answer does not match the call, or answers no call
     UnexpectedAnswer,
-    /// a message of a kind that this program does not know
+    /// message of unknown kind
     UnknownKind,
     /// {0}
     Socket(std::io::ErrorKind),
 }
 
 impl LinkError {
-    /// Whether the other side sent what it must not, rather than the connection having failed.
+    /// Whether the remote side violated the protocol, as opposed to a failed connection.
     pub(super) fn is_protocol_violation(&self) -> bool {
         matches!(self, LinkError::TooLarge(_) | LinkError::Malformed | LinkError::UnexpectedAnswer)
     }
--- a/crates/fleet-core/src/link/frame.rs
+++ b/crates/fleet-core/src/link/frame.rs
@@ -1,4 +1,4 @@
-//! Frames on a connection: four bytes of length, then the message.
+//! Framing of messages on a connection: a length of four bytes, then the message.
 
 use super::LinkError;
 use crate::constants;
@@ -7,10 +7,10 @@
 use prost::Message;
 use tokio::io::{AsyncReadExt, BufReader};
 
-/// The number of a message that is no call: nobody waits for an answer to it.
+/// Call number of a message that expects no answer.
 pub(super) const NO_CALL: u64 = 0;
 
-/// The reading half of a connection, with the buffer that its small frames are read from.
+/// Wraps the reading half of a connection in a buffer, since most frames are small.
 pub(super) fn buffered(reader: ByteReader) -> BufReader<ByteReader> {
     BufReader::with_capacity(constants::LINK_READ_BUFFER, reader)
 }
@@ -19,12 +19,12 @@
 ///
 /// # Errors
 ///
-/// [`LinkError::Socket`] where the connection ended, [`LinkError::TooLarge`] and [`LinkError::Malformed`] for bytes
-/// that are no frame. The connection can't be read on after any of them.
+/// [`LinkError::Socket`] if the connection ended, [`LinkError::TooLarge`] and [`LinkError::Malformed`] if the bytes
+/// are not a valid frame. The connection cannot be used any more after any of them.
 ///
 /// # Cancel safety
 ///
-/// Not cancel safe: a frame that was read in part is lost.
+/// Not cancel safe: a partially read frame is lost.
 pub(super) async fn read_frame(reader: &mut BufReader<ByteReader>) -> Result<Frame, LinkError> {
     let length = reader.read_u32().await? as usize;
     if length > constants::FRAME_MAX {
@@ -35,26 +35,26 @@
     Frame::decode(bytes.freeze()).map_err(|_| LinkError::Malformed)
 }
 
-/// Appends a frame as it goes over the connection.
+/// Appends the encoded frame with its length prefix.
 pub(super) fn encode(frame: &Frame, out: &mut Vec<u8>) {
     out.extend_from_slice(&(frame.encoded_len() as u32).to_be_bytes());
     frame.encode_raw(out);
 }
 
-/// A call, or with [`NO_CALL`] a message that needs no answer.
+/// Creates a call, or a message without an answer if `call` is [`NO_CALL`].
 ///
 /// # Errors
 ///
-/// [`LinkError::TooLarge`] where the other side would not take it.
+/// [`LinkError::TooLarge`] if the remote side would reject it.
 pub(super) fn request(call: u64, body: Body) -> Result<Frame, LinkError> {
     within_limit(Frame { call, answer: false, body: Some(body) })
 }
 
-/// The answer to a call.
+/// Creates the answer to a call.
 ///
 /// # Errors
 ///
-/// [`LinkError::TooLarge`] where the other side would not take it.
+/// [`LinkError::TooLarge`] if the remote side would reject it.
 pub(super) fn response(call: u64, body: Body) -> Result<Frame, LinkError> {
     within_limit(Frame { call, answer: true, body: Some(body) })
 }
--- a/crates/fleet-core/src/link/mod.rs
+++ b/crates/fleet-core/src/link/mod.rs
@@ -1,13 +1,13 @@
-//! Links between the system's own processes: frames of prost over a transport, calls by number.
+//! Links between the system's own processes: length-prefixed protobuf frames over a transport, with numbered calls.
 //!
-//! The side that knows an address keeps a [`Link`] up to it: it connects, introduces itself with a
-//! [`Handshake`](crate::wire::Handshake), and connects again after a break. The side that listens serves whoever comes
-//! with [`serve_peers`]; a [`PeerHandler`] answers, and may push messages that nobody asked for through the [`Peer`].
+//! The side that knows an address maintains a [`Link`] to it: it connects, identifies itself with a
+//! [`Handshake`](crate::wire::Handshake), and reconnects after a failure. The listening side serves incoming
+//! connections with [`serve_peers`]; a [`PeerHandler`] answers calls, and may push messages through the [`Peer`].
 //!
-//! A call has a number that is never used twice on a link, so that an answer goes to the call that caused it or to
-//! none. Nothing is sent again by the link: a call whose answer is missing may have been carried out.
+//! A call number is never reused on a link, so that an answer is delivered to the call that it belongs to or
+//! discarded. The link never retransmits: a call without an answer may have been executed.
 //!
-//! Read in this order: `frame`, `writer`, `client`, `peer`.
+//! Suggested reading order: `frame`, `writer`, `client`, `peer`.
 
 mod client;
 mod error;
--- a/crates/fleet-core/src/link/peer.rs
+++ b/crates/fleet-core/src/link/peer.rs
@@ -1,4 +1,4 @@
-//! The side of a link that listens: whoever connects introduces itself, sends messages and gets answers and pushes.
+//! The listening side of a link: peers connect, identify themselves, send messages and receive answers and pushes.
 
 use super::LinkError;
 use super::frame::{self, NO_CALL, read_frame};
@@ -11,56 +11,56 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// The other end of a connection, as the side that accepted it sees it.
+/// The remote end of an accepted connection.
 #[derive(Clone)]
 pub struct Peer {
-    /// How it introduced itself.
+    /// The handshake that the remote end sent.
     pub handshake: Arc<Handshake>,
     frames: mpsc::Sender<Frame>,
 }
 
 impl Peer {
-    /// Sends to the other end what it hasn't asked for; it is lost where the connection breaks.
+    /// Sends a message that is not an answer; it is lost if the connection breaks.
     ///
     /// # Errors
     ///
-    /// [`LinkError::TooLarge`], or [`LinkError::Down`] where the connection has ended or its backlog is full.
+    /// [`LinkError::TooLarge`], or [`LinkError::NotConnected`] if the connection has ended or its queue is full.
     pub fn push(&self, body: Body) -> Result<(), LinkError> {
         let frame = frame::request(NO_CALL, body)?;
         self.frames.try_send(frame).map_err(|_| LinkError::Down)
     }
 
-    /// How many frames wait because the other end reads slowly.
+    /// Number of frames that are queued because the remote end reads slowly.
     ///
-    /// A sender that only has the newest state to send waits until they have gone, so that nothing outdated piles up
-    /// here for a slow reader.
+    /// A sender that only needs to deliver the newest state waits until the queue is empty, so that no outdated
+    /// messages accumulate for a slow reader.
     pub fn backlog(&self) -> usize {
         self.frames.max_capacity() - self.frames.capacity()
     }
 
-    /// Whether nothing can be pushed any more.
+    /// Whether the connection has ended, so that nothing can be pushed any more.
     pub fn is_closed(&self) -> bool {
         self.frames.is_closed()
     }
 }
 
-/// What the listening side does with connections and messages.
+/// Handles connections and messages on the listening side.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// A peer has introduced itself.
+    /// Called when a peer has sent its handshake.
     fn connected(self: &Arc<Self>, peer: &Peer);
-    /// The connection of a peer has ended.
+    /// Called when the connection of a peer has ended.
     fn disconnected(self: &Arc<Self>, peer: &Peer);
-    /// The answer to a message; none where it needs none.
+    /// Returns the answer to a message; `None` if it needs none.
     fn answer(
         self: &Arc<Self>,
         peer: &Peer,
         body: Body,
     ) -> impl std::future::Future<Output = Option<Body>> + Send;
-    /// A message was dropped, or a connection ended for bytes that make no frame.
+    /// Called when a message was dropped, or a connection was closed because of an invalid frame.
     fn message_rejected(self: &Arc<Self>, error: &LinkError);
 }
 
-/// Serves all who connect to the listener, until it is dropped.
+/// Serves all connections to the listener until the future is dropped.
 pub async fn serve_peers<H: PeerHandler>(mut listener: Box<dyn Listener>, handler: Arc<H>) {
     let mut connections = JoinSet::new();
     loop {
@@ -87,7 +87,7 @@
     handler.disconnected(&peer);
 }
 
-/// Answers until the connection ends.
+/// Answers messages until the connection ends.
 async fn answer_messages<H: PeerHandler>(
     reader: &mut BufReader<ByteReader>,
     handler: &Arc<H>,
@@ -100,7 +100,7 @@
             Err(error) => return handler.message_rejected(&error),
         };
         match message {
-            // A task of its own for each message, so that a slow answer delays no other; it ends by itself.
+            // Each message has its own task, so that a slow answer delays no other; the task needs no supervision.
             Ok((call, body)) => {
                 drop(tokio::spawn(answer(handler.clone(), peer.clone(), call, body)))
             }
@@ -109,7 +109,7 @@
     }
 }
 
-/// The number and body of a message of the other side, which must be no answer: nothing was asked.
+/// Returns the number and body of a message. It must not be an answer, because this side sends no calls.
 fn message(frame: Frame) -> Result<(u64, Body), LinkError> {
     if frame.answer {
         return Err(LinkError::UnexpectedAnswer);
@@ -124,7 +124,7 @@
         return;
     }
     match frame::response(call, body) {
-        // An answer that can't be queued is lost with its connection: the caller's time-out covers it.
+        // An answer that cannot be queued is lost with its connection; the caller's time-out covers this.
         Ok(frame) => drop(peer.frames.try_send(frame)),
         Err(error) => handler.message_rejected(&error),
     }
--- a/crates/fleet-core/src/link/tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `link`, over streams in memory: an answer goes to its call or to none.
+//! Tests of `link` over in-memory streams: an answer is delivered to its call or to none.
 
 use super::frame::encode;
 use super::peer::serve_peer;
@@ -17,7 +17,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::sync::mpsc;
 
-/// Each connection of the link comes out at the other end.
+/// Passes the remote end of each connection to the test.
 struct Pipes(mpsc::UnboundedSender<DuplexStream>);
 
 impl Transport for Pipes {
@@ -57,7 +57,7 @@
     out
 }
 
-/// A link, and the far ends of its connections.
+/// A link and the remote ends of its connections.
 fn link() -> (Arc<Link>, mpsc::UnboundedReceiver<DuplexStream>) {
     let (tx, far_ends) = mpsc::unbounded_channel();
     let link = Link::keep_over(Arc::new(Pipes(tx)), &node(), "10.0.0.2:1".parse().unwrap(), None);
@@ -79,7 +79,7 @@
 
 type Call = tokio::task::JoinHandle<Result<Body, LinkError>>;
 
-/// A call under way, and its number.
+/// Starts a call; returns it with its number.
 async fn call(link: &Arc<Link>, far: &mut DuplexStream) -> (Call, u64) {
     while !link.is_up() {
         tokio::task::yield_now().await;
@@ -106,7 +106,7 @@
     assert_eq!(first.await.unwrap(), Ok(fetched(false)));
 }
 
-/// The other side answers on the new connection what it was asked on the former one.
+/// The remote side answers a call of the previous connection on the new one.
 #[tokio::test(start_paused = true)]
 async fn answer_to_a_call_of_a_former_connection_reaches_nobody() {
     let (link, mut far_ends) = link();
@@ -122,7 +122,7 @@
     assert_eq!(next.await.unwrap(), Ok(fetched(true)));
 }
 
-/// A caller learns at once that its link broke, and need not wait for its limit.
+/// A caller is notified immediately when its connection breaks, before its time-out.
 #[tokio::test(start_paused = true)]
 async fn calls_end_with_their_connection() {
     let (link, mut far_ends) = link();
@@ -161,7 +161,7 @@
     }
 }
 
-/// What is no frame ends the connection; the next one is as good as new.
+/// An invalid frame closes the connection; the next connection works normally.
 #[tokio::test(start_paused = true)]
 async fn malformed_frames_end_the_connection_and_its_calls() {
     let oversized = ((constants::FRAME_MAX + 1) as u32).to_be_bytes().to_vec();
@@ -183,7 +183,7 @@
     }
 }
 
-/// A frame that the other side would reject is not sent, and the connection stands.
+/// A frame that the remote side would reject is not sent, and the connection stays open.
 #[tokio::test(start_paused = true)]
 async fn oversized_messages_are_not_sent() {
     let (link, mut far_ends) = link();
@@ -197,7 +197,7 @@
     assert_eq!(waiting.await.unwrap(), Ok(fetched(true)));
 }
 
-/// What a host received and what spoilt its connections.
+/// Records the messages that a handler received and the errors of its connections.
 #[derive(Default)]
 struct Received {
     bodies: parking_lot::Mutex<Vec<Body>>,
@@ -225,7 +225,7 @@
     Body::RouterHeartbeat(RouterHeartbeat::default())
 }
 
-/// Plays bytes behind a proper introduction and gives what the host made of them.
+/// Sends a valid handshake and these bytes; returns what the handler received.
 async fn play(bytes: &[u8]) -> Arc<Received> {
     let received = Arc::new(Received::default());
     let (near, mut far) = tokio::io::duplex(1 << 16);
@@ -263,7 +263,7 @@
     assert!(truncated.bodies.lock().is_empty());
 }
 
-/// An answer that the caller would reject with the whole connection is not sent.
+/// An answer for which the caller would close the connection is not sent.
 #[tokio::test(start_paused = true)]
 async fn oversized_answers_are_not_sent() {
     let received =
@@ -273,7 +273,7 @@
 }
 
 proptest::proptest! {
-    /// Whatever comes, a host neither panics nor hears anything that was not sent as a call.
+    /// For any input, the handler does not panic and receives only what was sent as a call.
     #[test]
     fn random_bytes_become_no_more_calls_than_they_hold(bytes in proptest::collection::vec(0u8..4, 0..64)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/fleet-core/src/link/writer.rs
+++ b/crates/fleet-core/src/link/writer.rs
@@ -8,16 +8,16 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// The task that writes a connection's frames; dropping it ends the task and closes the writing half.
+/// Handle of the task that writes a connection's frames; dropping it aborts the task and closes the writing half.
 pub(super) struct Writer(JoinHandle<()>);
 
 impl Writer {
-    /// Writes whatever comes through the channel, several frames at once where they wait.
+    /// Starts a task that writes the frames received from the channel and batches those that are queued.
     pub(super) fn start(writer: ByteWriter, frames: mpsc::Receiver<Frame>) -> Writer {
         Writer(tokio::spawn(write_frames(writer, frames)))
     }
 
-    /// Whether nothing is written any more, since the connection failed.
+    /// Whether the task has ended, because the connection failed or the channel was closed.
     pub(super) fn is_finished(&self) -> bool {
         self.0.is_finished()
     }
@@ -42,7 +42,7 @@
         if writer.write_all(&out).await.is_err() {
             return;
         }
-        // The memory of a large configuration is given back.
+        // Frees the memory used by a large configuration.
         if out.capacity() > constants::WRITE_BUFFER_RETAINED {
             out = Vec::new();
         }
--- a/crates/fleet-core/src/load.rs
+++ b/crates/fleet-core/src/load.rs
@@ -1,28 +1,28 @@
-//! Loads of engines, as routers and controllers add them up.
+//! Engine loads, aggregated by routers and controllers.
 
 use crate::constants;
 use crate::wire::LoadReport;
 
-/// Load of one engine by sends in flight.
+/// Load of one engine from requests in flight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Tokens of sends whose answer has not begun.
+    /// Prompt tokens of requests whose response has not begun.
     pub unread: u64,
-    /// Sends in flight.
+    /// Requests in flight.
     pub runs: u32,
-    /// Of these, sends that somebody waits for.
+    /// Number of these that are interactive: a client waits for the response.
     pub interactive: u32,
 }
 
 impl Load {
-    /// Adds another load.
+    /// Adds another load to this one.
     pub fn add(&mut self, other: &Load) {
         self.unread += other.unread;
         self.runs += other.runs;
         self.interactive += other.interactive;
     }
 
-    /// What is left without another load; never below 0.
+    /// Subtracts another load; each field is at least 0.
     pub fn less(&self, other: &Load) -> Load {
         Load {
             unread: self.unread.saturating_sub(other.unread),
@@ -32,16 +32,16 @@
     }
 }
 
-/// Loads by the engine's key ([`key_of`]).
+/// Loads by engine key ([`key_of`]).
 pub type ByEngine = hashbrown::HashMap<u32, Load, ahash::RandomState>;
 
-/// Short name of an engine among loads. Two engines that share one only look busier than they are.
+/// Short key of an engine in load reports. Two engines whose keys collide only appear busier than they are.
 pub fn key_of(id: &str) -> u32 {
     (crate::node::stable_hash(&[id.as_bytes()]) >> 32) as u32
 }
 
-/// The report of these loads: without idle engines, ordered by key, tokens rounded up to
-/// `LOAD_TOKENS`.
+/// Builds a report of these loads: without idle engines, sorted by key, with tokens rounded up to units of
+/// `LOAD_TOKEN_UNIT`.
 pub fn pack(loads: &ByEngine) -> LoadReport {
     let mut engines: Vec<(&u32, &Load)> =
         loads.iter().filter(|(_, load)| **load != Load::default()).collect();
@@ -57,7 +57,7 @@
     message
 }
 
-/// The loads in a report. Lists of unequal length are read as far as all reach.
+/// Iterates over the loads of a report. If the lists differ in length, entries beyond the shortest are ignored.
 pub fn unpack(message: &LoadReport) -> impl Iterator<Item = (u32, Load)> + '_ {
     let engines =
         message.keys.iter().zip(&message.unread).zip(&message.runs).zip(&message.interactive);
@@ -67,19 +67,19 @@
     })
 }
 
-/// What each sender reported last, for as long as it keeps reporting.
+/// The latest load report of each sender, until it expires.
 #[derive(Default)]
 pub struct LoadTable {
     reports: std::collections::BTreeMap<u64, (tokio::time::Instant, LoadReport)>,
 }
 
 impl LoadTable {
-    /// Takes in the report of a sender.
+    /// Replaces the report of this sender.
     pub fn record(&mut self, reporter: u64, now: tokio::time::Instant, loads: LoadReport) {
         self.reports.insert(reporter, (now, loads));
     }
 
-    /// The sum over all senders that reported within `LOAD_REPORT_TIMEOUT`; forgets the others.
+    /// Sums the reports received within `LOAD_REPORT_TIMEOUT`; removes older ones.
     pub fn sum(&mut self, now: tokio::time::Instant) -> ByEngine {
         self.reports.retain(|_, (at, _)| now.duration_since(*at) < constants::LOAD_REPORT_TIMEOUT);
         let mut sum = ByEngine::default();
@@ -91,34 +91,34 @@
         sum
     }
 
-    /// The senders that are remembered.
+    /// The senders whose reports are kept.
     pub fn reporters(&self) -> impl Iterator<Item = u64> + '_ {
         self.reports.keys().copied()
     }
 }
 
-/// Decides whether a message goes out now: when it has changed, and every `LOAD_REPORT_REFRESH` so that it
-/// still counts. A large one goes out less often, so that the bytes of a second stay the same for each reader however
-/// many engines there are.
+/// Decides whether a report is sent now: when it has changed, and every `LOAD_REPORT_REFRESH` so that it does not
+/// expire. Larger reports are sent less often, which bounds the bytes per second for each receiver regardless of the
+/// number of engines.
 #[derive(Default)]
 pub struct ReportSchedule {
     sent: Option<(tokio::time::Instant, LoadReport)>,
 }
 
-/// Shortest time between two reports of so many engines.
+/// Minimum interval between two reports of this many engines.
 fn report_interval(engines: usize) -> std::time::Duration {
     let sizes = engines.div_ceil(constants::LOAD_REPORT_ENGINES).max(1) as u32;
     (constants::LOAD_REPORT_INTERVAL * sizes).min(constants::LOAD_REPORT_INTERVAL_MAX)
 }
 
 impl ReportSchedule {
-    /// Whether these loads go out now; they are then the ones sent last.
+    /// Whether these loads are to be sent now; if so, they are recorded as sent.
     pub fn is_due(&mut self, now: tokio::time::Instant, loads: &LoadReport) -> bool {
         let due = match &self.sent {
             Some((at, was)) => {
                 let age = now.duration_since(*at);
                 let is_new = was != loads || age >= constants::LOAD_REPORT_REFRESH;
-                // a task that wakes a little early counts as in time
+                // Tolerates a task that wakes up slightly early.
                 is_new
                     && age + constants::LOAD_REPORT_INTERVAL / 2 >= report_interval(was.keys.len())
             }
--- a/crates/fleet-core/src/load_tests.rs
+++ b/crates/fleet-core/src/load_tests.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Loads of so many engines; `runs` tells two reports apart.
+/// A report of this many engines; reports with different `runs` differ.
 fn report(engines: usize, runs: u32) -> LoadReport {
     pack(&(0..engines as u32).map(|key| (key, Load { runs, ..Load::default() })).collect())
 }
 
-/// Reports that go out within a second, if the loads change all the time.
+/// Number of reports sent within a second if the loads change all the time.
 fn sent_in_a_second(engines: usize) -> usize {
     let (start, mut schedule) = (Instant::now(), ReportSchedule::default());
     let is_due = |tick: &u32| {
--- a/crates/fleet-core/src/log.rs
+++ b/crates/fleet-core/src/log.rs
@@ -1,20 +1,20 @@
-//! Numbered log events; their catalogue is docs/events.md. CONTRIBUTING.md tells how to add one.
+//! Numbered log events. Their catalogue is docs/events.md; CONTRIBUTING.md describes how to add one.
 
 use slog::Drain;
 
 macro_rules! events {
     ($($name:ident = $no:literal, $level:ident, $text:literal;)*) => {
-        /// What happened; its value is the number in the catalogue.
+        /// Log events; the value is the number in the catalogue.
         #[derive(Debug, Clone, Copy, PartialEq, Eq)]
         pub enum Event { $(#[doc = $text] $name = $no,)* }
         impl Event {
-            /// All events.
+            /// All events, in the order of their definition.
             pub const ALL: &'static [Event] = &[$(Event::$name,)*];
 
-            /// The text of its lines.
+            /// Message text of the event.
             pub fn text(self) -> &'static str { match self { $(Event::$name => $text,)* } }
 
-            /// The level of its lines.
+            /// Log level of the event.
             pub fn level(self) -> slog::Level { match self { $(Event::$name => slog::Level::$level,)* } }
         }
     };
@@ -73,7 +73,7 @@
     DispatchFailed = 332, Info, "request failed after dispatch";
 }
 
-/// The logger of a process, to standard error; each line names the node and the role.
+/// Creates the root logger of a process, which writes to standard error and adds the node and the role to each line.
 pub fn root(level: slog::Level, node: &str, role: &str) -> slog::Logger {
     let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
     let drain = slog_term::FullFormat::new(plain).use_original_order().build().fuse();
@@ -81,7 +81,7 @@
     slog::Logger::root(drain, slog::o!("node" => node.to_owned(), "role" => role.to_owned()))
 }
 
-/// Logs an [`Event`](crate::log::Event) at its level, with its number as `no` and the given values.
+/// Logs an [`Event`](crate::log::Event) at its level, with its number as `no` and the given key-value pairs.
 ///
 /// `log_event!(log, Event::Ready, "version" => 3)`
 #[macro_export]
--- a/crates/fleet-core/src/node.rs
+++ b/crates/fleet-core/src/node.rs
@@ -1,8 +1,8 @@
-//! Who a process is.
+//! Identity of a process.
 
 use std::hash::{BuildHasher, Hasher};
 
-/// Which of the two programs a process is.
+/// The program that a process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u16)]
 pub enum Role {
@@ -12,28 +12,28 @@
     Router = 1,
 }
 
-/// Who a process is, for as long as it runs.
+/// Identity of a process for its lifetime.
 #[derive(Debug, Clone)]
 pub struct Node {
-    /// Name of the node; both programs of a machine share it.
+    /// Name of the node; shared by both programs of a machine.
     pub name: String,
     /// Zone of the machine.
     pub zone: String,
     /// Address of the machine.
     pub ip: std::net::Ipv4Addr,
-    /// Which program this is.
+    /// Program of this process.
     pub role: Role,
-    /// Random number of this start; never 0.
+    /// Random number of this process start; never 0.
     pub incarnation: u64,
 }
 
 impl Node {
-    /// The node that a process is, in a new incarnation.
+    /// Creates the identity of this process with a new random incarnation.
     pub fn start(settings: &crate::settings::Settings, role: Role) -> Node {
         Self::seeded(settings, role, fresh())
     }
 
-    /// A process whose incarnation follows from a seed; another start needs another seed.
+    /// Creates an identity whose incarnation is derived from a seed; each start needs a different seed.
     pub fn seeded(settings: &crate::settings::Settings, role: Role, seed: u64) -> Node {
         let name = settings.node_name.as_bytes();
         Node {
@@ -45,18 +45,18 @@
         }
     }
 
-    /// The machine's address as a number, which names it in ballots.
+    /// Node number in ballots, derived from the machine's address.
     pub fn id(&self) -> u64 {
         id_of(self.ip)
     }
 }
 
-/// The number that names the node at an address in ballots.
+/// Number in ballots of the node with this address.
 pub fn id_of(ip: std::net::Ipv4Addr) -> u64 {
     u64::from(u32::from(ip))
 }
 
-/// A random number, never 0, which no other process is likely to have. Not for secrets.
+/// Returns a random number that is never 0 and unlikely to be used by another process. Not suitable for secrets.
 pub fn fresh() -> u64 {
     let mut hasher = std::hash::RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
@@ -66,8 +66,8 @@
     hasher.finish() | 1
 }
 
-/// Hash of these parts, which differs between `ab, c` and `a, bc`. The same on every machine and in every
-/// incarnation, unlike the tables' own hashes. Not for secrets.
+/// Hashes these parts with their boundaries, so that `ab, c` and `a, bc` differ. Unlike the hashes of hash tables,
+/// the result is the same on every machine and in every incarnation. Not suitable for secrets.
 pub fn stable_hash(parts: &[&[u8]]) -> u64 {
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for part in parts {
--- a/crates/fleet-core/src/packing.rs
+++ b/crates/fleet-core/src/packing.rs
@@ -1,30 +1,30 @@
-//! Compression of the bodies of configurations, for links, disks and memory.
+//! Compression of configuration bodies for links, disks and memory.
 
 use std::io::{Read, Write};
 
-/// Why bytes can't be unpacked.
+/// Why a body cannot be decompressed.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum UnpackError {
-    /// not a whole deflate stream
+    /// not a complete deflate stream
     Damaged,
     /// more than {0} bytes
     TooLarge(usize),
 }
 
-/// Deflates these bytes. Fast rather than small: it is done while the operator waits.
+/// Compresses with deflate, optimized for speed rather than size because the operator waits for it.
 pub fn pack(plain: &[u8]) -> bytes::Bytes {
     let level = flate2::Compression::new(crate::constants::PACKING_LEVEL);
     let mut encoder = flate2::write::DeflateEncoder::new(Vec::new(), level);
     let written = encoder.write_all(plain).and_then(|()| encoder.finish());
-    // a Vec takes every write
+    // Writing to a Vec cannot fail.
     written.unwrap_or_default().into()
 }
 
-/// Inflates what `pack` gave, up to `most` bytes.
+/// Decompresses the output of `pack`, up to `max_bytes` bytes.
 ///
 /// # Errors
 ///
-/// The bytes are not what `pack` gives, or hold more than `most` bytes.
+/// The input is not the output of `pack`, or its content is larger than `max_bytes`.
 pub fn unpack(packed: &[u8], most: usize) -> Result<bytes::Bytes, UnpackError> {
     let mut plain = Vec::new();
     let limit = most as u64 + 1;
--- a/crates/fleet-core/src/program.rs
+++ b/crates/fleet-core/src/program.rs
@@ -1,4 +1,4 @@
-//! What both programs share: command line, settings, signals, runtime.
+//! Process start-up shared by both programs: command line, settings, signals, runtime.
 
 use crate::constants;
 use crate::log::Event;
@@ -14,60 +14,60 @@
     /// print the version
     #[options(no_short)]
     version: bool,
-    /// only check the settings, and end
+    /// check the settings file and exit
     check: bool,
-    /// settings file; else the one that ANISEDYKE_SETTINGS names
+    /// settings file (default: the one named by ANISEDYKE_SETTINGS)
     #[options(meta = "FILE")]
     settings: Option<String>,
     /// error, warning, info or debug
     #[options(meta = "LEVEL", default = "info")]
     log_level: String,
-    /// serve metrics at this port of the node's address
+    /// serve metrics on this port of the node's address
     #[options(no_short, meta = "PORT")]
     metrics: Option<u16>,
 }
 
-/// What tells one program from the other.
+/// Description of a program.
 pub struct About {
     /// Name of the program.
     pub name: &'static str,
     /// Version of its crate.
     pub version: &'static str,
-    /// What it does, in half a sentence.
+    /// Short description for the help text.
     pub what: &'static str,
-    /// Settings that this program can't do without and that are missing.
+    /// Returns the names of settings that this program requires and that are missing.
     pub needs: fn(&Settings) -> Vec<&'static str>,
 }
 
-/// Exit code: the program could not run.
+/// Exit code: the program failed to start or to run.
 const RUN: u8 = 1;
-/// Exit code: unknown option or value.
+/// Exit code: unknown option or invalid value.
 const USAGE: u8 = 2;
 /// Exit code: settings missing or malformed.
 const SETTINGS: u8 = 3;
 
-/// Settings, and the file that they were read from.
+/// Settings and the file that they were read from.
 struct Loaded {
     path: String,
     settings: Settings,
     metrics_port: Option<u16>,
 }
 
-/// What a program runs with.
+/// What a running program gets from its start-up.
 pub struct Start {
-    /// The settings at the start.
+    /// The settings read at start-up.
     pub settings: Settings,
     /// The root logger.
     pub log: slog::Logger,
-    /// Turns true once the program is to end.
+    /// Becomes true when the program has to shut down.
     pub stop: tokio::sync::watch::Receiver<bool>,
-    /// Settings that are read again while it runs.
+    /// Receives changed settings while the program runs.
     pub reread: tokio::sync::mpsc::Receiver<Settings>,
-    /// Where to serve metrics; nowhere if none.
+    /// Listen address for metrics; `None` to serve none.
     pub metrics: Option<std::net::SocketAddr>,
 }
 
-/// Runs a program from its command line to its exit code.
+/// Runs a program from parsing its command line to its exit code.
 pub fn start<F, R, E>(about: About, run: F) -> ExitCode
 where
     F: FnOnce(Start) -> R,
@@ -104,7 +104,8 @@
     ExitCode::from(code)
 }
 
-/// Command line and settings; an exit code where the program is to end here, in order or not.
+/// Reads the command line and the settings; an exit code is returned if the program has to exit here, with or without
+/// an error.
 fn prepare(about: &About) -> Result<(slog::Level, Loaded), ExitCode> {
     let command_line = read_command_line(about)?;
     let Ok(level) = command_line.log_level.parse::<slog::Level>() else {
@@ -143,7 +144,7 @@
     Ok(Loaded { path, settings, metrics_port: None })
 }
 
-/// Settings in which nothing is missing that this program needs.
+/// Loads the settings and checks that the ones this program requires are present.
 fn load_complete(
     path: &str,
     needs: fn(&Settings) -> Vec<&'static str>,
@@ -166,7 +167,7 @@
 
 type Watched = (tokio::sync::watch::Receiver<bool>, tokio::sync::mpsc::Receiver<Settings>);
 
-/// SIGTERM and SIGINT stop; SIGHUP and a slow schedule read the settings again.
+/// Handles signals: SIGTERM and SIGINT stop the program; SIGHUP and a periodic timer reload the settings.
 fn watch_signals(
     path: String,
     first: Settings,
@@ -176,7 +177,7 @@
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let (changed, reread) = tokio::sync::mpsc::channel(1);
     let mut rereader = Rereader { path, needs, current: first, last_error: String::new(), log };
-    // before anything is served: until then a signal ends the process at once
+    // Handlers are installed before anything is served: until then a signal ends the process at once.
     let (Ok(mut terminate), Ok(mut hangup), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::hangup()),
@@ -202,7 +203,7 @@
     (stopped, reread)
 }
 
-/// Reads the settings again, and logs a problem once for as long as it stays the same.
+/// Reloads the settings; an error is logged once until it changes.
 struct Rereader {
     path: String,
     needs: fn(&Settings) -> Vec<&'static str>,
@@ -212,7 +213,7 @@
 }
 
 impl Rereader {
-    /// The settings, if they are usable and have changed.
+    /// Returns the settings if they are valid and have changed.
     fn reread(&mut self) -> Option<Settings> {
         let settings = match load_complete(&self.path, self.needs) {
             Ok(settings) => settings,
--- a/crates/fleet-core/src/random.rs
+++ b/crates/fleet-core/src/random.rs
@@ -1,31 +1,31 @@
-//! The pseudo-random numbers of one process.
+//! Pseudo-random numbers of one process.
 
 use crate::node::stable_hash;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Step between two states of the generator (the golden ratio as a fraction of 2^64).
+/// Increment of the generator's state (the golden ratio as a fraction of 2^64).
 const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A source of pseudo-random numbers that all tasks of a process share. The same seed gives the same numbers,
-/// so that a simulated run can be repeated. Not for secrets.
+/// A pseudo-random number generator shared by all tasks of a process. The same seed produces the same sequence, so
+/// that a simulation run can be repeated. Not suitable for secrets.
 #[derive(Debug)]
 pub struct RandomSource {
     state: AtomicU64,
 }
 
 impl RandomSource {
-    /// A source whose numbers follow from this seed.
+    /// Creates a generator with this seed.
     pub fn seeded(seed: u64) -> RandomSource {
         RandomSource { state: AtomicU64::new(seed) }
     }
 
-    /// The next number.
+    /// The next number of the sequence.
     pub fn next(&self) -> u64 {
         let state = self.state.fetch_add(STEP, Ordering::Relaxed);
         stable_hash(&[&state.to_le_bytes()])
     }
 
-    /// A number below a bound; 0 for a bound of 0.
+    /// A number below `bound`; 0 if `bound` is 0.
     pub fn below(&self, bound: u64) -> u64 {
         self.next() % bound.max(1)
     }
--- a/crates/fleet-core/src/settings/error.rs
+++ b/crates/fleet-core/src/settings/error.rs
@@ -1,6 +1,6 @@
-//! Why a settings file cannot be used.
+//! Errors of the settings file.
 
-/// Why a settings file cannot be used.
+/// Why the settings file cannot be used.
 #[derive(Debug, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// the variable ANISEDYKE_SETTINGS names no settings file
@@ -18,9 +18,9 @@
         line: usize,
         /// name of the field
         field: String,
-        /// what stands there
+        /// the value found
         value: String,
-        /// what should stand there, with its article
+        /// description of a valid value, with its article
         wanted: &'static str,
     },
     /// line {line}: not of the form name=value
--- a/crates/fleet-core/src/settings/lines.rs
+++ b/crates/fleet-core/src/settings/lines.rs
@@ -1,23 +1,23 @@
-//! The fields of a settings file, and reading a value of one.
+//! The fields of a settings file and the parsing of their values.
 
 use super::{PortRange, SettingsError};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A field as it stands in the file.
+/// The value of a field with its position in the file.
 #[derive(Clone, Copy)]
 struct Field<'a> {
-    /// number of the line, from 1
+    /// line number, from 1
     line: usize,
     value: &'a str,
 }
 
-/// All fields of a file; of one that is given twice, the last.
+/// All fields of a file; if a field occurs twice, the last one counts.
 pub(super) struct Lines<'a> {
     fields: hashbrown::HashMap<&'a str, Field<'a>>,
 }
 
-/// The error that names a field and its line.
+/// Creates the error for a malformed field, with its line.
 fn malformed(field: &str, found: Field<'_>, wanted: &'static str) -> SettingsError {
     SettingsError::Malformed {
         line: found.line,
@@ -49,7 +49,7 @@
         self.fields.get(field).copied()
     }
 
-    /// The value of a field, if the field is there.
+    /// The value of a field; `None` if it is missing.
     pub(super) fn optional<T: std::str::FromStr>(
         &self,
         field: &'static str,
@@ -60,7 +60,7 @@
         Ok(Some(value))
     }
 
-    /// The value of a field that has to be there.
+    /// The value of a required field.
     pub(super) fn required<T: std::str::FromStr>(
         &self,
         field: &'static str,
@@ -69,7 +69,7 @@
         self.optional(field, wanted)?.ok_or(SettingsError::Missing { field })
     }
 
-    /// A time that is given in units of `unit_ms`; `default` is in the same unit.
+    /// A duration given in units of `unit_ms` milliseconds; `default` has the same unit.
     pub(super) fn duration(
         &self,
         field: &'static str,
@@ -86,7 +86,7 @@
         Ok(Duration::from_secs_f64(units * unit_ms / 1000.0))
     }
 
-    /// The ports that the processes of a machine may listen at.
+    /// The range of ports that the processes of a machine may listen on.
     pub(super) fn ports(&self) -> Result<PortRange, SettingsError> {
         let field = "portRange";
         let found = self.find(field).ok_or(SettingsError::Missing { field })?;
@@ -99,7 +99,7 @@
             .ok_or_else(|| malformed(field, found, "two ports, the lower first"))
     }
 
-    /// The controllers that a process starts from.
+    /// The addresses of the controllers that a process contacts first.
     pub(super) fn seeds(&self) -> Result<Vec<SocketAddr>, SettingsError> {
         let field = "seeds";
         let Some(found) = self.find(field) else { return Ok(Vec::new()) };
@@ -112,7 +112,7 @@
             .collect()
     }
 
-    /// The machines' zones, in the order of their names.
+    /// The zones with their values, sorted by name.
     pub(super) fn zones(&self) -> Vec<(String, String)> {
         let mut zones: Vec<_> = self
             .fields
--- a/crates/fleet-core/src/settings/mod.rs
+++ b/crates/fleet-core/src/settings/mod.rs
@@ -1,6 +1,6 @@
-//! The settings file: lines of the form `a.b=value`, given to each process by its platform.
+//! The settings file: lines of the form `a.b=value`, provided to each process by the platform.
 //!
-//! Unknown fields are ignored, so that an older program can read a newer file. Lists are joined by commas.
+//! Unknown fields are ignored, so that an older program can read a newer file. List items are separated by commas.
 
 mod error;
 mod lines;
@@ -11,35 +11,35 @@
 
 pub use error::SettingsError;
 
-/// Times and ratios that the deployment promises or demands (`bounds.*`).
+/// Time bounds and ratios that the deployment guarantees or requires (`bounds.*`).
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bounds {
-    /// An engine that asked to drain gets no new requests after this (`drainMs`).
+    /// Time after which an engine that asked to drain gets no new requests (`drainMs`).
     pub drain: Duration,
-    /// From SIGTERM to the end of the process at the latest (`graceS`).
+    /// Maximum time from SIGTERM to the end of the process (`graceS`).
     pub grace: Duration,
-    /// From the acknowledgement of a configuration until it is in force at every router (`applyMs`).
+    /// Maximum time from acknowledging a configuration until it is in force on every router (`applyMs`).
     pub apply: Duration,
-    /// Length of a lease (`leaseMs`).
+    /// Duration of a lease (`leaseMs`).
     pub lease: Duration,
-    /// From naming weights until requests are answered with them (`versionMs`).
+    /// Maximum time from setting a target version until requests are served with it (`versionMs`).
     pub version: Duration,
-    /// A process that ran without trouble for this long counts as in touch with the others (`contactMs`).
+    /// A process that has run undisturbed for this long is expected to be in contact with the others (`contactMs`).
     pub contact: Duration,
-    /// A machine counts as lost until it, or its successor, has run for this long (`catchUpS`).
+    /// A machine counts as lost until it, or its replacement, has run for this long (`catchUpS`).
     pub catch_up: Duration,
-    /// Second sends allowed for each arrival, within a window (`retryRatio`).
+    /// Retries allowed per incoming request within a window (`retryRatio`).
     pub retry_ratio: f64,
-    /// The sliding window in which second sends are counted (`retryWindowS`).
+    /// Length of the sliding window in which retries are counted (`retryWindowS`).
     pub retry_window: Duration,
-    /// Second sends allowed besides, within a window, by all routers together (`retrySlack`).
+    /// Additional retries allowed within a window, for all routers together (`retrySlack`).
     pub retry_slack: f64,
 }
 
-/// Ports left free on every machine for what nodes say to each other; alike on all machines.
+/// Ports reserved on every machine for communication between nodes; the same on all machines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PortRange {
-    /// The lowest port, at which controllers listen for peers.
+    /// The lowest port, on which controllers listen for peers.
     pub first: u16,
     /// The highest port, inclusive.
     pub last: u16,
@@ -48,47 +48,47 @@
 /// The settings of one process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Name of the node; both programs of a machine share it.
+    /// Name of the node; shared by both programs of a machine.
     pub node_name: String,
-    /// Name of the role as the deploy file has it; empty if not given.
+    /// Role as named in the deploy file; empty if not given.
     pub role: String,
-    /// The machine's address, from which connections are opened as well.
+    /// Address of the machine; outgoing connections use it as their source address.
     pub ip: Ipv4Addr,
     /// Zone of the machine.
     pub zone: String,
     /// Region of the machine; empty if not given.
     pub region: String,
-    /// All zones, each with its region, sorted.
+    /// All zones with their regions, sorted by name.
     pub zones: Vec<(String, String)>,
-    /// Where clients arrive; routers need it.
+    /// Listen address for clients; required by routers.
     pub front: Option<SocketAddr>,
-    /// Where the platform asks whether the node is ready; routers need it.
+    /// Listen address for the platform's readiness probes; required by routers.
     pub readiness: Option<SocketAddr>,
-    /// Where engines and the operator call; controllers need it.
+    /// Listen address for engines and operators; required by controllers.
     pub control: Option<SocketAddr>,
-    /// Ports for what nodes say to each other.
+    /// Ports for communication between nodes.
     pub ports: PortRange,
-    /// `control` addresses of some controllers; later ones may be out of date.
+    /// `control` addresses of some controllers; those given at a later start may be outdated.
     pub seeds: Vec<SocketAddr>,
-    /// True only at the very first start of all, on empty disks: the seeds are then the members.
+    /// True only at the very first start of the system, with empty disks: the seeds are then the initial members.
     pub bootstrap: bool,
-    /// Whether the platform counts the machine among those whose loss `tolerance` bounds; controllers run there.
+    /// Whether the platform counts the machine among those whose losses `tolerance` limits; controllers run on these.
     pub counted: bool,
-    /// Folder on the machine's disk; none on a machine without one.
+    /// Data directory on the machine's disk; `None` for a machine without a disk.
     pub data_dir: Option<std::path::PathBuf>,
-    /// Time between two heartbeats of an engine; at least 50 ms.
+    /// Interval between two heartbeats of an engine; at least 50 ms.
     pub heartbeat: Duration,
-    /// Cores of the machine, which is also the number of worker threads.
+    /// Number of cores of the machine and of worker threads.
     pub cores: usize,
-    /// Descriptors that the process may have open.
+    /// Maximum number of open file descriptors.
     pub max_fds: usize,
-    /// Counted machines that may be lost together while every rule holds (`tolerance.machines`).
+    /// Number of counted machines that may be lost together without violating any guarantee (`tolerance.machines`).
     pub losses: usize,
-    /// Zones that may be lost together (`tolerance.zones`).
+    /// Number of zones that may be lost together (`tolerance.zones`).
     pub lost_zones: usize,
-    /// Regions that may be lost together (`tolerance.regions`).
+    /// Number of regions that may be lost together (`tolerance.regions`).
     pub lost_regions: usize,
-    /// Times and ratios.
+    /// Time bounds and ratios.
     pub bounds: Bounds,
 }
 
@@ -110,11 +110,11 @@
 }
 
 impl Settings {
-    /// Reads the text of a settings file.
+    /// Parses the text of a settings file.
     ///
     /// # Errors
     ///
-    /// A line is no pair, a field is missing, or its value is malformed; the first one found.
+    /// The first error found: a line is not a key-value pair, a required field is missing, or a value is malformed.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let lines = Lines::parse(text)?;
         let ports = lines.ports()?;
@@ -144,32 +144,32 @@
         })
     }
 
-    /// Reads the settings file at this path.
+    /// Reads and parses the settings file at this path.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or [`Settings::parse`] rejects it.
+    /// The file cannot be read, or [`Settings::parse`] rejects it.
     pub fn load(path: &str) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| SettingsError::Unreadable(path.to_owned(), e.to_string()))?;
         Self::parse(&text)
     }
 
-    /// The path that the environment names.
+    /// The path given by the environment variable `ANISEDYKE_SETTINGS`.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unnamed`] where the variable is missing.
+    /// [`SettingsError::VariableUnset`] if the variable is missing.
     pub fn path() -> Result<String, SettingsError> {
         std::env::var("ANISEDYKE_SETTINGS").map_err(|_| SettingsError::Unnamed)
     }
 
-    /// The port at which controllers listen for peers, the same on all machines.
+    /// The port on which controllers listen for peers; the same on all machines.
     pub fn peer_port(&self) -> u16 {
         self.ports.first
     }
 
-    /// Where the controller of a machine listens for peers.
+    /// The peer address of the controller on the machine with this IP address.
     pub fn peer_addr(&self, ip: IpAddr) -> SocketAddr {
         SocketAddr::new(ip, self.peer_port())
     }
--- a/crates/fleet-core/src/target_versions.rs
+++ b/crates/fleet-core/src/target_versions.rs
@@ -1,24 +1,24 @@
-//! The versions that were named for the weights of one model, each with the moment at which that became known.
+//! The target versions set for the weights of one model, each with the time at which it became known.
 //!
-//! The bound on older weights counts for each version from its own naming: an engine may begin requests until the
-//! bound of the first version that it lacks. A version that is named later neither extends nor replaces that bound.
-//! Controllers and routers keep this alike; [`crate::wire::TargetWeights`] carries it from one to the other.
+//! The bound on using older weights applies to each version from the time it was set: an engine may begin requests
+//! until the bound of the first version that it lacks. A later target version neither extends nor replaces that
+//! bound. Controllers and routers keep the same state; [`crate::wire::TargetWeights`] carries it between them.
 
 use crate::constants;
 use tokio::time::Instant;
 
-/// A version of a model's weights, and since when it is the target.
+/// A target version of a model's weights and the time since which it is the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TargetVersion {
-    /// Its number; never 0.
+    /// Version number; never 0.
     pub version: u64,
-    /// The earliest moment at which any process that told of it can have known it.
+    /// The earliest time at which any reporting process can have known it.
     pub since: Instant,
 }
 
-/// The named versions of one model.
+/// The target versions of one model.
 ///
-/// Versions rise. Moments never fall with them, for a version is named after those below it. At most
+/// Sorted by version. Times never decrease with the version, because a version is set after all lower ones. At most
 /// [`constants::TARGET_VERSIONS_CAPACITY`] are kept.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TargetVersions {
@@ -26,8 +26,8 @@
 }
 
 impl TargetVersions {
-    /// Takes in that a version has been the target since a moment; returns whether that is new. Who tells it may have
-    /// learned of it late, so the earliest moment that anyone tells counts.
+    /// Records that a version has been the target since this time; returns whether that changed anything. A reporting
+    /// process may have learned of the version late, so the earliest reported time counts.
     pub fn learn(&mut self, version: u64, since: Instant) -> bool {
         if version == 0 {
             return false;
@@ -43,7 +43,7 @@
         true
     }
 
-    /// A version was named no later than any above it.
+    /// Restores the order of times after a change: a version was set no later than any higher one.
     fn restore_order(&mut self, changed: usize) {
         let above = self.versions[changed..].iter().map(|known| known.since).min();
         if let Some(earliest) = above {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Makes one of the two oldest versions, so that no engine gets a later bound by it.
+    /// Merges the two oldest versions when the capacity is exceeded, so that no engine gets a later bound.
     fn merge_oldest(&mut self) {
         if self.versions.len() > constants::TARGET_VERSIONS_CAPACITY {
             self.versions[1].since = self.versions[0].since;
@@ -63,18 +63,18 @@
         }
     }
 
-    /// The target: the newest version.
+    /// The current target: the highest version.
     pub fn newest(&self) -> Option<TargetVersion> {
         self.versions.last().copied()
     }
 
-    /// Since when weights of a version are outdated; none while they are the newest.
+    /// The time since which weights of this version are outdated; `None` if no higher version is known.
     pub fn outdated_since(&self, version: u64) -> Option<Instant> {
         let place = self.versions.partition_point(|known| known.version <= version);
         self.versions.get(place).map(|first_above| first_above.since)
     }
 
-    /// All that are kept, the oldest first.
+    /// All versions kept, the oldest first.
     pub fn all(&self) -> &[TargetVersion] {
         &self.versions
     }
--- a/crates/fleet-core/src/target_versions_tests.rs
+++ b/crates/fleet-core/src/target_versions_tests.rs
@@ -44,7 +44,8 @@
 }
 
 proptest! {
-    /// Against a list of all that was told: never later than the truth, and exact while few versions are known.
+    /// Compares with a map of everything that was recorded: the bound is never later, and exact while all versions
+    /// fit.
     #[test]
     fn a_bound_is_never_later_than_all_that_was_told_makes_it(
         told in prop::collection::vec((1u64..40, 0u64..10_000), 1..80),
--- a/crates/fleet-core/src/transport.rs
+++ b/crates/fleet-core/src/transport.rs
@@ -1,5 +1,5 @@
-//! Byte streams between processes: TCP in the programs, anything else behind the same trait in
-//! tests and simulations.
+//! Byte streams between processes: TCP in the programs, other implementations of the same trait in tests and
+//! simulations.
 
 use crate::constants;
 use std::future::Future;
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncWrite};
 
-/// A boxed future of a trait object's method.
+/// Boxed future returned by methods of trait objects.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
-/// The half of a stream that bytes come from.
+/// Reading half of a stream.
 pub type ByteReader = Box<dyn AsyncRead + Send + Unpin>;
-/// The half of a stream that bytes go to.
+/// Writing half of a stream.
 pub type ByteWriter = Box<dyn AsyncWrite + Send + Unpin>;
-/// A stream of some transport.
+/// A stream of any transport.
 pub type BoxedStream = Box<dyn ByteStream>;
 
-/// Why no stream came up.
+/// Why a connection could not be established.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum TransportError {
     /// no answer in time
@@ -33,26 +33,26 @@
     }
 }
 
-/// Bytes in both directions, in order, until either side closes.
+/// An ordered byte stream in both directions that lasts until either side closes it.
 pub trait ByteStream: AsyncRead + AsyncWrite + Send + Unpin + 'static {
-    /// Parts the directions, so that one task can read while another writes.
+    /// Splits the stream so that one task can read while another writes.
     fn into_halves(self: Box<Self>) -> (ByteReader, ByteWriter) {
         let (reader, writer) = tokio::io::split(self);
         (Box::new(reader), Box::new(writer))
     }
 
-    /// From now on, closing this end resets the connection: what has not got through by then never does.
+    /// Makes closing this end reset the connection: data that has not been delivered by then is lost.
     ///
     /// # Errors
     ///
-    /// The operating system refused the option; the connection closes as usual then.
+    /// The operating system rejected the option; the connection then closes normally.
     fn reset_on_close(&self) -> std::io::Result<()> {
         Ok(())
     }
 }
 
 impl ByteStream for tokio::net::TcpStream {
-    /// Without the lock that halves of a general stream share.
+    /// Avoids the lock that the halves of a generic stream share.
     fn into_halves(self: Box<Self>) -> (ByteReader, ByteWriter) {
         let (reader, writer) = self.into_split();
         (Box::new(reader), Box::new(writer))
@@ -65,9 +65,9 @@
 
 impl ByteStream for tokio::io::DuplexStream {}
 
-/// Where streams come from. One object serves one process: what it connects comes from there.
+/// Creates and accepts streams. One object serves one process, and its connections originate from that process.
 pub trait Transport: Send + Sync + 'static {
-    /// Connects from the machine's own address, or gives up after the limit.
+    /// Connects from the machine's own address; fails after the time-out `limit`.
     fn connect(
         &self,
         own: Ipv4Addr,
@@ -75,26 +75,26 @@
         limit: Duration,
     ) -> BoxFuture<'_, Result<BoxedStream, TransportError>>;
 
-    /// Takes connections at an address until the listener is dropped.
+    /// Accepts connections on an address until the listener is dropped.
     ///
     /// # Errors
     ///
-    /// The address can't be listened at: it is taken, or not this machine's.
+    /// The address is in use or does not belong to this machine.
     fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>>;
 }
 
-/// An address that others connect to.
+/// A bound address that accepts connections.
 pub trait Listener: Send + 'static {
-    /// The next connection. Dropping the future loses none.
+    /// Accepts the next connection. Dropping the future loses no connection.
     fn accept(&mut self) -> BoxFuture<'_, std::io::Result<BoxedStream>>;
 }
 
-/// The transport of the programs.
+/// The TCP transport that the programs use.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Tcp;
 
 impl Tcp {
-    /// TCP as a transport that many links share.
+    /// Creates a TCP transport that many links can share.
     pub fn shared() -> Arc<dyn Transport> {
         Arc::new(Tcp)
     }
@@ -131,11 +131,11 @@
     }
 }
 
-/// Bounds how long a socket may hang behind a cut.
+/// Sets socket options that limit how long a socket hangs behind a network partition.
 ///
 /// # Errors
 ///
-/// The operating system refused an option; some may be set by then.
+/// The operating system rejected an option; others may already be set.
 pub fn set_socket_options(stream: &tokio::net::TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = socket2::SockRef::from(stream);
@@ -148,11 +148,11 @@
     )
 }
 
-/// Listens for TCP connections, at once again after a restart.
+/// Listens for TCP connections; the address can be reused immediately after a restart.
 ///
 /// # Errors
 ///
-/// The address can't be listened at: it is taken, or not this machine's.
+/// The address is in use or does not belong to this machine.
 pub fn listen(at: SocketAddr) -> std::io::Result<tokio::net::TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -166,7 +166,7 @@
 ///
 /// # Errors
 ///
-/// No connection came up within the limit, or it was refused; nothing was sent.
+/// The connection was refused or not established within the time-out; nothing was sent.
 pub async fn connect(
     own: Ipv4Addr,
     to: SocketAddr,
--- a/crates/fleet-core/src/wire/answers.rs
+++ b/crates/fleet-core/src/wire/answers.rs
@@ -1,11 +1,12 @@
-//! Which kind of answer belongs to which call.
+//! Matching of answers to calls.
 
 use super::Body;
 
 impl Body {
-    /// The test that an answer to this call passes; a message that is no call has no answer.
+    /// Returns the predicate that an answer to this call must satisfy; it accepts nothing for a message that is not a
+    /// call.
     ///
-    /// No kind is left to a catch-all: a new kind of message says here what answers it.
+    /// The match has no catch-all arm, so that every new kind of message has to state its answer here.
     pub fn answer_test(&self) -> fn(&Body) -> bool {
         match self {
             Body::Prepare(_) | Body::Accept(_) => |answer| matches!(answer, Body::Vote(_)),
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -1,24 +1,24 @@
-//! Changes of the control state, and the values that its keys hold.
+//! Changes of the control state, and the values of its keys.
 
 use prost::Message;
 
-/// What the key `config` holds. The default stands for "no configuration yet".
+/// Value of the key `config`. The default means that there is no configuration yet.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfigValue {
-    /// The operator's number (`revision` in the body); 0 for none.
+    /// Version of the configuration (`revision` in the body); 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Isolation generation of what tenants share: rises by one with each configuration that isolates a
-    /// tenant which was not isolated before. Kept prompts of older generations are void.
+    /// Isolation generation of the non-isolated tenants: increases by one with each configuration that isolates a
+    /// tenant which was not isolated before. Cached prefixes of older generations are invalid.
     #[prost(uint64, tag = "4")]
     pub isolation: u64,
-    /// Numbers and digests of the configurations taken so far, as one block.
+    /// Versions and digests of the configurations committed so far, encoded as one block.
     #[prost(bytes = "bytes", tag = "5")]
     pub history: bytes::Bytes,
-    /// The configuration as the operator sent it (JSON), deflated.
+    /// The operator's configuration body (JSON), compressed with deflate.
     #[prost(bytes = "bytes", tag = "6")]
     pub packed: bytes::Bytes,
-    /// Digest of the operator's bytes.
+    /// Digest of the uncompressed body.
     #[prost(bytes = "bytes", tag = "7")]
     pub digest: bytes::Bytes,
     /// Names of the tenants that have an isolation of their own.
@@ -26,21 +26,21 @@
     pub isolated: Vec<String>,
 }
 
-/// Why a value gives no body.
+/// Why the body of a value cannot be restored.
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum BodyError {
     /// {0}
     Unpack(#[from] crate::packing::UnpackError),
-    /// the body doesn't have its digest
+    /// the body does not match its digest
     OtherDigest,
 }
 
 impl ConfigValue {
-    /// The operator's bytes again, with the digest that they had.
+    /// Decompresses the operator's body and verifies its digest.
     ///
     /// # Errors
     ///
-    /// The packing is broken, or the bytes don't have the digest.
+    /// The compressed data is corrupt, or the body does not match the digest.
     pub fn body(&self) -> Result<bytes::Bytes, BodyError> {
         let body = crate::packing::unpack(&self.packed, crate::constants::CONFIG_BYTES)?;
         let digest = crate::digest::BodyDigest::of(&body);
@@ -51,21 +51,21 @@
     }
 }
 
-/// What the key `weights/MODEL` holds.
+/// Value of the key `weights/MODEL`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct WeightsValue {
-    /// The named version; it only rises, 0 for none.
+    /// The target version; it only increases. 0 for none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
 }
 
-/// What the key `departures` holds: engines whose drain or deregistration was acknowledged, the oldest record first.
+/// Value of the key `departures`: engines whose drain or deregistration was acknowledged, the oldest record first.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DeparturesValue {
-    /// Departures recorded so far; the number of the newest record.
+    /// Number of departures recorded so far, which is the number of the newest record.
     #[prost(uint64, tag = "1")]
     pub recorded: u64,
-    /// The records that are kept, one for each engine, with rising numbers.
+    /// The records that are kept, one per engine, with increasing numbers.
     #[prost(message, repeated, tag = "2")]
     pub departures: Vec<Departure>,
 }
@@ -73,10 +73,10 @@
 /// An engine that is draining or was deregistered.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Departure {
-    /// The instance's id.
+    /// Id of the engine instance.
     #[prost(string, tag = "1")]
     pub engine: String,
-    /// Number of the engine's call that said so: calls up to this one can't make it ready again.
+    /// Number of the engine's call that reported it: calls up to this one cannot make the engine ready again.
     #[prost(uint64, tag = "2")]
     pub call: u64,
     /// A [`super::EngineState`]; never `Ready`.
@@ -87,62 +87,63 @@
     pub number: u64,
 }
 
-/// What the key `lease_name/NAME` holds.
+/// Value of the key `duty/NAME`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LeaseValue {
-    /// Fencing token of the newest holder; rises by one with each raise and is never used again.
+    /// Fencing token of the newest holder; increases by one with each raise and is never reused.
     #[prost(uint64, tag = "1")]
     pub fencing_token: u64,
     /// Name of the node that raised it last.
     #[prost(string, tag = "2")]
     pub holder: String,
-    /// Name of the node that may have acted last: a new holder of another node waits for its lease to pass.
+    /// Name of the last node that may have acted as the holder: a new holder on another node waits until that node's
+    /// lease has expired.
     #[prost(string, tag = "3")]
     pub acting: String,
-    /// The raise that gave the fencing token.
+    /// The raise that produced the fencing token.
     #[prost(message, optional, tag = "4")]
     pub raise: Option<RaiseId>,
 }
 
-/// Names one raise of a fencing token, so that deciding it twice is the same as deciding it once.
+/// Identifies one raise of a fencing token, so that raising is idempotent.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct RaiseId {
-    /// Incarnation of the node that raises.
+    /// Incarnation of the node that raises the token.
     #[prost(uint64, tag = "1")]
     pub incarnation: u64,
-    /// Rises with each raise of that incarnation.
+    /// Increases with each raise of that incarnation.
     #[prost(uint64, tag = "2")]
     pub attempt: u64,
 }
 
-/// Asks the owner of a key for one change; a controller that does not own the key passes the change on.
-/// Answered with [`ChangeResponse`].
+/// Requests a change of one key from its owner; a controller that does not own the key forwards the request. Answered
+/// with [`ChangeResponse`].
 #[derive(Clone, PartialEq, Message)]
 pub struct ChangeRequest {
-    /// What to change; a change of a kind unknown to the receiver is not answered.
+    /// The change; a kind unknown to the receiver is not answered.
     #[prost(oneof = "ChangeKind", tags = "1, 2, 3, 4, 6")]
     pub kind: Option<ChangeKind>,
-    /// How often it was passed on already.
+    /// Number of times that the request was forwarded.
     #[prost(uint32, tag = "5")]
     pub hops: u32,
 }
 
-/// The kinds of change, one for each kind of key.
+/// Kinds of changes.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum ChangeKind {
     /// Replaces the configuration.
     #[prost(message, tag = "1")]
     Replace(ReplaceConfig),
-    /// Names a version of a model's weights.
+    /// Sets the target version of a model's weights.
     #[prost(message, tag = "2")]
     Name(SetTargetVersion),
-    /// Raises a lease's fencing token.
+    /// Raises the fencing token of a lease.
     #[prost(message, tag = "3")]
     Raise(RaiseFencingToken),
-    /// Changes nothing: asks the key's owner to complete what is open and to prove its value current.
+    /// Changes nothing: asks the key's owner to complete a pending round and to confirm that its value is current.
     #[prost(string, tag = "4")]
     Confirm(String),
-    /// Records that engines leave.
+    /// Records the departure of engines.
     #[prost(message, tag = "6")]
     RecordDepartures(RecordDepartures),
 }
@@ -150,36 +151,36 @@
 /// Replaces the configuration `base` by a newer one.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReplaceConfig {
-    /// Version that the operator took for the one in force; the change is stale if it is not.
+    /// Version that the operator assumes to be in force; the change is stale if it is not.
     #[prost(uint64, tag = "1")]
     pub base: u64,
-    /// The new configuration's number; has to be above the one in force.
+    /// Version of the new configuration; has to be above the one in force.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// The configuration as the operator sent it (JSON), deflated.
+    /// The operator's configuration body (JSON), compressed with deflate.
     #[prost(bytes = "bytes", tag = "4")]
     pub packed: bytes::Bytes,
 }
 
-/// Records that engines leave. One that is recorded already, at this call or a later one, changes nothing.
+/// Records the departure of engines. Engines already recorded with the same or a later call are left unchanged.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecordDepartures {
-    /// The engines.
+    /// The departures to record; their `number` is 0.
     #[prost(message, repeated, tag = "1")]
     pub departures: Vec<Departure>,
-    /// Records with this number or a lower one may be forgotten: the sender has known them for longer than a call of
-    /// an engine can be late.
+    /// Records up to this number may be removed: the sender has known them for longer than a call of an engine can be
+    /// delayed.
     #[prost(uint64, tag = "2")]
     pub forget_through: u64,
 }
 
-/// Names the version to which the engines of a model are to be brought.
+/// Sets the target version of a model's weights.
 #[derive(Clone, PartialEq, Message)]
 pub struct SetTargetVersion {
     /// Name of the model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// The version; a lower one than the named one changes nothing.
+    /// The target version; a version below the current target changes nothing.
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
@@ -190,31 +191,31 @@
     /// Name of the lease.
     #[prost(string, tag = "1")]
     pub lease_name: String,
-    /// Name of the node that is about to hold it; it already has the lease.
+    /// Name of the node that becomes the holder; it already has the lease.
     #[prost(string, tag = "2")]
     pub holder: String,
-    /// Which raise this is; the same one gets the same token again.
+    /// Identifies this raise; a repeated request returns the same token.
     #[prost(message, required, tag = "3")]
     pub id: RaiseId,
-    /// No raise: the former holder's lease has passed, and this node acts from now on. Stale unless the
-    /// raise of this id is still the newest.
+    /// Does not raise the token: states that the former holder's lease has expired and that this node acts from now
+    /// on. Stale unless the raise with this id is still the newest.
     #[prost(bool, tag = "4")]
     pub acts: bool,
 }
 
-/// What came of a change.
+/// Result of a change.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, prost::Enumeration)]
 #[repr(i32)]
 pub enum Outcome {
-    /// Nothing is known: the change may yet come into force.
+    /// The result is unknown: the change may still be committed.
     Unknown = 0,
-    /// Committed, now or earlier.
+    /// Committed, by this request or an earlier one.
     Done = 1,
-    /// Not committed, and never to be: another version follows the given base.
+    /// Not committed and never will be: a different version follows the given base.
     Stale = 2,
-    /// Not committed: the value breaks a rule.
+    /// Not committed: the value violates a rule.
     Invalid = 3,
-    /// A majority was asked, and what it holds doesn't tell whether the change was ever taken
+    /// A majority was queried, and its state does not show whether the change was ever committed.
     Unproven = 4,
 }
 
@@ -224,11 +225,11 @@
     /// An [`Outcome`].
     #[prost(enumeration = "Outcome", tag = "1")]
     pub outcome: i32,
-    /// Version or fencing token in force after the change; for a refused one, the version that stands in its
-    /// way; 0 if unknown.
+    /// Version or fencing token in force after the change; for a rejected change, the conflicting version; 0 if
+    /// unknown.
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// For a raise, the node that held the lease before; else empty.
+    /// For a raise, the node that held the lease before; otherwise empty.
     #[prost(string, tag = "3")]
     pub holder: String,
 }
--- a/crates/fleet-core/src/wire/configurations.rs
+++ b/crates/fleet-core/src/wire/configurations.rs
@@ -1,61 +1,61 @@
-//! How a configuration travels from a controller to a router.
+//! Transfer of the configuration from a controller to a router.
 
 use prost::Message;
 
-/// A router asks for the configuration in force, and says what it has.
+/// Requests the configuration in force; sent by routers.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfigRequest {
-    /// digest of the body that the router has; empty if it has none that a delta could build on
+    /// Digest of the body that the router has; empty if it has none that can be the base of a delta.
     #[prost(bytes = "bytes", tag = "1")]
     pub digest: bytes::Bytes,
 }
 
-/// The configuration that a majority confirmed after the call came; the default where none did.
+/// The configuration that a majority confirmed after the request arrived; the default value if none was confirmed.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfigResponse {
-    /// its number
+    /// Version of the configuration.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// generation of the isolation that all tenants without their own share
+    /// Isolation generation shared by all tenants without an isolation of their own.
     #[prost(uint64, tag = "2")]
     pub isolation: u64,
-    /// digest of its body
+    /// Digest of the uncompressed body.
     #[prost(bytes = "bytes", tag = "3")]
     pub digest: bytes::Bytes,
-    /// its body
+    /// The body; `None` if the router has this body already.
     #[prost(oneof = "ConfigForm", tags = "4, 5")]
     pub form: Option<ConfigForm>,
 }
 
-/// The form in which a body is given; none where the router has that very body.
+/// Encoding of a configuration body.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
 pub enum ConfigForm {
-    /// all of it, packed
+    /// The complete body, compressed.
     #[prost(bytes = "bytes", tag = "4")]
     Full(bytes::Bytes),
-    /// a packed `ConfigDelta` against the body that the router has
+    /// A compressed `ConfigDelta` whose base is the router's body.
     #[prost(bytes = "bytes", tag = "5")]
     Delta(bytes::Bytes),
 }
 
-/// What makes a new body of a former one.
+/// Operations that turn the base body into the new one.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct ConfigDelta {
-    /// in the order of the new body
+    /// Operations in the order of the new body.
     #[prost(message, repeated, tag = "1")]
     pub ops: Vec<DeltaOp>,
 }
 
-/// Copies a range of the former body, then inserts bytes.
+/// Copies a range of the base body, then inserts bytes.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct DeltaOp {
-    /// where the range begins
+    /// Start of the range.
     #[prost(uint64, tag = "1")]
     pub from: u64,
-    /// bytes of the range
+    /// Length of the range in bytes.
     #[prost(uint64, tag = "2")]
     pub length: u64,
-    /// what follows it
+    /// Bytes that follow the range.
     #[prost(bytes = "vec", tag = "3")]
     pub insert: Vec<u8>,
 }
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -1,95 +1,97 @@
-//! Engines, their heartbeats and their loads.
+//! Messages about engines, their heartbeats and their loads.
 
 use prost::Message;
 
-/// A version of the weights of a model.
+/// A version of a model's weights.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Weights {
     /// Name of the model.
     #[prost(string, tag = "1")]
     pub model: String,
-    /// Its version; rises on an instance, never falls.
+    /// Version; never decreases on an engine instance.
     #[prost(uint64, tag = "2")]
     pub version: u64,
 }
 
-/// What is known of one instance of an engine. News merge by [`crate::fleet::merge`]: the highest call
-/// of an instance wins, versions only rise, deregistration is final.
+/// Known state of one engine instance. Updates are merged by [`crate::fleet::merge`]: the latest call of an instance
+/// wins, versions only increase, deregistration is final.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Engine {
-    /// The instance's id; each start of an engine has a new one.
+    /// Id of the engine instance; each start of an engine has a new one.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// Number of the engine's call that brought this (`callSeq`); rises within an instance.
+    /// Number of the engine's call that reported this state (`callSeq`); increases within an instance.
     #[prost(uint64, tag = "2")]
     pub call: u64,
-    /// Name of the service that it belongs to.
+    /// Name of the service that the engine belongs to.
     #[prost(string, tag = "3")]
     pub service: String,
-    /// Where it takes requests, IP:PORT. May be given to another instance after it has gone.
+    /// Address for requests, IP:PORT. May be reused by another instance after this one has ended.
     #[prost(string, tag = "4")]
     pub address: String,
-    /// The zone it stands in.
+    /// Zone of the engine.
     #[prost(string, tag = "5")]
     pub zone: String,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     #[prost(uint32, tag = "6")]
     pub slots: u32,
     /// A [`EngineState`].
     #[prost(enumeration = "EngineState", tag = "7")]
     pub state: i32,
-    /// Weights that it has loaded, one entry a model.
+    /// Loaded weights, one entry per model.
     #[prost(message, repeated, tag = "8")]
     pub weights: Vec<Weights>,
-    /// No heartbeat for `MISSED_HEARTBEATS` periods, as the telling controller sees it.
+    /// No heartbeat for `MISSED_HEARTBEATS` periods, as observed by the sending controller.
     #[prost(bool, tag = "9")]
     pub heartbeat_missed: bool,
-    /// Order of the roll-out: rises with each, odd while one runs. Routers then send no requests.
+    /// Sequence number of the roll-out's update orders: increases with each start and end, odd while an update is in
+    /// progress. Routers then send no requests.
     #[prost(uint64, tag = "10")]
     pub update_seq: u64,
-    /// Notice of an order to come: rises with each, odd while the engine gets no more long streams.
+    /// Sequence number of announced updates: increases with each start and end, odd while the engine gets no new long
+    /// streams.
     #[prost(uint64, tag = "11")]
     pub drain_seq: u64,
 }
 
-/// Whether an engine takes requests.
+/// Whether an engine accepts requests.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, prost::Enumeration)]
 #[repr(i32)]
 pub enum EngineState {
-    /// It takes requests.
+    /// Accepts requests.
     Ready = 0,
-    /// It finishes what runs and takes no new requests; it still serves as a source of kept prompts.
+    /// Completes running requests and accepts no new ones; it still serves as a source of cached prefixes.
     Draining = 1,
-    /// It has ended; final for this instance.
+    /// Has ended; final for this instance.
     Deregistered = 2,
 }
 
-/// Engines as one controller sends them to another; answered in kind.
+/// Engine states that one controller sends to another; answered with the same message.
 #[derive(Clone, PartialEq, Message)]
 pub struct EngineHeartbeats {
-    /// News of engines; all that are known if the receiver has asked for them.
+    /// Changed engines, or all known engines if the receiver has requested them.
     #[prost(message, repeated, tag = "1")]
     pub engines: Vec<Engine>,
-    /// Asks for all engines that the receiver knows; the answer is empty otherwise.
+    /// Requests all engines that the receiver knows; otherwise the answer is empty.
     #[prost(bool, tag = "2")]
     pub request_all: bool,
 }
 
-/// Loads of engines, in parallel lists: from a router its own sends in flight, from a controller the
-/// sum over its routers, to a router the sum over all. Engines without load are left out. Each message
-/// replaces the one before from the same sender, and counts for `LOAD_REPORT_TIMEOUT`.
+/// Loads of engines as parallel lists: a router reports its own requests in flight, a controller the sum over its
+/// routers to the other controllers, and the sum over all routers to a router. Engines without load are omitted. Each
+/// message replaces the previous one of the same sender, and expires after `LOAD_REPORT_TIMEOUT`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadReport {
-    /// Hash of the engine's id (`load::key_of`); two that collide only look busier than they are.
+    /// Hashes of the engine ids (`load::key_of`); engines whose hashes collide only appear busier than they are.
     #[prost(fixed32, repeated, tag = "1")]
     pub keys: Vec<u32>,
-    /// Tokens of sends whose answer has not begun, in units of `LOAD_TOKENS`, rounded up.
+    /// Prompt tokens of requests whose response has not begun, in units of `LOAD_TOKEN_UNIT`, rounded up.
     #[prost(uint32, repeated, tag = "2")]
     pub unread: Vec<u32>,
-    /// Sends in flight.
+    /// Requests in flight.
     #[prost(uint32, repeated, tag = "3")]
     pub runs: Vec<u32>,
-    /// Of these, sends that somebody waits for.
+    /// Number of these that are interactive: a client waits for the response.
     #[prost(uint32, repeated, tag = "4")]
     pub interactive: Vec<u32>,
 }
--- a/crates/fleet-core/src/wire/frame.rs
+++ b/crates/fleet-core/src/wire/frame.rs
@@ -1,4 +1,4 @@
-//! The frame that every message travels in.
+//! The frame that carries every message.
 
 use super::{
     Accept, BallotReport, CachedPrefixes, ChangeRequest, ChangeResponse, CommitNotice,
@@ -13,18 +13,18 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct Empty {}
 
-/// One message on a link. On the wire, its length as four bytes, big-endian, goes before it; at most
-/// `FRAME_MAX` bytes. An unknown body is read as none.
+/// One message on a link. On the wire it is preceded by its length as a big-endian 32-bit integer; it has at most
+/// `FRAME_MAX` bytes. An unknown body is decoded as `None`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
-    /// Number of the call that this is, or that it answers, unique to the caller's side of a link; 0
-    /// for what is pushed and never answered.
+    /// Number of the call, or of the call that this answers; unique per caller and link. 0 for messages that are
+    /// never answered.
     #[prost(uint64, tag = "1")]
     pub call: u64,
-    /// Whether this answers the call of that number.
+    /// Whether this is the answer to the call with that number.
     #[prost(bool, tag = "2")]
     pub answer: bool,
-    /// The message itself; none where the receiver does not know its kind.
+    /// The message; `None` if the receiver does not know its kind.
     #[prost(
         oneof = "Body",
         tags = "3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27, 28, 29, 32, 33, 40, 41, 42"
@@ -32,10 +32,10 @@
     pub body: Option<Body>,
 }
 
-/// The kinds of message. Tags are never used again.
+/// Kinds of messages. Tags are never reused.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// First frame of a link, from who opened it; not answered.
+    /// First frame of a link, sent by the side that opened it; not answered.
     #[prost(message, tag = "3")]
     Handshake(Handshake),
     /// Controller to controller; answered with `Vote`.
@@ -53,19 +53,19 @@
     /// Answer to `ReadBallots` and `RecoverRequest`.
     #[prost(message, tag = "8")]
     BallotReport(BallotReport),
-    /// Controller with an empty disk to the others; answered with `BallotReport`.
+    /// From a controller with an empty disk to the others; answered with `BallotReport`.
     #[prost(message, tag = "9")]
     RecoverRequest(RecoverRequest),
-    /// Anyone to a controller; answered with `RegisterResponse`.
+    /// From any process to a controller; answered with `RegisterResponse`.
     #[prost(message, tag = "10")]
     RegisterRequest(RegisterRequest),
     /// Answer to `RegisterRequest`.
     #[prost(message, tag = "11")]
     RegisterResponse(RegisterResponse),
-    /// Owner of a key to the other controllers; not answered.
+    /// From the owner of a key to the other controllers; not answered.
     #[prost(message, tag = "12")]
     CommitNotice(CommitNotice),
-    /// Controller to the owner of a key, or who is taken for it; answered with `ChangeResponse`.
+    /// From a controller to the presumed owner of a key; answered with `ChangeResponse`.
     #[prost(message, tag = "13")]
     ChangeRequest(ChangeRequest),
     /// Answer to `ChangeRequest`.
@@ -89,7 +89,7 @@
     /// Router to controller; answered with `Acknowledged`.
     #[prost(message, tag = "20")]
     RouterHeartbeat(RouterHeartbeat),
-    /// Pushed by a controller to a router.
+    /// Pushed by a controller to a router; not answered.
     #[prost(message, tag = "21")]
     FleetUpdate(FleetUpdate),
     /// Router to the index owner; answered with `RingResponse`.
@@ -98,31 +98,31 @@
     /// Answer to `RingRequest`.
     #[prost(message, tag = "23")]
     RingResponse(RingResponse),
-    /// Answer without content: it was done.
+    /// Answer without content: the call was executed.
     #[prost(message, tag = "24")]
     Empty(Empty),
-    /// Answer without content: it was received.
+    /// Answer without content: the call was received.
     #[prost(message, tag = "25")]
     Acknowledged(Empty),
-    /// Router to the index owner; not answered.
+    /// From a router to the index owner; not answered.
     #[prost(message, tag = "26")]
     CachedPrefixes(CachedPrefixes),
-    /// Both ways between routers and controllers, and between controllers; not answered.
+    /// In both directions between routers and controllers, and between controllers; not answered.
     #[prost(message, tag = "27")]
     LoadReport(LoadReport),
-    /// Controller that reads its state back, to one that holds a value; answered with `ValueChunk`.
+    /// From a controller that restores its state to one that holds a value; answered with `ValueChunk`.
     #[prost(message, tag = "28")]
     ValueChunkRequest(ValueChunkRequest),
     /// Answer to `ValueChunkRequest`.
     #[prost(message, tag = "29")]
     ValueChunk(ValueChunk),
-    /// Asks whether a key's owner has timed out.
+    /// Asks whether a key's owner has timed out; answered with `PreVoteResponse`.
     #[prost(message, tag = "40")]
     PreVoteRequest(PreVoteRequest),
-    /// Answers `PreVoteRequest`.
+    /// Answer to `PreVoteRequest`.
     #[prost(message, tag = "41")]
     PreVoteResponse(PreVoteResponse),
-    /// A controller has given back the keys that it owned; answered with `Acknowledged`.
+    /// A controller has released the keys that it owned; answered with `Acknowledged`.
     #[prost(message, tag = "42")]
     OwnerResigned(Empty),
     /// Router to controller; answered with `ConfigResponse`.
--- a/crates/fleet-core/src/wire/leases.rs
+++ b/crates/fleet-core/src/wire/leases.rs
@@ -1,31 +1,30 @@
-//! Messages of leases.
+//! Messages for acquiring and releasing leases.
 
 use prost::Message;
 
-/// Asks a member for its grant of a lease, or gives the lease back. The asker counts the lease
-/// from before it asked, and holds the lease with the grants of a majority only.
+/// Requests a member's grant of a lease, or releases the lease. The requester counts the lease duration from before
+/// it sent the request, and holds the lease only with the grants of a majority.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseRequest {
     /// Name of the lease.
     #[prost(string, tag = "1")]
     pub lease_name: String,
-    /// Incarnation of the asking process.
+    /// Incarnation of the requesting process.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// Length of the lease in ms. Granters go by their own settings.
+    /// Duration of the lease in ms. Members use the duration in their own settings.
     #[prost(uint64, tag = "3")]
     pub ms: u64,
-    /// Gives the lease back.
+    /// Releases the lease.
     #[prost(bool, tag = "4")]
     pub release: bool,
-    /// Name of the asking node. A new incarnation of the same node may stand in for the one before it
-    /// at once.
+    /// Name of the requesting node. A new incarnation of the same node may immediately replace the previous one.
     #[prost(string, tag = "5")]
     pub node: String,
     /// Epoch of the membership whose majority is asked.
     #[prost(uint64, tag = "6")]
     pub membership: u64,
-    /// Rises with each message of the incarnation, so that a late one is known.
+    /// Increases with each message of the incarnation, so that delayed messages are detected.
     #[prost(uint64, tag = "7")]
     pub number: u64,
 }
@@ -33,8 +32,7 @@
 /// Answer to [`LeaseRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseResponse {
-    /// Granted: the granter grants this lease to no other node until the lease has passed, counted from
-    /// its answer.
+    /// Granted: the member grants this lease to no other node until the lease has expired, counted from its answer.
     #[prost(bool, tag = "1")]
     pub ok: bool,
 }
--- a/crates/fleet-core/src/wire/membership.rs
+++ b/crates/fleet-core/src/wire/membership.rs
@@ -1,44 +1,44 @@
-//! Messages about who the controllers are.
+//! Messages about the membership of the controllers.
 
 use prost::Message;
 
 /// A controller with a vote.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Member {
-    /// The node's name.
+    /// Name of the node.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Its IPv4 address, which names it in ballots and votes.
+    /// Its IPv4 address, which identifies it in ballots and votes.
     #[prost(string, tag = "2")]
     pub ip: String,
-    /// The zone it stands in.
+    /// Zone of the node.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Where it takes calls of engines and the operator, IP:PORT.
+    /// Its listen address for engines and operators, IP:PORT.
     #[prost(string, tag = "4")]
     pub control: String,
-    /// epoch of the membership that took this member in: one that knows only earlier ones was
-    /// removed meanwhile, or was never a member, and holds nothing to vote with
+    /// Epoch of the membership that added this member. A node that only knows earlier epochs was removed in the
+    /// meantime or was never a member, and has no state to vote with.
     #[prost(uint64, tag = "5")]
     pub joined_epoch: u64,
 }
 
 impl Member {
-    /// Its address; none where it cannot be read.
+    /// Its address; `None` if it cannot be parsed.
     pub fn addr(&self) -> Option<std::net::Ipv4Addr> {
         self.ip.parse().ok()
     }
 
-    /// Its number in ballots; none where its address cannot be read.
+    /// Its node number in ballots; `None` if its address cannot be parsed.
     pub fn id(&self) -> Option<u64> {
         self.addr().map(crate::node::id_of)
     }
 }
 
-/// The controllers that vote.
+/// The voting controllers.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Membership {
-    /// Rises by one with each change of members; 0 before the first.
+    /// Increases by one with each membership change; 0 before the first.
     #[prost(uint64, tag = "1")]
     pub epoch: u64,
     /// All voters.
@@ -47,50 +47,50 @@
 }
 
 impl Membership {
-    /// Of how many members a majority consists.
+    /// Number of members that form a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 }
 
-/// First frame of a link: who has opened it.
+/// First frame of a link: identifies the side that opened it.
 #[derive(Clone, PartialEq, Message)]
 pub struct Handshake {
-    /// The node's name.
+    /// Name of the node.
     #[prost(string, tag = "1")]
     pub name: String,
     /// Its IPv4 address.
     #[prost(string, tag = "2")]
     pub ip: String,
-    /// The zone it stands in.
+    /// Zone of the node.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// A [`crate::node::Role`] as its number.
+    /// A [`crate::node::Role`] as a number.
     #[prost(uint32, tag = "4")]
     pub role: u32,
-    /// Random number of this start of the process; never 0.
+    /// Random number of this process start; never 0.
     #[prost(uint64, tag = "5")]
     pub incarnation: u64,
 }
 
-/// A controller outside the membership asks for a place in it, again and again until it has one.
+/// Requests membership for a controller; repeated until it is a member.
 #[derive(Clone, PartialEq, Message)]
 pub struct JoinRequest {
-    /// Who asks.
+    /// The requesting controller.
     #[prost(message, required, tag = "1")]
     pub member: Member,
-    /// Has no disk: wants to know the membership, never to be in it.
+    /// The controller has no disk: it asks for the membership and never becomes a member.
     #[prost(bool, tag = "2")]
     pub observes: bool,
-    /// For how long its process has run.
+    /// How long its process has been running, in ms.
     #[prost(uint64, tag = "3")]
     pub running_ms: u64,
 }
 
-/// Answer to [`JoinRequest`]; a place is given later, by a new membership.
+/// Answer to [`JoinRequest`]; the controller becomes a member later, by a membership change.
 #[derive(Clone, PartialEq, Message)]
 pub struct JoinResponse {
-    /// The membership in force, as the answering controller knows it.
+    /// The membership in force, as known to the answering controller.
     #[prost(message, optional, tag = "1")]
     pub membership: Option<Membership>,
 }
--- a/crates/fleet-core/src/wire/mod.rs
+++ b/crates/fleet-core/src/wire/mod.rs
@@ -1,8 +1,8 @@
 //! Messages between the system's own processes, and the values that voters store.
 //!
-//! A [`Frame`] carries one [`Body`]. Tags and forms never change: members of several versions run side by side, and disks
-//! keep what older ones wrote (`tests/wire_format.rs`). A process ignores what it doesn't know, so that a new field or
-//! message has to be safe to miss.
+//! A [`Frame`] carries one [`Body`]. Tags and encodings never change: members of different versions run side by side,
+//! and disks keep data written by older versions (`tests/wire_format.rs`). A process ignores what it does not know,
+//! so a new field or message must be safe to ignore.
 
 mod answers;
 mod changes;
--- a/crates/fleet-core/src/wire/registers.rs
+++ b/crates/fleet-core/src/wire/registers.rs
@@ -6,25 +6,25 @@
 /// Orders the rounds of a register. Compared field by field in this order.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Message)]
 pub struct Ballot {
-    /// Epoch: rises with each take-over of the key.
+    /// Epoch: increases each time that the key is taken over.
     #[prost(uint64, tag = "1")]
     pub n: u64,
-    /// The owner's number (its IPv4 address); parts owners that chose the same epoch.
+    /// Number of the owning node (its IPv4 address); distinguishes owners that chose the same epoch.
     #[prost(uint64, tag = "2")]
     pub node: u64,
-    /// Rounds of this owner under this epoch; 0 for the prepare phase.
+    /// Number of the owner's round in this epoch; 0 for the prepare phase.
     #[prost(uint64, tag = "3")]
     pub seq: u64,
 }
 
 impl Ballot {
-    /// What all rounds of one owner under one epoch share.
+    /// The part of the ballot that all rounds of one owner in one epoch share.
     pub fn epoch(&self) -> (u64, u64) {
         (self.n, self.node)
     }
 }
 
-/// One replicated register, as a member holds it.
+/// The state of one replicated register on a member.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Register {
     /// Name of the key.
@@ -33,31 +33,30 @@
     /// No round below this epoch is accepted any more.
     #[prost(message, required, tag = "2")]
     pub promised: Ballot,
-    /// Ballot of the accepted value; the default if there is none.
+    /// Ballot of the accepted value; the default value if there is none.
     #[prost(message, required, tag = "3")]
     pub accepted: Ballot,
-    /// The accepted value, encoded as the key demands; may be left out on the wire where only ballots
-    /// are asked for.
+    /// The accepted value in the encoding of its key; may be omitted on the wire if only ballots are requested.
     #[prost(bytes = "bytes", tag = "4")]
     pub value: bytes::Bytes,
 }
 
-/// First phase: asks for the promise to accept no round of a lower epoch.
+/// First phase: requests a promise not to accept rounds of lower epochs.
 #[derive(Clone, PartialEq, Message)]
 pub struct Prepare {
     /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Epoch of the sender's membership; refused under any other.
+    /// Epoch of the sender's membership; rejected if the receiver's differs.
     #[prost(uint64, tag = "2")]
     pub membership: u64,
-    /// The epoch to promise.
+    /// The ballot to promise.
     #[prost(message, required, tag = "3")]
     pub ballot: Ballot,
-    /// The sender's recovery epoch; refused where the receiver's is later.
+    /// Recovery epoch of the sender; rejected if the receiver's is later.
     #[prost(uint64, tag = "4")]
     pub recovery_epoch: u64,
-    /// Accepted ballot of the proposer's own acceptor: values that are not newer may be left out.
+    /// Accepted ballot of the proposer's own acceptor; values that are not newer may be omitted from the answer.
     #[prost(message, required, tag = "5")]
     pub own_accepted: Ballot,
 }
@@ -65,10 +64,10 @@
 /// Asks a voter whether the key's owner has timed out, before any ballot is prepared.
 #[derive(Clone, PartialEq, Message)]
 pub struct PreVoteRequest {
-    /// Key that the asker means to take over.
+    /// The key that the sender intends to take over.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Membership epoch of the asker; voters of another one say no.
+    /// Membership epoch of the sender; voters in a different one answer no.
     #[prost(uint64, tag = "2")]
     pub membership: u64,
 }
@@ -79,59 +78,59 @@
     /// Whether this voter would take part in an election now.
     #[prost(bool, tag = "1")]
     pub ok: bool,
-    /// Ballot that the voter has promised for the key; its proposer is the owner.
+    /// Ballot that the voter has promised for the key; its node is the owner.
     #[prost(message, required, tag = "2")]
     pub promised: Ballot,
 }
 
-/// Second phase: asks to accept a value. The sender has it on its own disk already.
+/// Second phase: requests the acceptance of a value. The value is already on the sender's own disk.
 #[derive(Clone, PartialEq, Message)]
 pub struct Accept {
     /// Name of the key.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// Epoch of the sender's membership; refused under any other.
+    /// Epoch of the sender's membership; rejected if the receiver's differs.
     #[prost(uint64, tag = "2")]
     pub membership: u64,
-    /// The round.
+    /// The round in which the value is proposed.
     #[prost(message, required, tag = "3")]
     pub ballot: Ballot,
-    /// The value.
+    /// The proposed value; empty if `same_as` is set.
     #[prost(bytes = "bytes", tag = "4")]
     pub value: bytes::Bytes,
-    /// The sender's recovery epoch; refused where the receiver's is later.
+    /// Recovery epoch of the sender; rejected if the receiver's is later.
     #[prost(uint64, tag = "5")]
     pub recovery_epoch: u64,
-    /// In place of the value: the ballot under which this voter has accepted the very same value.
+    /// Replaces the value: the ballot with which this voter has accepted the identical value.
     #[prost(message, optional, tag = "6")]
     pub same_as: Option<Ballot>,
 }
 
-/// Answer to [`Prepare`] and [`Accept`]; sent only once what it says is on the voter's disk.
+/// Answer to [`Prepare`] and [`Accept`]; sent only after the state that it reports is on the voter's disk.
 #[derive(Clone, PartialEq, Message)]
 pub struct Vote {
-    /// Promised or accepted.
+    /// Whether the voter promised or accepted.
     #[prost(bool, tag = "1")]
     pub ok: bool,
-    /// On a promise, the voter's register with its value; on a refusal, its ballots without the value,
-    /// if it knows the key; else none.
+    /// On a promise, the voter's register with its value; on a rejection, its ballots without the value, if the voter
+    /// has the key; otherwise `None`.
     #[prost(message, optional, tag = "2")]
     pub register: Option<Register>,
-    /// On a refusal, the voter's membership, which may be newer.
+    /// On a rejection, the voter's membership, which may be newer.
     #[prost(message, optional, tag = "3")]
     pub membership: Option<Membership>,
-    /// The voter's recovery epoch; votes of two recovery epochs do not count together.
+    /// Recovery epoch of the voter; votes of different recovery epochs are not counted together.
     #[prost(uint64, tag = "4")]
     pub recovery_epoch: u64,
 }
 
-/// Asks for all registers of a member; changes nothing.
+/// Requests all registers of a member without changing them.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReadBallots {
-    /// Epoch of the asker's membership.
+    /// Epoch of the sender's membership.
     #[prost(uint64, tag = "1")]
     pub membership: u64,
-    /// Whether values are wanted, or ballots only.
+    /// Whether values are requested in addition to ballots.
     #[prost(bool, tag = "2")]
     pub values: bool,
 }
@@ -139,10 +138,10 @@
 /// Answer to [`ReadBallots`] and [`RecoverRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct BallotReport {
-    /// Whether the member votes at all; only then does its answer count.
+    /// Whether the member votes; its answer counts only if it does.
     #[prost(bool, tag = "1")]
     pub votes: bool,
-    /// All its registers; values only where the question asked for them, never on [`RecoverRequest`].
+    /// All its registers; with values only if they were requested, never in the answer to [`RecoverRequest`].
     #[prost(message, repeated, tag = "2")]
     pub registers: Vec<Register>,
     /// The membership that it votes in.
@@ -154,29 +153,29 @@
 }
 
 impl BallotReport {
-    /// Whether it is of a voter in the membership of this epoch: only then does it count there.
+    /// Whether the report is from a voter in the membership with this epoch; it counts only in that membership.
     pub fn votes_in(&self, membership: u64) -> bool {
         let epoch = self.membership.as_ref().map(|membership| membership.epoch);
         self.votes && epoch == Some(membership)
     }
 }
 
-/// An empty disk asks for all ballots, and ends what its former incarnation had on the way: whoever
-/// answers is in the new recovery epoch, and votes in no earlier one.
+/// Requests all ballots for a member with an empty disk, and invalidates messages of its former incarnation: a member
+/// that answers has entered the new recovery epoch and votes in no earlier one.
 #[derive(Clone, PartialEq, Message)]
 pub struct RecoverRequest {
-    /// Epoch of the asker's membership; under another one the answer has no values.
+    /// Epoch of the sender's membership; if the receiver's differs, the answer contains no values.
     #[prost(uint64, tag = "1")]
     pub membership: u64,
-    /// The asker's present incarnation; messages of earlier ones are dropped from now on.
+    /// Current incarnation of the sender; messages of earlier ones are dropped from now on.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The new recovery epoch, above all that the asker knows.
+    /// The new recovery epoch, above all epochs that the sender knows.
     #[prost(uint64, tag = "3")]
     pub recovery_epoch: u64,
 }
 
-/// Asks for one register.
+/// Requests one register.
 #[derive(Clone, PartialEq, Message)]
 pub struct RegisterRequest {
     /// Name of the key.
@@ -187,24 +186,24 @@
 /// Answer to [`RegisterRequest`].
 #[derive(Clone, PartialEq, Message)]
 pub struct RegisterResponse {
-    /// Whether there is an answer; not if a majority could not be reached.
+    /// Whether the register is known; false if a majority could not be reached.
     #[prost(bool, tag = "1")]
     pub is_known: bool,
-    /// The register, with its value.
+    /// The register with its value.
     #[prost(message, optional, tag = "2")]
     pub register: Option<Register>,
 }
 
-/// Asks a holder for the part of an accepted value that begins at `offset`.
+/// Requests the part of an accepted value that begins at `offset` from a member that has it.
 #[derive(Clone, PartialEq, Message)]
 pub struct ValueChunkRequest {
     /// Key of the register.
     #[prost(string, tag = "1")]
     pub key: String,
-    /// The accepted ballot whose value is read; a holder that is past it gives its later one.
+    /// Accepted ballot whose value is read; a holder that has accepted a later one returns that.
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// Bytes that the asker has.
+    /// Number of bytes that the sender already has.
     #[prost(uint64, tag = "3")]
     pub offset: u64,
 }
@@ -212,22 +211,22 @@
 /// Part of an accepted value.
 #[derive(Clone, PartialEq, Message)]
 pub struct ValueChunk {
-    /// The ballot that the value was accepted at; blank where the holder has nothing.
+    /// Ballot with which the value was accepted; the default value if the holder has none.
     #[prost(message, required, tag = "1")]
     pub ballot: Ballot,
-    /// Where this part begins.
+    /// Position of this part in the value.
     #[prost(uint64, tag = "2")]
     pub offset: u64,
-    /// Bytes of the whole value.
+    /// Size of the complete value in bytes.
     #[prost(uint64, tag = "3")]
     pub total: u64,
-    /// The part.
+    /// Content of this part.
     #[prost(bytes = "bytes", tag = "4")]
     pub bytes: bytes::Bytes,
 }
 
-/// Tells that the value at this ballot is committed. A hint: who has accepted it may count it as
-/// committed, others find out by themselves.
+/// Announces that the value with this ballot is committed. A hint: a receiver that has accepted the ballot may treat
+/// it as committed, others find out on their own.
 #[derive(Clone, PartialEq, Message)]
 pub struct CommitNotice {
     /// Name of the key.
--- a/crates/fleet-core/tests/configuration_sizes.rs
+++ b/crates/fleet-core/tests/configuration_sizes.rs
@@ -1,13 +1,12 @@
-//! Bytes that a router gets for a configuration, whole and for one change of it, at three sizes.
-//! `cargo test -p fleet-core --test configuration_sizes -- --nocapture` prints the table of
-//! docs/measurements.md.
+//! Size of the messages that transfer a configuration to a router, in full and as a delta, at three sizes. `cargo
+//! test -p fleet-core --test configuration_sizes -- --nocapture` prints the table of docs/measurements.md.
 
 use fleet_core::{delta, node, packing};
 use prost::Message;
 
 const ROUTES: [u64; 3] = [10, 400, 1600];
 
-/// A name that doesn't compress with its neighbours, as those of real routes don't.
+/// A name that does not compress together with similar ones, like the names of real routes.
 fn name(kind: &str, number: u64) -> String {
     let hash = node::stable_hash(&[kind.as_bytes(), &number.to_be_bytes()]);
     format!("{kind}{:08x}", hash as u32)
@@ -31,7 +30,7 @@
     })
 }
 
-/// A configuration in which the first `changed` of its routes have another time-out.
+/// A configuration in which the first `changed` routes have a different time-out.
 fn body(revision: u64, routes: u64, changed: u64) -> Vec<u8> {
     let timeout = |number| if number < changed { 7000 } else { 20_000 };
     serde_json::json!({
--- a/crates/fleet-core/tests/docs.rs
+++ b/crates/fleet-core/tests/docs.rs
@@ -1,16 +1,16 @@
-//! What the pages of docs/ name in the sources exists: paths of files and folders, types and constants.
+//! Checks that paths, types and constants named on the pages of docs/ exist in the sources.
 //!
-//! The log of measurements and the incident pages tell of sources as they were then, and the questions page of the
-//! users' pages; they are left out.
+//! The measurement log and the incident pages describe the sources at an earlier time, and the questions page
+//! describes the users' pages; they are excluded.
 
 use std::collections::HashSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Pages of docs/ that don't speak of the sources as they are.
+/// Pages of docs/ that do not describe the current sources.
 const LEFT_OUT: [&str; 2] = ["measurements.md", "questions.md"];
 
-/// The folder of the workspace.
+/// Root directory of the workspace.
 fn workspace() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .ancestors()
@@ -19,7 +19,7 @@
         .to_owned()
 }
 
-/// All files below a folder, and the folders themselves.
+/// Collects all files below a directory, and the directory with its subdirectories.
 fn walk(folder: &Path, files: &mut Vec<PathBuf>, folders: &mut Vec<PathBuf>) {
     folders.push(folder.to_owned());
     for entry in fs::read_dir(folder).expect("a readable folder") {
@@ -32,7 +32,7 @@
     }
 }
 
-/// The pages that speak of the sources as they are.
+/// The pages that describe the current sources.
 fn pages(root: &Path) -> Vec<PathBuf> {
     let mut pages = vec![root.join("README.md"), root.join("CONTRIBUTING.md")];
     for entry in fs::read_dir(root.join("docs")).expect("a folder of docs") {
@@ -45,18 +45,18 @@
     pages
 }
 
-/// What stands between backticks on a line.
+/// The texts between backticks on a line.
 fn spans(line: &str) -> impl Iterator<Item = &str> {
     line.split('`').skip(1).step_by(2)
 }
 
-/// Whether a span is meant as a path of the sources.
+/// Whether a code span is a path in the sources.
 fn is_path(span: &str) -> bool {
     let is_part = |c: char| c.is_alphanumeric() || "_-./".contains(c);
     span.chars().all(is_part) && (span.ends_with(".rs") || span.ends_with('/'))
 }
 
-/// The last part of a span that is meant as a type (`module::TypeName`) or a constant (`SOME_LIMIT`).
+/// The last segment of a code span that names a type (`module::TypeName`) or a constant (`SOME_LIMIT`).
 fn name(span: &str) -> Option<&str> {
     if !span.chars().all(|c| c.is_ascii_alphanumeric() || c == '_' || c == ':') {
         return None;
@@ -71,7 +71,7 @@
     (starts_upper && (is_type || is_constant)).then_some(last)
 }
 
-/// Every word of the sources, those of strings and comments too: settings and messages are named there.
+/// All words of the sources, including strings and comments, because settings and messages are named there.
 fn words(files: &[PathBuf]) -> HashSet<String> {
     let mut words = HashSet::new();
     for file in
--- a/crates/fleet-core/tests/event_numbers.rs
+++ b/crates/fleet-core/tests/event_numbers.rs
@@ -1,4 +1,4 @@
-//! Number and level of each log event: alerts go by them, so they never change. Texts may.
+//! Number and level of each log event: alerts depend on them, so they never change. Texts may change.
 
 use fleet_core::log::Event;
 
@@ -53,7 +53,7 @@
     ]
 };
 
-/// Numbers that came after those above, in their order.
+/// Events that were added later, in the order of their addition.
 const LATER: [(u32, slog::Level); 5] = [
     (332, slog::Level::Info),
     (333, slog::Level::Info),
--- a/crates/fleet-core/tests/load.rs
+++ b/crates/fleet-core/tests/load.rs
@@ -1,4 +1,4 @@
-//! Loads of engines, added up over routers and controllers.
+//! Aggregation of engine loads over routers and controllers.
 
 use fleet_core::constants;
 use fleet_core::load::{ByEngine, Load, LoadTable, ReportSchedule, key_of, pack, unpack};
--- a/crates/fleet-core/tests/settings_format.rs
+++ b/crates/fleet-core/tests/settings_format.rs
@@ -1,4 +1,4 @@
-//! Names, units and defaults of the fields of the settings file, as the platform writes them.
+//! Names, units and defaults of the settings file's fields, as written by the platform.
 
 use fleet_core::settings::{Bounds, PortRange, Settings, SettingsError};
 use std::time::Duration;
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -1,5 +1,5 @@
-//! Bytes on the wire for each item, at three sizes: what docs/CAPACITY.md reckons with.
-//! `cargo test -p fleet-core --test sizes -- --nocapture` prints them.
+//! Size on the wire of each item, at three fleet sizes, on which docs/CAPACITY.md is based. `cargo test -p fleet-core
+//! --test sizes -- --nocapture` prints them.
 
 use fleet_core::load::{ByEngine, Load, pack};
 use fleet_core::wire::{
@@ -9,7 +9,7 @@
 
 const SIZES: [usize; 3] = [90, 280, 760];
 
-/// Bytes of each more item, the same between all sizes.
+/// Size of each additional item, which must be the same between all fleet sizes.
 fn slope(what: &str, bytes: impl Fn(usize) -> usize) -> f64 {
     let at: Vec<usize> = SIZES.iter().map(|n| bytes(*n)).collect();
     let per = |a: usize, b: usize| (at[b] - at[a]) as f64 / (SIZES[b] - SIZES[a]) as f64;
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -1,8 +1,8 @@
-//! Bytes of every message between the processes and of every value of the control state.
+//! Encodings of every message between processes and of every value of the control state.
 //!
-//! `fixtures/frames.txt` was written by an earlier release: members of two releases run side by side during
-//! an upgrade, so each line has to be read as the same message, and the message has to be written as the
-//! same bytes. A line is added for a new message, and none is ever changed.
+//! `fixtures/frames.txt` was written by an earlier release: members of two releases run side by side during an
+//! upgrade, so each line has to be decoded to the same message, and the message has to be encoded to the same bytes.
+//! A line is added for each new message; existing lines are never changed.
 
 use fleet_core::wire::*;
 use prost::Message;
@@ -10,7 +10,7 @@
 
 const FIXTURES: &str = include_str!("fixtures/frames.txt");
 
-/// Tags of `Frame::body` that are in use; one that was given up is never used again.
+/// Tags of `Frame::body` in use; tags that are no longer used are never reused.
 const BODY_TAGS: [u32; 32] = [
     3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25, 26, 27,
     28, 29, 32, 33, 40, 41, 42,
@@ -105,7 +105,7 @@
     })
 }
 
-/// The messages of registers and of members.
+/// Messages of registers and membership.
 fn control_bodies() -> Vec<(&'static str, Body)> {
     let prepare = Prepare {
         key: "config".into(),
@@ -189,7 +189,7 @@
     Departure { engine: "e1".into(), call: 5, state: EngineState::Draining as i32, number }
 }
 
-/// Leases, engines, routers and what is pushed to these.
+/// Messages about leases, engines and routers, and messages pushed to routers.
 fn fleet_bodies() -> Vec<(&'static str, Body)> {
     let handshake = Handshake {
         name: "n1".into(),
@@ -246,7 +246,7 @@
     ]
 }
 
-/// The ring of invalidations and the prompt index.
+/// Messages of the invalidation ring and the prompt index.
 fn ring_bodies() -> Vec<(&'static str, Body)> {
     let request_all = RingRequest {
         fencing_token: 1,
@@ -281,7 +281,7 @@
     [control_bodies(), change_bodies(), fleet_bodies(), ring_bodies()].concat()
 }
 
-/// The values that keys of the control state hold, and what packed bytes of a configuration hold.
+/// Values of keys of the control state, and the content of compressed configuration data.
 fn values() -> Vec<(&'static str, Vec<u8>)> {
     let config = ConfigValue {
         version: 1,
@@ -342,7 +342,7 @@
     }
 }
 
-/// Tags 30 and above 42 are not in use: a frame that bears one is read as one without a body.
+/// Tags 30 and above 42 are not in use: a frame with one of them is decoded as a frame without a body.
 #[test]
 fn an_unknown_message_is_read_as_none() {
     let mut bytes = Frame { call: 5, answer: false, body: None }.encode_to_vec();
