--- a/crates/fleet-core/src/change_log.rs
+++ b/crates/fleet-core/src/change_log.rs
@@ -52,8 +52,8 @@
     /// The events after the first `position`; `None` if some of them are no longer kept or if `position` is beyond
     /// the head.
     pub fn since(&self, position: u64) -> Option<impl Iterator<Item = &V::Event>> {
-        let gap = self.head.checked_sub(position)? as usize;
-        let skip = self.tail.len().checked_sub(gap)?;
+        let newer_events = self.head.checked_sub(position)? as usize;
+        let skip = self.tail.len().checked_sub(newer_events)?;
         Some(self.tail.iter().skip(skip))
     }
 }
--- a/crates/fleet-core/src/configuration/checks.rs
+++ b/crates/fleet-core/src/configuration/checks.rs
@@ -5,16 +5,16 @@
 use validator::{Validate, ValidationErrors, ValidationErrorsKind};
 
 /// Path of the first field that is out of bounds.
-fn first_place(errors: &ValidationErrors) -> String {
+fn first_invalid_path(errors: &ValidationErrors) -> String {
     for (field, kind) in errors.errors() {
         match kind {
             ValidationErrorsKind::List(items) => {
                 if let Some((index, inner)) = items.iter().next() {
-                    return format!("{field}[{index}].{}", first_place(inner));
+                    return format!("{field}[{index}].{}", first_invalid_path(inner));
                 }
             }
             ValidationErrorsKind::Struct(inner) => {
-                return format!("{field}.{}", first_place(inner));
+                return format!("{field}.{}", first_invalid_path(inner));
             }
             ValidationErrorsKind::Field(_) => return field.to_string(),
         }
@@ -34,7 +34,7 @@
         })?;
         configuration
             .validate()
-            .map_err(|e| ConfigError::OutOfBounds { place: first_place(&e) })?;
+            .map_err(|e| ConfigError::OutOfBounds { place: first_invalid_path(&e) })?;
         configuration.check_routes()?;
         configuration.check_keys()?;
         Ok(configuration)
@@ -44,19 +44,22 @@
     fn check_routes(&self) -> Result<(), ConfigError> {
         let services: HashSet<&str> =
             self.services.iter().map(|service| service.name.as_str()).collect();
-        let mut places = HashMap::new();
+        let mut seen_routes = HashMap::new();
         for (index, route) in self.routes.iter().enumerate() {
             let place = format!("routes[{index}]");
             let key = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-            if let Some(other) = places.insert(key, index) {
-                return Err(ConfigError::SamePlace { place, other: format!("routes[{other}]") });
+            if let Some(other) = seen_routes.insert(key, index) {
+                return Err(ConfigError::DuplicateRoute {
+                    place,
+                    other: format!("routes[{other}]"),
+                });
             }
             let shares = route.shares();
             if let Some((unknown, _)) = shares.iter().find(|(name, _)| !services.contains(name)) {
                 return Err(ConfigError::UnknownService { place, service: (*unknown).to_owned() });
             }
             if shares.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>() == 0 {
-                return Err(ConfigError::NoWeight { place });
+                return Err(ConfigError::ZeroTotalWeight { place });
             }
         }
         Ok(())
@@ -64,10 +67,11 @@
 
     /// No API key belongs to two tenants.
     fn check_keys(&self) -> Result<(), ConfigError> {
-        let mut owners: HashMap<&str, usize> = HashMap::new();
+        let mut tenant_by_key: HashMap<&str, usize> = HashMap::new();
         for (index, tenant) in self.tenants.iter().enumerate() {
             for (key_index, key) in tenant.api_keys.iter().enumerate() {
-                let other = owners.insert(key.as_str(), index).filter(|other| *other != index);
+                let other =
+                    tenant_by_key.insert(key.as_str(), index).filter(|other| *other != index);
                 if let Some(other) = other {
                     return Err(ConfigError::SharedKey {
                         place: format!("tenants[{index}].apiKeys[{key_index}]"),
--- a/crates/fleet-core/src/configuration/error.rs
+++ b/crates/fleet-core/src/configuration/error.rs
@@ -25,14 +25,14 @@
         service: String,
     },
     /// {place}: same host and prefix as {other}
-    SamePlace {
+    DuplicateRoute {
         /// path of the later route
         place: String,
         /// path of the earlier route
         other: String,
     },
     /// {place}: its weights sum to 0
-    NoWeight {
+    ZeroTotalWeight {
         /// path of the route
         place: String,
     },
@@ -59,8 +59,8 @@
             ConfigError::Unreadable { .. } => "unreadable",
             ConfigError::OutOfBounds { .. } => "out_of_bounds",
             ConfigError::UnknownService { .. } => "unknown_service",
-            ConfigError::SamePlace { .. } => "same_place",
-            ConfigError::NoWeight { .. } => "no_weight",
+            ConfigError::DuplicateRoute { .. } => "same_place",
+            ConfigError::ZeroTotalWeight { .. } => "no_weight",
             ConfigError::SharedKey { .. } => "shared_key",
             ConfigError::VersionNotAbove { .. } => "version_not_above",
         }
--- a/crates/fleet-core/src/configuration/mod.rs
+++ b/crates/fleet-core/src/configuration/mod.rs
@@ -9,7 +9,7 @@
 mod schema;
 
 pub use error::ConfigError;
-pub use schema::{Configuration, EngineFacts, Kind, Limits, Model, Route, Service, Share, Tenant};
+pub use schema::{Configuration, EngineSpec, Kind, Limits, Model, Route, Service, Share, Tenant};
 
 #[cfg(test)]
 mod tests;
--- a/crates/fleet-core/src/configuration/schema.rs
+++ b/crates/fleet-core/src/configuration/schema.rs
@@ -40,11 +40,11 @@
     /// Whether and how requests may be retried.
     pub kind: Kind,
     /// Maximum time in ms that a request is held; at least 1.
-    #[serde(deserialize_with = "whole")]
+    #[serde(deserialize_with = "deserialize_whole_number")]
     #[validate(range(min = 1))]
     pub timeout_ms: u64,
     /// Target latency in ms: a response within this time has its full value; 0 for none.
-    #[serde(default, deserialize_with = "whole")]
+    #[serde(default, deserialize_with = "deserialize_whole_number")]
     pub target_ms: u64,
     /// Priority; 0 is the highest. A tenant's priority takes precedence.
     #[serde(default)]
@@ -56,7 +56,7 @@
     #[serde(default)]
     pub split: Option<Vec<Share>>,
     /// Maximum number of engines that one request may be sent to; defaults to 1.
-    #[serde(default = "one")]
+    #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
     /// Whether requests need no API key.
     #[serde(default)]
@@ -68,12 +68,14 @@
     #[serde(default)]
     pub resumable: bool,
     /// Maximum pause in ms between two events of a stream that is on time; 0 for none.
-    #[serde(default, deserialize_with = "whole")]
+    #[serde(default, deserialize_with = "deserialize_whole_number")]
     pub gap_target_ms: u64,
 }
 
 /// Also accepts whole numbers that are written with a fraction, such as `5.0`.
-fn whole<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
+fn deserialize_whole_number<'de, D: serde::Deserializer<'de>>(
+    deserializer: D,
+) -> Result<u64, D::Error> {
     let number = f64::deserialize(deserializer)?;
     if !(0.0..1e15).contains(&number) || number.fract() != 0.0 {
         return Err(serde::de::Error::custom("not a whole number"));
@@ -81,7 +83,7 @@
     Ok(number as u64)
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
@@ -95,7 +97,7 @@
 /// Declared properties of the engines of a service; 0 where not given.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct EngineFacts {
+pub struct EngineSpec {
     /// Number of requests that an engine runs concurrently.
     #[serde(default)]
     pub slots: u32,
@@ -128,7 +130,7 @@
     pub max_conns: u32,
     /// Properties of its engines; `None` for a store.
     #[serde(default)]
-    pub engine: Option<EngineFacts>,
+    pub engine: Option<EngineSpec>,
     /// Address of the store; `None` for a group of engines.
     #[serde(default)]
     pub kv_store: Option<String>,
--- a/crates/fleet-core/src/configuration/tests.rs
+++ b/crates/fleet-core/src/configuration/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn sheet() -> serde_json::Value {
+fn valid_configuration() -> serde_json::Value {
     serde_json::json!({
         "revision": 3,
         "routes": [
@@ -15,41 +15,53 @@
     })
 }
 
-fn read(v: &serde_json::Value) -> Result<Configuration, ConfigError> {
-    Configuration::read(v.to_string().as_bytes())
+fn read(value: &serde_json::Value) -> Result<Configuration, ConfigError> {
+    Configuration::read(value.to_string().as_bytes())
 }
 
 #[test]
-fn proper_one_is_taken() {
-    let c = read(&sheet()).unwrap();
-    assert_eq!(c.revision, 3);
-    assert_eq!(c.routes[1].shares(), vec![("s", 1), ("s", 0)]);
-    assert!(c.tenants[1].isolated);
+fn valid_configuration_is_parsed() {
+    let configuration = read(&valid_configuration()).unwrap();
+    assert_eq!(configuration.revision, 3);
+    assert_eq!(configuration.routes[1].shares(), vec![("s", 1), ("s", 0)]);
+    assert!(configuration.tenants[1].isolated);
 }
 
 #[test]
-fn each_fault_is_named_with_its_place() {
+fn each_error_reports_its_code_and_path() {
     type Edit = fn(&mut serde_json::Value);
     let table: &[(Edit, &str, &str)] = &[
-        (|v| v["routes"][1]["split"][1]["service"] = "x".into(), "unknown_service", "routes[1]"),
-        (|v| v["routes"][1]["pathPrefix"] = "/a/".into(), "same_place", "routes[1]"),
-        (|v| v["routes"][1]["split"][0]["weight"] = 0.into(), "no_weight", "routes[1]"),
-        (|v| v["routes"][0]["timeoutMs"] = 0.into(), "out_of_bounds", "routes[0].timeout_ms"),
-        (|v| v["tenants"][1]["apiKeys"][0] = "k2".into(), "shared_key", "tenants[1].apiKeys[0]"),
-        (|v| v["revision"] = "x".into(), "unreadable", "line 1"),
+        (
+            |value| value["routes"][1]["split"][1]["service"] = "x".into(),
+            "unknown_service",
+            "routes[1]",
+        ),
+        (|value| value["routes"][1]["pathPrefix"] = "/a/".into(), "same_place", "routes[1]"),
+        (|value| value["routes"][1]["split"][0]["weight"] = 0.into(), "no_weight", "routes[1]"),
+        (
+            |value| value["routes"][0]["timeoutMs"] = 0.into(),
+            "out_of_bounds",
+            "routes[0].timeout_ms",
+        ),
+        (
+            |value| value["tenants"][1]["apiKeys"][0] = "k2".into(),
+            "shared_key",
+            "tenants[1].apiKeys[0]",
+        ),
+        (|value| value["revision"] = "x".into(), "unreadable", "line 1"),
     ];
     for (edit, code, place) in table {
-        let mut v = sheet();
-        edit(&mut v);
-        let e = read(&v).unwrap_err();
-        assert_eq!(e.code(), *code);
-        assert!(e.to_string().contains(place), "{e} lacks {place}");
+        let mut value = valid_configuration();
+        edit(&mut value);
+        let error = read(&value).unwrap_err();
+        assert_eq!(error.code(), *code);
+        assert!(error.to_string().contains(place), "{error} lacks {place}");
     }
 }
 
 #[test]
-fn cut_short_is_unreadable() {
-    let text = sheet().to_string();
-    let e = Configuration::read(&text.as_bytes()[..text.len() / 2]).unwrap_err();
-    assert_eq!(e.code(), "unreadable");
+fn truncated_body_is_unreadable() {
+    let text = valid_configuration().to_string();
+    let error = Configuration::read(&text.as_bytes()[..text.len() / 2]).unwrap_err();
+    assert_eq!(error.code(), "unreadable");
 }
--- a/crates/fleet-core/src/constants/config_distribution.rs
+++ b/crates/fleet-core/src/constants/config_distribution.rs
@@ -6,7 +6,7 @@
 pub const CONFIG_BYTES: usize = 6 << 20;
 /// Deflate level for configuration bodies. For a configuration of 1,600 routes it takes 1.5 ms instead of the 2.7 ms
 /// of the default level and produces 6% more bytes.
-pub const PACKING_LEVEL: u32 = 3;
+pub const COMPRESSION_LEVEL: u32 = 3;
 /// Number of previous configuration bodies that a controller keeps compressed to compute deltas for routers: more
 /// than are committed while a router is disconnected for a few seconds.
 pub const BODIES_CAPACITY: usize = 32;
--- a/crates/fleet-core/src/constants/link.rs
+++ b/crates/fleet-core/src/constants/link.rs
@@ -24,7 +24,7 @@
 /// `RECONNECT_BACKOFF`, and a process takes half a second to start.
 pub const CONTROLLER_LOSS_TIMEOUT: Duration = Duration::from_millis(450);
 /// Queued frames are written together up to this size in bytes, so that a connection buffers little beyond its queue.
-pub const WRITE_BATCH: usize = 64 << 10;
+pub const WRITE_BATCH_BYTES: usize = 64 << 10;
 /// A reader with this many queued frames is sent no message that can be replaced by a newer one later.
 pub const SLOW_READER_BACKLOG: usize = 8;
 /// Number of complete fleet states that a controller sends to routers concurrently; each takes 400 bytes of memory
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -22,7 +22,7 @@
 /// Loads that are older than this are ignored.
 pub const LOAD_REPORT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Unit, in tokens, in which loads are reported.
-pub const LOAD_TOKENS: u64 = 64;
+pub const LOAD_TOKEN_UNIT: u64 = 64;
 /// Maximum number of idle connections kept to one engine.
 pub const IDLE_CONNECTIONS: usize = 12;
 /// Number of connections to one engine that a router may always open, whatever its share of them.
--- a/crates/fleet-core/src/delta.rs
+++ b/crates/fleet-core/src/delta.rs
@@ -18,36 +18,36 @@
 
 /// Shorter parts are copied only when they extend the previous copy: they occur at too many positions, and a
 /// reference to one costs as much as inserting it.
-const SHORTEST_COPY: usize = 16;
+const MIN_COPY_BYTES: usize = 16;
 
-fn parts(body: &[u8]) -> impl Iterator<Item = &[u8]> {
+fn split_elements(body: &[u8]) -> impl Iterator<Item = &[u8]> {
     body.split_inclusive(|byte| *byte == b'}')
 }
 
 /// The operations so far, and the end of the last copied range in the base body.
-struct Builder<'a> {
-    former: &'a [u8],
+struct DeltaBuilder<'a> {
+    base: &'a [u8],
     ops: Vec<DeltaOp>,
-    copied_to: usize,
+    copy_end: usize,
 }
 
-impl Builder<'_> {
+impl DeltaBuilder<'_> {
     /// Extends the previous copy by this part if the base body continues with it; returns whether it does.
-    fn goes_on(&mut self, part: &[u8]) -> bool {
+    fn extend_copy(&mut self, part: &[u8]) -> bool {
         let Some(last) = self.ops.last_mut().filter(|op| op.insert.is_empty()) else {
             return false;
         };
-        if !self.former[self.copied_to..].starts_with(part) {
+        if !self.base[self.copy_end..].starts_with(part) {
             return false;
         }
         last.length += part.len() as u64;
-        self.copied_to += part.len();
+        self.copy_end += part.len();
         true
     }
 
     fn copy(&mut self, from: usize, length: usize) {
         self.ops.push(DeltaOp { from: from as u64, length: length as u64, insert: Vec::new() });
-        self.copied_to = from + length;
+        self.copy_end = from + length;
     }
 
     fn insert(&mut self, part: &[u8]) {
@@ -61,20 +61,20 @@
 }
 
 /// Computes the delta that turns `base` into `new`.
-pub fn between(former: &[u8], new: &[u8]) -> ConfigDelta {
-    let mut places: hashbrown::HashMap<&[u8], usize, ahash::RandomState> =
+pub fn between(base: &[u8], new: &[u8]) -> ConfigDelta {
+    let mut offsets: hashbrown::HashMap<&[u8], usize, ahash::RandomState> =
         hashbrown::HashMap::default();
-    let mut at = 0;
-    for part in parts(former) {
-        places.entry(part).or_insert(at);
-        at += part.len();
+    let mut offset = 0;
+    for part in split_elements(base) {
+        offsets.entry(part).or_insert(offset);
+        offset += part.len();
     }
-    let mut builder = Builder { former, ops: Vec::new(), copied_to: 0 };
-    for part in parts(new) {
-        if builder.goes_on(part) {
+    let mut builder = DeltaBuilder { base, ops: Vec::new(), copy_end: 0 };
+    for part in split_elements(new) {
+        if builder.extend_copy(part) {
             continue;
         }
-        match places.get(part).filter(|_| part.len() >= SHORTEST_COPY) {
+        match offsets.get(part).filter(|_| part.len() >= MIN_COPY_BYTES) {
             Some(from) => builder.copy(*from, part.len()),
             None => builder.insert(part),
         }
@@ -87,15 +87,19 @@
 /// # Errors
 ///
 /// The delta copies a range outside of `base`, or its result is larger than `max_bytes`.
-pub fn apply(delta: &ConfigDelta, former: &[u8], most: usize) -> Result<bytes::Bytes, DeltaError> {
-    let mut body = Vec::with_capacity(former.len());
+pub fn apply(
+    delta: &ConfigDelta,
+    base: &[u8],
+    max_bytes: usize,
+) -> Result<bytes::Bytes, DeltaError> {
+    let mut body = Vec::with_capacity(base.len());
     for op in &delta.ops {
         let from = usize::try_from(op.from).map_err(|_| DeltaError::OutOfRange)?;
         let length = usize::try_from(op.length).map_err(|_| DeltaError::OutOfRange)?;
         let end = from.checked_add(length).ok_or(DeltaError::OutOfRange)?;
-        let copied = former.get(from..end).ok_or(DeltaError::OutOfRange)?;
-        if body.len() + copied.len() + op.insert.len() > most {
-            return Err(DeltaError::TooLarge(most));
+        let copied = base.get(from..end).ok_or(DeltaError::OutOfRange)?;
+        if body.len() + copied.len() + op.insert.len() > max_bytes {
+            return Err(DeltaError::TooLarge(max_bytes));
         }
         body.extend_from_slice(copied);
         body.extend_from_slice(&op.insert);
--- a/crates/fleet-core/src/digest.rs
+++ b/crates/fleet-core/src/digest.rs
@@ -14,10 +14,10 @@
 
     /// Computes the digest of a body.
     pub fn of(body: &[u8]) -> BodyDigest {
-        let complete: [u8; 32] = sha2::Sha256::digest(body).into();
-        let mut first = [0; BodyDigest::BYTES];
-        first.copy_from_slice(&complete[..BodyDigest::BYTES]);
-        BodyDigest(first)
+        let full_digest: [u8; 32] = sha2::Sha256::digest(body).into();
+        let mut prefix = [0; BodyDigest::BYTES];
+        prefix.copy_from_slice(&full_digest[..BodyDigest::BYTES]);
+        BodyDigest(prefix)
     }
 
     /// Decodes a digest from a message; `None` if the length is wrong.
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -9,12 +9,12 @@
     let before = known.clone();
     if update.call > known.call {
         *known = update.clone();
-        keep_what_never_falls(known, &before);
+        merge_monotonic_fields(known, &before);
     } else {
         if update.call == known.call {
             known.heartbeat_missed = update.heartbeat_missed;
         }
-        keep_what_never_falls(known, update);
+        merge_monotonic_fields(known, update);
     }
     let call = std::mem::replace(&mut known.call, before.call);
     let changed = *known != before;
@@ -23,7 +23,7 @@
 }
 
 /// Merges the monotonic fields of `other`, whichever of the two is newer.
-fn keep_what_never_falls(engine: &mut Engine, other: &Engine) {
+fn merge_monotonic_fields(engine: &mut Engine, other: &Engine) {
     for weights in &other.weights {
         raise(engine, &weights.model, weights.version);
     }
--- a/crates/fleet-core/src/fleet_tests.rs
+++ b/crates/fleet-core/src/fleet_tests.rs
@@ -3,44 +3,44 @@
 use super::*;
 
 fn engine(call: u64, state: EngineState) -> Engine {
-    let mut e = Engine { id: "i".into(), call, ..Default::default() };
-    e.set_state(state);
-    e
+    let mut state_after_call = Engine { id: "i".into(), call, ..Default::default() };
+    state_after_call.set_state(state);
+    state_after_call
 }
 
 #[test]
-fn late_call_changes_nothing_and_gone_is_final() {
-    let mut e = engine(5, EngineState::Draining);
-    assert!(!merge(&mut e, &engine(4, EngineState::Ready)));
-    assert_eq!(e.state(), EngineState::Draining);
-    assert!(merge(&mut e, &engine(3, EngineState::Deregistered)));
-    assert!(!merge(&mut e, &engine(9, EngineState::Ready)));
-    assert_eq!(e.state(), EngineState::Deregistered);
-    assert_eq!(e.call, 9);
+fn delayed_call_is_ignored_and_deregistration_is_final() {
+    let mut known = engine(5, EngineState::Draining);
+    assert!(!merge(&mut known, &engine(4, EngineState::Ready)));
+    assert_eq!(known.state(), EngineState::Draining);
+    assert!(merge(&mut known, &engine(3, EngineState::Deregistered)));
+    assert!(!merge(&mut known, &engine(9, EngineState::Ready)));
+    assert_eq!(known.state(), EngineState::Deregistered);
+    assert_eq!(known.call, 9);
 }
 
 #[test]
-fn weights_and_turns_only_rise() {
-    let mut e = engine(1, EngineState::Ready);
-    raise(&mut e, "m", 3);
-    e.update_seq = 4;
-    let mut old = engine(2, EngineState::Ready);
-    raise(&mut old, "m", 2);
-    assert!(!merge(&mut e, &old));
-    assert_eq!(version_of(&e, "m"), Some(3));
-    assert_eq!(e.update_seq, 4);
-    assert!(!is_updating(&e, "m", Some(4)));
+fn weights_and_update_seq_never_decrease() {
+    let mut known = engine(1, EngineState::Ready);
+    raise(&mut known, "m", 3);
+    known.update_seq = 4;
+    let mut update = engine(2, EngineState::Ready);
+    raise(&mut update, "m", 2);
+    assert!(!merge(&mut known, &update));
+    assert_eq!(version_of(&known, "m"), Some(3));
+    assert_eq!(known.update_seq, 4);
+    assert!(!is_updating(&known, "m", Some(4)));
 }
 
 #[test]
-fn an_engine_at_the_named_weights_is_no_longer_changing() {
-    let mut e = engine(1, EngineState::Ready);
-    raise(&mut e, "m", 2);
-    e.update_seq = 1;
-    assert!(is_updating(&e, "m", Some(3)));
-    let mut beat = engine(2, EngineState::Ready);
-    raise(&mut beat, "m", 3);
-    assert!(merge(&mut e, &beat));
-    assert_eq!(e.update_seq, 1, "nobody told the end of the turn");
-    assert!(!is_updating(&e, "m", Some(3)));
+fn engine_at_target_version_is_not_updating() {
+    let mut known = engine(1, EngineState::Ready);
+    raise(&mut known, "m", 2);
+    known.update_seq = 1;
+    assert!(is_updating(&known, "m", Some(3)));
+    let mut heartbeat = engine(2, EngineState::Ready);
+    raise(&mut heartbeat, "m", 3);
+    assert!(merge(&mut known, &heartbeat));
+    assert_eq!(known.update_seq, 1, "the end of the update was not reported");
+    assert!(!is_updating(&known, "m", Some(3)));
 }
--- a/crates/fleet-core/src/link/backlog_tests.rs
+++ b/crates/fleet-core/src/link/backlog_tests.rs
@@ -13,12 +13,12 @@
 const FRAMES: usize = 100;
 
 /// A handler that reports its first peer once it is connected.
-struct Shows(parking_lot::Mutex<Option<tokio::sync::oneshot::Sender<Peer>>>);
+struct PeerReporter(parking_lot::Mutex<Option<tokio::sync::oneshot::Sender<Peer>>>);
 
-impl PeerHandler for Shows {
+impl PeerHandler for PeerReporter {
     fn connected(self: &Arc<Self>, peer: &Peer) {
-        if let Some(shown) = self.0.lock().take() {
-            let _ = shown.send(peer.clone());
+        if let Some(peer_sender) = self.0.lock().take() {
+            let _ = peer_sender.send(peer.clone());
         }
     }
 
@@ -32,19 +32,19 @@
 }
 
 /// Runs all tasks until they block on each other.
-async fn settle() {
+async fn run_pending_tasks() {
     for _ in 0..FRAMES * 10 {
         tokio::task::yield_now().await;
     }
 }
 
 #[tokio::test]
-async fn what_a_slow_reader_leaves_unread_is_seen_and_not_taken_up_twice() {
-    let (near, far) = tokio::io::duplex(4096);
-    let (shown, peer) = tokio::sync::oneshot::channel();
-    let host = Arc::new(Shows(parking_lot::Mutex::new(Some(shown))));
-    let serving = tokio::spawn(serve_peer(Box::new(near), host));
-    let (reader, mut writer) = tokio::io::split(far);
+async fn backlog_of_a_slow_reader_is_visible_and_delivered_once() {
+    let (local, remote) = tokio::io::duplex(4096);
+    let (peer_sender, peer) = tokio::sync::oneshot::channel();
+    let handler = Arc::new(PeerReporter(parking_lot::Mutex::new(Some(peer_sender))));
+    let serving = tokio::spawn(serve_peer(Box::new(local), handler));
+    let (reader, mut writer) = tokio::io::split(remote);
     let mut handshake = Vec::new();
     let first = Frame { call: 0, answer: false, body: Some(Body::Handshake(Handshake::default())) };
     encode(&first, &mut handshake);
@@ -52,12 +52,12 @@
     let peer = peer.await.unwrap();
     assert_eq!(peer.backlog(), 0);
 
-    let unread = vec![u32::MAX; constants::WRITE_BATCH / 8];
+    let unread = vec![u32::MAX; constants::WRITE_BATCH_BYTES / 8];
     let large = Body::LoadReport(LoadReport { unread, ..Default::default() });
     for _ in 0..FRAMES {
         peer.push(large.clone()).unwrap();
     }
-    settle().await;
+    run_pending_tasks().await;
     assert!(peer.backlog() >= FRAMES - 3, "only {} wait", peer.backlog());
 
     let mut reader = tokio::io::BufReader::new(Box::new(reader) as ByteReader);
--- a/crates/fleet-core/src/link/client.rs
+++ b/crates/fleet-core/src/link/client.rs
@@ -24,7 +24,7 @@
 type PendingCalls = Arc<Mutex<BTreeMap<u64, oneshot::Sender<Option<Body>>>>>;
 
 /// The state of an established connection.
-struct Connected {
+struct Connection {
     frames: mpsc::Sender<Frame>,
     pending: PendingCalls,
 }
@@ -34,11 +34,11 @@
 /// Dropping it closes the connection and aborts its task.
 pub struct Link {
     /// Address of the remote side.
-    pub to: SocketAddr,
-    own: Ipv4Addr,
+    pub remote_addr: SocketAddr,
+    local_ip: Ipv4Addr,
     transport: Arc<dyn Transport>,
     handshake: Handshake,
-    connected: Mutex<Option<Connected>>,
+    connected: Mutex<Option<Connection>>,
     next_call: AtomicU64,
     rejected: AtomicU64,
     last_received: Mutex<Option<Instant>>,
@@ -67,20 +67,24 @@
 
 impl Link {
     /// Maintains a link over TCP until it is dropped; messages pushed by the remote side are sent to `pushed`.
-    pub fn keep(node: &Node, to: SocketAddr, pushed: Option<mpsc::Sender<Body>>) -> Arc<Link> {
-        Self::keep_over(Tcp::shared(), node, to, pushed)
+    pub fn keep(
+        node: &Node,
+        remote_addr: SocketAddr,
+        pushed: Option<mpsc::Sender<Body>>,
+    ) -> Arc<Link> {
+        Self::keep_over(Tcp::shared(), node, remote_addr, pushed)
     }
 
     /// Like [`Link::keep`], over any transport.
     pub fn keep_over(
         transport: Arc<dyn Transport>,
         node: &Node,
-        to: SocketAddr,
+        remote_addr: SocketAddr,
         pushed: Option<mpsc::Sender<Body>>,
     ) -> Arc<Link> {
         let link = Arc::new(Link {
-            to,
-            own: node.ip,
+            remote_addr,
+            local_ip: node.ip,
             transport,
             handshake: handshake(node),
             connected: Mutex::new(None),
@@ -100,10 +104,13 @@
     async fn reconnect(weak: Weak<Link>, pushed: Option<mpsc::Sender<Body>>) {
         loop {
             let Some(link) = weak.upgrade() else { return };
-            let (own, to, handshake) = (link.own, link.to, link.handshake.clone());
+            let (local_ip, remote_addr, handshake) =
+                (link.local_ip, link.remote_addr, link.handshake.clone());
             let transport = link.transport.clone();
             drop(link);
-            if let Ok(stream) = transport.connect(own, to, constants::CONNECT_TIMEOUT).await {
+            if let Ok(stream) =
+                transport.connect(local_ip, remote_addr, constants::CONNECT_TIMEOUT).await
+            {
                 Self::serve(&weak, stream, handshake, pushed.as_ref()).await;
             }
             tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
@@ -127,7 +134,7 @@
         }
         {
             let Some(link) = weak.upgrade() else { return };
-            *link.connected.lock() = Some(Connected { frames, pending: pending.clone() });
+            *link.connected.lock() = Some(Connection { frames, pending: pending.clone() });
             *link.last_received.lock() = Some(Instant::now());
             link.is_up.send_replace(true);
         }
@@ -160,9 +167,9 @@
             *link.last_received.lock() = Some(Instant::now());
             drop(link);
             if frame.answer {
-                if let Some(caller) = pending.lock().remove(&frame.call) {
+                if let Some(answer_sender) = pending.lock().remove(&frame.call) {
                     // The send fails if the caller has stopped waiting.
-                    let _ = caller.send(frame.body);
+                    let _ = answer_sender.send(frame.body);
                 }
             } else if let (Some(pushed), Some(body)) = (pushed, frame.body)
                 && pushed.send(body).await.is_err()
@@ -205,8 +212,8 @@
     pub fn notify(&self, body: Body) -> Result<(), LinkError> {
         let frame = frame::request(NO_CALL, body)?;
         let connected = self.connected.lock();
-        let connected = connected.as_ref().ok_or(LinkError::Down)?;
-        connected.frames.try_send(frame).map_err(|_| LinkError::Down)
+        let connected = connected.as_ref().ok_or(LinkError::NotConnected)?;
+        connected.frames.try_send(frame).map_err(|_| LinkError::NotConnected)
     }
 
     /// Sends a call and waits for its answer, at most until the time-out `limit`.
@@ -220,15 +227,15 @@
     ///
     /// If the future is dropped, the call may have been sent; its answer is discarded.
     pub async fn call(&self, body: Body, limit: Duration) -> Result<Body, LinkError> {
-        let fits = body.answer_test();
+        let is_expected = body.answer_matcher();
         let number = self.next_call.fetch_add(1, Ordering::Relaxed);
         let (answer, pending) = self.send_call(number, body)?;
         match tokio::time::timeout(limit, answer).await {
-            Ok(Ok(answer)) => answer.filter(fits).ok_or_else(|| {
+            Ok(Ok(answer)) => answer.filter(is_expected).ok_or_else(|| {
                 self.count_rejected(&LinkError::UnexpectedAnswer);
                 LinkError::UnexpectedAnswer
             }),
-            Ok(Err(_)) => Err(LinkError::Down),
+            Ok(Err(_)) => Err(LinkError::NotConnected),
             Err(_) => {
                 pending.lock().remove(&number);
                 Err(LinkError::Timeout)
@@ -244,13 +251,13 @@
         body: Body,
     ) -> Result<(oneshot::Receiver<Option<Body>>, PendingCalls), LinkError> {
         let frame = frame::request(number, body)?;
-        let (caller, answer) = oneshot::channel();
+        let (answer_sender, answer) = oneshot::channel();
         let connected = self.connected.lock();
-        let connected = connected.as_ref().ok_or(LinkError::Down)?;
-        connected.pending.lock().insert(number, caller);
+        let connected = connected.as_ref().ok_or(LinkError::NotConnected)?;
+        connected.pending.lock().insert(number, answer_sender);
         if connected.frames.try_send(frame).is_err() {
             connected.pending.lock().remove(&number);
-            return Err(LinkError::Down);
+            return Err(LinkError::NotConnected);
         }
         Ok((answer, connected.pending.clone()))
     }
@@ -270,6 +277,6 @@
     tokio::select! {
         biased;
         frame = read_frame(reader) => frame,
-        () = writer_failed => Err(LinkError::Down),
+        () = writer_failed => Err(LinkError::NotConnected),
     }
 }
--- a/crates/fleet-core/src/link/error.rs
+++ b/crates/fleet-core/src/link/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum LinkError {
     /// not connected
-    Down,
+    NotConnected,
     /// no answer in time
     Timeout,
     /// frame of {0} bytes exceeds the size limit
--- a/crates/fleet-core/src/link/peer.rs
+++ b/crates/fleet-core/src/link/peer.rs
@@ -27,7 +27,7 @@
     /// [`LinkError::TooLarge`], or [`LinkError::NotConnected`] if the connection has ended or its queue is full.
     pub fn push(&self, body: Body) -> Result<(), LinkError> {
         let frame = frame::request(NO_CALL, body)?;
-        self.frames.try_send(frame).map_err(|_| LinkError::Down)
+        self.frames.try_send(frame).map_err(|_| LinkError::NotConnected)
     }
 
     /// Number of frames that are queued because the remote end reads slowly.
--- a/crates/fleet-core/src/link/tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -18,23 +18,23 @@
 use tokio::sync::mpsc;
 
 /// Passes the remote end of each connection to the test.
-struct Pipes(mpsc::UnboundedSender<DuplexStream>);
+struct InMemoryTransport(mpsc::UnboundedSender<DuplexStream>);
 
-impl Transport for Pipes {
+impl Transport for InMemoryTransport {
     fn connect(
         &self,
-        _own: Ipv4Addr,
-        _to: SocketAddr,
+        _local_ip: Ipv4Addr,
+        _remote_addr: SocketAddr,
         _limit: Duration,
     ) -> BoxFuture<'_, Result<BoxedStream, TransportError>> {
         Box::pin(async move {
-            let (near, far) = tokio::io::duplex(1 << 16);
-            self.0.send(far).map_err(|_| TransportError::Timeout)?;
-            Ok(Box::new(near) as BoxedStream)
+            let (local, remote) = tokio::io::duplex(1 << 16);
+            self.0.send(remote).map_err(|_| TransportError::Timeout)?;
+            Ok(Box::new(local) as BoxedStream)
         })
     }
 
-    fn listen(&self, _at: SocketAddr) -> std::io::Result<Box<dyn Listener>> {
+    fn listen(&self, _addr: SocketAddr) -> std::io::Result<Box<dyn Listener>> {
         Err(std::io::ErrorKind::Unsupported.into())
     }
 }
@@ -47,7 +47,7 @@
     crate::node::Node::seeded(&settings, crate::node::Role::Controller, 1)
 }
 
-fn fetched(known: bool) -> Body {
+fn register_response(known: bool) -> Body {
     Body::RegisterResponse(RegisterResponse { is_known: known, register: None })
 }
 
@@ -59,102 +59,107 @@
 
 /// A link and the remote ends of its connections.
 fn link() -> (Arc<Link>, mpsc::UnboundedReceiver<DuplexStream>) {
-    let (tx, far_ends) = mpsc::unbounded_channel();
-    let link = Link::keep_over(Arc::new(Pipes(tx)), &node(), "10.0.0.2:1".parse().unwrap(), None);
-    (link, far_ends)
+    let (remote_sender, remote_ends) = mpsc::unbounded_channel();
+    let link = Link::keep_over(
+        Arc::new(InMemoryTransport(remote_sender)),
+        &node(),
+        "10.0.0.2:1".parse().unwrap(),
+        None,
+    );
+    (link, remote_ends)
 }
 
-async fn far_end(far_ends: &mut mpsc::UnboundedReceiver<DuplexStream>) -> DuplexStream {
-    let mut far = far_ends.recv().await.unwrap();
-    assert!(matches!(read_one(&mut far).await.body, Some(Body::Handshake(_))));
-    far
+async fn accept_remote(remote_ends: &mut mpsc::UnboundedReceiver<DuplexStream>) -> DuplexStream {
+    let mut remote = remote_ends.recv().await.unwrap();
+    assert!(matches!(receive_frame(&mut remote).await.body, Some(Body::Handshake(_))));
+    remote
 }
 
-async fn read_one(far: &mut DuplexStream) -> Frame {
-    let len = far.read_u32().await.unwrap() as usize;
+async fn receive_frame(remote: &mut DuplexStream) -> Frame {
+    let len = remote.read_u32().await.unwrap() as usize;
     let mut buffer = vec![0; len];
-    far.read_exact(&mut buffer).await.unwrap();
+    remote.read_exact(&mut buffer).await.unwrap();
     Frame::decode(&buffer[..]).unwrap()
 }
 
 type Call = tokio::task::JoinHandle<Result<Body, LinkError>>;
 
 /// Starts a call; returns it with its number.
-async fn call(link: &Arc<Link>, far: &mut DuplexStream) -> (Call, u64) {
+async fn call(link: &Arc<Link>, remote: &mut DuplexStream) -> (Call, u64) {
     while !link.is_up() {
         tokio::task::yield_now().await;
     }
-    let calling = link.clone();
+    let caller_link = link.clone();
     let call = tokio::spawn(async move {
-        calling.call(Body::RegisterRequest(RegisterRequest::default()), LIMIT).await
+        caller_link.call(Body::RegisterRequest(RegisterRequest::default()), LIMIT).await
     });
-    let asked = read_one(far).await;
-    assert!(!asked.answer && matches!(asked.body, Some(Body::RegisterRequest(_))));
-    (call, asked.call)
+    let request = receive_frame(remote).await;
+    assert!(!request.answer && matches!(request.body, Some(Body::RegisterRequest(_))));
+    (call, request.call)
 }
 
 #[tokio::test(start_paused = true)]
-async fn answers_in_any_order_go_to_their_own_calls() {
-    let (link, mut far_ends) = link();
-    let mut far = far_end(&mut far_ends).await;
-    let (first, first_no) = call(&link, &mut far).await;
-    let (second, second_no) = call(&link, &mut far).await;
-    assert_ne!(first_no, second_no);
-    far.write_all(&frame(second_no, true, Some(fetched(true)))).await.unwrap();
-    far.write_all(&frame(first_no, true, Some(fetched(false)))).await.unwrap();
-    assert_eq!(second.await.unwrap(), Ok(fetched(true)));
-    assert_eq!(first.await.unwrap(), Ok(fetched(false)));
+async fn answers_in_any_order_reach_their_own_calls() {
+    let (link, mut remote_ends) = link();
+    let mut remote = accept_remote(&mut remote_ends).await;
+    let (first, first_number) = call(&link, &mut remote).await;
+    let (second, second_number) = call(&link, &mut remote).await;
+    assert_ne!(first_number, second_number);
+    remote.write_all(&frame(second_number, true, Some(register_response(true)))).await.unwrap();
+    remote.write_all(&frame(first_number, true, Some(register_response(false)))).await.unwrap();
+    assert_eq!(second.await.unwrap(), Ok(register_response(true)));
+    assert_eq!(first.await.unwrap(), Ok(register_response(false)));
 }
 
 /// The remote side answers a call of the previous connection on the new one.
 #[tokio::test(start_paused = true)]
-async fn answer_to_a_call_of_a_former_connection_reaches_nobody() {
-    let (link, mut far_ends) = link();
-    let mut far = far_end(&mut far_ends).await;
-    let (lost, lost_no) = call(&link, &mut far).await;
-    drop(far);
-    assert_eq!(lost.await.unwrap(), Err(LinkError::Down));
-    let mut far = far_end(&mut far_ends).await;
-    let (next, next_no) = call(&link, &mut far).await;
-    assert!(next_no > lost_no);
-    far.write_all(&frame(lost_no, true, Some(fetched(false)))).await.unwrap();
-    far.write_all(&frame(next_no, true, Some(fetched(true)))).await.unwrap();
-    assert_eq!(next.await.unwrap(), Ok(fetched(true)));
+async fn answer_to_a_call_of_a_previous_connection_is_discarded() {
+    let (link, mut remote_ends) = link();
+    let mut remote = accept_remote(&mut remote_ends).await;
+    let (lost, lost_number) = call(&link, &mut remote).await;
+    drop(remote);
+    assert_eq!(lost.await.unwrap(), Err(LinkError::NotConnected));
+    let mut remote = accept_remote(&mut remote_ends).await;
+    let (next, next_number) = call(&link, &mut remote).await;
+    assert!(next_number > lost_number);
+    remote.write_all(&frame(lost_number, true, Some(register_response(false)))).await.unwrap();
+    remote.write_all(&frame(next_number, true, Some(register_response(true)))).await.unwrap();
+    assert_eq!(next.await.unwrap(), Ok(register_response(true)));
 }
 
 /// A caller is notified immediately when its connection breaks, before its time-out.
 #[tokio::test(start_paused = true)]
-async fn calls_end_with_their_connection() {
-    let (link, mut far_ends) = link();
-    let mut far = far_end(&mut far_ends).await;
-    let (lost, _) = call(&link, &mut far).await;
+async fn pending_calls_fail_when_the_connection_closes() {
+    let (link, mut remote_ends) = link();
+    let mut remote = accept_remote(&mut remote_ends).await;
+    let (lost, _) = call(&link, &mut remote).await;
     let before = tokio::time::Instant::now();
-    drop(far);
-    assert_eq!(lost.await.unwrap(), Err(LinkError::Down));
+    drop(remote);
+    assert_eq!(lost.await.unwrap(), Err(LinkError::NotConnected));
     assert!(before.elapsed() < LIMIT / 2, "{:?}", before.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
-async fn answer_after_the_limit_reaches_nobody() {
-    let (link, mut far_ends) = link();
-    let mut far = far_end(&mut far_ends).await;
-    let (late, late_no) = call(&link, &mut far).await;
+async fn answer_after_the_timeout_is_discarded() {
+    let (link, mut remote_ends) = link();
+    let mut remote = accept_remote(&mut remote_ends).await;
+    let (late, late_number) = call(&link, &mut remote).await;
     assert_eq!(late.await.unwrap(), Err(LinkError::Timeout));
-    let (next, next_no) = call(&link, &mut far).await;
-    far.write_all(&frame(late_no, true, Some(fetched(false)))).await.unwrap();
-    far.write_all(&frame(next_no, true, Some(fetched(true)))).await.unwrap();
-    assert_eq!(next.await.unwrap(), Ok(fetched(true)));
+    let (next, next_number) = call(&link, &mut remote).await;
+    remote.write_all(&frame(late_number, true, Some(register_response(false)))).await.unwrap();
+    remote.write_all(&frame(next_number, true, Some(register_response(true)))).await.unwrap();
+    assert_eq!(next.await.unwrap(), Ok(register_response(true)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn answer_of_another_kind_is_an_error() {
+async fn answer_of_an_unexpected_kind_is_an_error() {
     for body in
         [Some(Body::LeaseResponse(LeaseResponse { ok: true })), Some(Body::Empty(Empty {})), None]
     {
-        let (link, mut far_ends) = link();
-        let mut far = far_end(&mut far_ends).await;
-        let (call, no) = call(&link, &mut far).await;
-        far.write_all(&frame(no, true, body)).await.unwrap();
+        let (link, mut remote_ends) = link();
+        let mut remote = accept_remote(&mut remote_ends).await;
+        let (call, number) = call(&link, &mut remote).await;
+        remote.write_all(&frame(number, true, body)).await.unwrap();
         assert_eq!(call.await.unwrap(), Err(LinkError::UnexpectedAnswer));
         assert_eq!(link.rejected(), 1);
         assert!(link.is_up());
@@ -166,45 +171,45 @@
 async fn malformed_frames_end_the_connection_and_its_calls() {
     let oversized = ((constants::FRAME_MAX + 1) as u32).to_be_bytes().to_vec();
     let undecodable = [&4u32.to_be_bytes()[..], &[0xff; 4]].concat();
-    let whole = frame(1, true, Some(fetched(true)));
-    let truncated = whole[..whole.len() - 1].to_vec();
+    let complete = frame(1, true, Some(register_response(true)));
+    let truncated = complete[..complete.len() - 1].to_vec();
     for (bytes, rejected) in [(oversized, 1), (undecodable, 1), (truncated, 0)] {
-        let (link, mut far_ends) = link();
-        let mut far = far_end(&mut far_ends).await;
-        let (lost, _) = call(&link, &mut far).await;
-        far.write_all(&bytes).await.unwrap();
-        far.shutdown().await.unwrap();
-        assert_eq!(lost.await.unwrap(), Err(LinkError::Down));
+        let (link, mut remote_ends) = link();
+        let mut remote = accept_remote(&mut remote_ends).await;
+        let (lost, _) = call(&link, &mut remote).await;
+        remote.write_all(&bytes).await.unwrap();
+        remote.shutdown().await.unwrap();
+        assert_eq!(lost.await.unwrap(), Err(LinkError::NotConnected));
         assert_eq!(link.rejected(), rejected);
-        let mut far = far_end(&mut far_ends).await;
-        let (next, no) = call(&link, &mut far).await;
-        far.write_all(&frame(no, true, Some(fetched(true)))).await.unwrap();
-        assert_eq!(next.await.unwrap(), Ok(fetched(true)));
+        let mut remote = accept_remote(&mut remote_ends).await;
+        let (next, number) = call(&link, &mut remote).await;
+        remote.write_all(&frame(number, true, Some(register_response(true)))).await.unwrap();
+        assert_eq!(next.await.unwrap(), Ok(register_response(true)));
     }
 }
 
 /// A frame that the remote side would reject is not sent, and the connection stays open.
 #[tokio::test(start_paused = true)]
 async fn oversized_messages_are_not_sent() {
-    let (link, mut far_ends) = link();
-    let mut far = far_end(&mut far_ends).await;
-    let (waiting, no) = call(&link, &mut far).await;
+    let (link, mut remote_ends) = link();
+    let mut remote = accept_remote(&mut remote_ends).await;
+    let (waiting, number) = call(&link, &mut remote).await;
     let large = RegisterRequest { key: "k".repeat(constants::FRAME_MAX) };
-    let got = link.call(Body::RegisterRequest(large.clone()), LIMIT).await;
-    assert!(matches!(got, Err(LinkError::TooLarge(_))), "{got:?}");
+    let result = link.call(Body::RegisterRequest(large.clone()), LIMIT).await;
+    assert!(matches!(result, Err(LinkError::TooLarge(_))), "{result:?}");
     assert!(matches!(link.notify(Body::RegisterRequest(large)), Err(LinkError::TooLarge(_))));
-    far.write_all(&frame(no, true, Some(fetched(true)))).await.unwrap();
-    assert_eq!(waiting.await.unwrap(), Ok(fetched(true)));
+    remote.write_all(&frame(number, true, Some(register_response(true)))).await.unwrap();
+    assert_eq!(waiting.await.unwrap(), Ok(register_response(true)));
 }
 
 /// Records the messages that a handler received and the errors of its connections.
 #[derive(Default)]
-struct Received {
+struct RecordingHandler {
     bodies: parking_lot::Mutex<Vec<Body>>,
     errors: parking_lot::Mutex<Vec<LinkError>>,
 }
 
-impl PeerHandler for Received {
+impl PeerHandler for RecordingHandler {
     fn connected(self: &Arc<Self>, _peer: &Peer) {}
     fn disconnected(self: &Arc<Self>, _peer: &Peer) {}
     async fn answer(self: &Arc<Self>, _peer: &Peer, body: Body) -> Option<Body> {
@@ -221,19 +226,19 @@
     }
 }
 
-fn alive() -> Body {
+fn heartbeat() -> Body {
     Body::RouterHeartbeat(RouterHeartbeat::default())
 }
 
 /// Sends a valid handshake and these bytes; returns what the handler received.
-async fn play(bytes: &[u8]) -> Arc<Received> {
-    let received = Arc::new(Received::default());
-    let (near, mut far) = tokio::io::duplex(1 << 16);
-    let hosting = tokio::spawn(serve_peer(Box::new(near), received.clone()));
-    far.write_all(&frame(0, false, Some(Body::Handshake(Handshake::default())))).await.unwrap();
-    far.write_all(bytes).await.unwrap();
-    far.shutdown().await.unwrap();
-    hosting.await.unwrap();
+async fn serve_bytes(bytes: &[u8]) -> Arc<RecordingHandler> {
+    let received = Arc::new(RecordingHandler::default());
+    let (local, mut remote) = tokio::io::duplex(1 << 16);
+    let serving = tokio::spawn(serve_peer(Box::new(local), received.clone()));
+    remote.write_all(&frame(0, false, Some(Body::Handshake(Handshake::default())))).await.unwrap();
+    remote.write_all(bytes).await.unwrap();
+    remote.shutdown().await.unwrap();
+    serving.await.unwrap();
     for _ in 0..10 {
         tokio::task::yield_now().await;
     }
@@ -241,25 +246,30 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn host_drops_what_is_no_call_and_says_why() {
-    let call = frame(1, false, Some(alive()));
+async fn handler_reports_frames_that_are_not_calls() {
+    let call = frame(1, false, Some(heartbeat()));
     let undecodable = [&3u32.to_be_bytes()[..], &[0xff; 3]].concat();
     let oversized = u32::MAX.to_be_bytes().to_vec();
     let unknown_kind = [&4u32.to_be_bytes()[..], &[0xaa, 0x3f, 0x01, 0x00]].concat();
     let table: Vec<(&str, Vec<u8>, usize, Vec<LinkError>)> = vec![
         ("call", call.clone(), 1, vec![]),
-        ("answer to nothing", frame(9, true, Some(alive())), 0, vec![LinkError::UnexpectedAnswer]),
+        (
+            "answer to nothing",
+            frame(9, true, Some(heartbeat())),
+            0,
+            vec![LinkError::UnexpectedAnswer],
+        ),
         ("unknown kind", unknown_kind, 0, vec![LinkError::UnknownKind]),
         ("undecodable", undecodable, 0, vec![LinkError::Malformed]),
         ("oversized", oversized, 0, vec![LinkError::TooLarge(u32::MAX as usize)]),
     ];
     for (what, bytes, calls, errors) in table {
-        let received = play(&[bytes, call.clone()].concat()).await;
-        let goes_on = !matches!(what, "undecodable" | "oversized");
-        assert_eq!(received.bodies.lock().len(), calls + usize::from(goes_on), "{what}");
+        let received = serve_bytes(&[bytes, call.clone()].concat()).await;
+        let stays_open = !matches!(what, "undecodable" | "oversized");
+        assert_eq!(received.bodies.lock().len(), calls + usize::from(stays_open), "{what}");
         assert_eq!(*received.errors.lock(), errors, "{what}");
     }
-    let truncated = play(&call[..call.len() - 1]).await;
+    let truncated = serve_bytes(&call[..call.len() - 1]).await;
     assert!(truncated.bodies.lock().is_empty());
 }
 
@@ -267,7 +277,8 @@
 #[tokio::test(start_paused = true)]
 async fn oversized_answers_are_not_sent() {
     let received =
-        play(&frame(1, false, Some(Body::RegisterRequest(RegisterRequest::default())))).await;
+        serve_bytes(&frame(1, false, Some(Body::RegisterRequest(RegisterRequest::default()))))
+            .await;
     assert_eq!(received.bodies.lock().len(), 1);
     assert!(matches!(received.errors.lock()[..], [LinkError::TooLarge(_)]));
 }
@@ -275,13 +286,13 @@
 proptest::proptest! {
     /// For any input, the handler does not panic and receives only what was sent as a call.
     #[test]
-    fn random_bytes_become_no_more_calls_than_they_hold(bytes in proptest::collection::vec(0u8..4, 0..64)) {
+    fn random_bytes_yield_no_more_calls_than_were_sent(bytes in proptest::collection::vec(0u8..4, 0..64)) {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
             .build()
             .unwrap();
-        let received = runtime.block_on(play(&bytes));
+        let received = runtime.block_on(serve_bytes(&bytes));
         let received = received.bodies.lock();
         proptest::prop_assert!(received.len() * 4 <= bytes.len());
     }
--- a/crates/fleet-core/src/link/writer.rs
+++ b/crates/fleet-core/src/link/writer.rs
@@ -34,7 +34,7 @@
     while let Some(frame) = frames.recv().await {
         out.clear();
         encode(&frame, &mut out);
-        while out.len() < constants::WRITE_BATCH
+        while out.len() < constants::WRITE_BATCH_BYTES
             && let Ok(frame) = frames.try_recv()
         {
             encode(&frame, &mut out);
--- a/crates/fleet-core/src/load.rs
+++ b/crates/fleet-core/src/load.rs
@@ -48,7 +48,7 @@
     engines.sort_unstable_by_key(|(key, _)| **key);
     let mut message = LoadReport::default();
     for (key, load) in engines {
-        let unread = load.unread.div_ceil(constants::LOAD_TOKENS).min(u64::from(u32::MAX));
+        let unread = load.unread.div_ceil(constants::LOAD_TOKEN_UNIT).min(u64::from(u32::MAX));
         message.keys.push(*key);
         message.unread.push(unread as u32);
         message.runs.push(load.runs);
@@ -62,7 +62,7 @@
     let engines =
         message.keys.iter().zip(&message.unread).zip(&message.runs).zip(&message.interactive);
     engines.map(|(((key, unread), runs), interactive)| {
-        let unread = u64::from(*unread) * constants::LOAD_TOKENS;
+        let unread = u64::from(*unread) * constants::LOAD_TOKEN_UNIT;
         (*key, Load { unread, runs: *runs, interactive: *interactive })
     })
 }
@@ -107,20 +107,21 @@
 
 /// Minimum interval between two reports of this many engines.
 fn report_interval(engines: usize) -> std::time::Duration {
-    let sizes = engines.div_ceil(constants::LOAD_REPORT_ENGINES).max(1) as u32;
-    (constants::LOAD_REPORT_INTERVAL * sizes).min(constants::LOAD_REPORT_INTERVAL_MAX)
+    let multiples = engines.div_ceil(constants::LOAD_REPORT_ENGINES).max(1) as u32;
+    (constants::LOAD_REPORT_INTERVAL * multiples).min(constants::LOAD_REPORT_INTERVAL_MAX)
 }
 
 impl ReportSchedule {
     /// Whether these loads are to be sent now; if so, they are recorded as sent.
     pub fn is_due(&mut self, now: tokio::time::Instant, loads: &LoadReport) -> bool {
         let due = match &self.sent {
-            Some((at, was)) => {
+            Some((at, previous)) => {
                 let age = now.duration_since(*at);
-                let is_new = was != loads || age >= constants::LOAD_REPORT_REFRESH;
+                let is_new = previous != loads || age >= constants::LOAD_REPORT_REFRESH;
                 // Tolerates a task that wakes up slightly early.
                 is_new
-                    && age + constants::LOAD_REPORT_INTERVAL / 2 >= report_interval(was.keys.len())
+                    && age + constants::LOAD_REPORT_INTERVAL / 2
+                        >= report_interval(previous.keys.len())
             }
             None => true,
         };
--- a/crates/fleet-core/src/load_tests.rs
+++ b/crates/fleet-core/src/load_tests.rs
@@ -10,7 +10,7 @@
 }
 
 /// Number of reports sent within a second if the loads change all the time.
-fn sent_in_a_second(engines: usize) -> usize {
+fn reports_per_second(engines: usize) -> usize {
     let (start, mut schedule) = (Instant::now(), ReportSchedule::default());
     let is_due = |tick: &u32| {
         let now = start + constants::LOAD_REPORT_INTERVAL * *tick;
@@ -20,24 +20,25 @@
 }
 
 #[test]
-fn bytes_of_a_second_do_not_grow_with_the_engines() {
-    let at_most = sent_in_a_second(constants::LOAD_REPORT_ENGINES) * constants::LOAD_REPORT_ENGINES;
-    assert_eq!(sent_in_a_second(1), 10);
-    assert_eq!(sent_in_a_second(constants::LOAD_REPORT_ENGINES), 10);
+fn bytes_per_second_do_not_grow_with_engine_count() {
+    let max_engine_entries =
+        reports_per_second(constants::LOAD_REPORT_ENGINES) * constants::LOAD_REPORT_ENGINES;
+    assert_eq!(reports_per_second(1), 10);
+    assert_eq!(reports_per_second(constants::LOAD_REPORT_ENGINES), 10);
     for factor in [2, 5, 8] {
         let engines = constants::LOAD_REPORT_ENGINES * factor;
-        assert!(sent_in_a_second(engines) * engines <= at_most + engines, "{factor}");
+        assert!(reports_per_second(engines) * engines <= max_engine_entries + engines, "{factor}");
     }
 }
 
 #[test]
-fn the_largest_report_still_counts_until_the_next() {
+fn largest_report_does_not_expire_before_the_next() {
     let longest = report_interval(usize::MAX / 2);
     assert!(longest + Duration::from_millis(300) <= constants::LOAD_REPORT_TIMEOUT, "{longest:?}");
 }
 
 #[test]
-fn loads_that_stay_are_reported_again_before_they_lapse() {
+fn unchanged_loads_are_reported_again_before_they_expire() {
     let (start, mut schedule) = (Instant::now(), ReportSchedule::default());
     assert!(schedule.is_due(start, &report(3, 1)));
     assert!(!schedule.is_due(start + constants::LOAD_REPORT_INTERVAL, &report(3, 1)));
--- a/crates/fleet-core/src/log.rs
+++ b/crates/fleet-core/src/log.rs
@@ -24,7 +24,7 @@
     Started = 100, Info, "started";
     Stopping = 101, Info, "stopping";
     Stopped = 102, Info, "stopped";
-    SettingsReread = 103, Info, "settings reloaded";
+    SettingsReloaded = 103, Info, "settings reloaded";
     SettingsRejected = 104, Warning, "settings rejected, the previous ones stay in force";
     Counters = 105, Info, "counters";
     ListenError = 106, Error, "cannot listen";
@@ -75,8 +75,8 @@
 
 /// Creates the root logger of a process, which writes to standard error and adds the node and the role to each line.
 pub fn root(level: slog::Level, node: &str, role: &str) -> slog::Logger {
-    let plain = slog_term::PlainSyncDecorator::new(std::io::stderr());
-    let drain = slog_term::FullFormat::new(plain).use_original_order().build().fuse();
+    let decorator = slog_term::PlainSyncDecorator::new(std::io::stderr());
+    let drain = slog_term::FullFormat::new(decorator).use_original_order().build().fuse();
     let drain = slog::LevelFilter::new(drain, level).fuse();
     slog::Logger::root(drain, slog::o!("node" => node.to_owned(), "role" => role.to_owned()))
 }
--- a/crates/fleet-core/src/packing.rs
+++ b/crates/fleet-core/src/packing.rs
@@ -12,10 +12,10 @@
 }
 
 /// Compresses with deflate, optimized for speed rather than size because the operator waits for it.
-pub fn pack(plain: &[u8]) -> bytes::Bytes {
-    let level = flate2::Compression::new(crate::constants::PACKING_LEVEL);
+pub fn pack(uncompressed: &[u8]) -> bytes::Bytes {
+    let level = flate2::Compression::new(crate::constants::COMPRESSION_LEVEL);
     let mut encoder = flate2::write::DeflateEncoder::new(Vec::new(), level);
-    let written = encoder.write_all(plain).and_then(|()| encoder.finish());
+    let written = encoder.write_all(uncompressed).and_then(|()| encoder.finish());
     // Writing to a Vec cannot fail.
     written.unwrap_or_default().into()
 }
@@ -25,15 +25,15 @@
 /// # Errors
 ///
 /// The input is not the output of `pack`, or its content is larger than `max_bytes`.
-pub fn unpack(packed: &[u8], most: usize) -> Result<bytes::Bytes, UnpackError> {
-    let mut plain = Vec::new();
-    let limit = most as u64 + 1;
+pub fn unpack(packed: &[u8], max_bytes: usize) -> Result<bytes::Bytes, UnpackError> {
+    let mut uncompressed = Vec::new();
+    let limit = max_bytes as u64 + 1;
     let mut decoder = flate2::read::DeflateDecoder::new(packed).take(limit);
-    decoder.read_to_end(&mut plain).map_err(|_| UnpackError::Damaged)?;
-    if plain.len() > most {
-        return Err(UnpackError::TooLarge(most));
+    decoder.read_to_end(&mut uncompressed).map_err(|_| UnpackError::Damaged)?;
+    if uncompressed.len() > max_bytes {
+        return Err(UnpackError::TooLarge(max_bytes));
     }
-    Ok(plain.into())
+    Ok(uncompressed.into())
 }
 
 #[cfg(test)]
--- a/crates/fleet-core/src/program.rs
+++ b/crates/fleet-core/src/program.rs
@@ -40,14 +40,14 @@
 }
 
 /// Exit code: the program failed to start or to run.
-const RUN: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 /// Exit code: unknown option or invalid value.
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 /// Exit code: settings missing or malformed.
-const SETTINGS: u8 = 3;
+const EXIT_SETTINGS: u8 = 3;
 
 /// Settings and the file that they were read from.
-struct Loaded {
+struct LoadedSettings {
     path: String,
     settings: Settings,
     metrics_port: Option<u16>,
@@ -78,41 +78,42 @@
         Ok(prepared) => prepared,
         Err(code) => return code,
     };
-    let Loaded { path, settings, metrics_port } = loaded;
+    let LoadedSettings { path, settings, metrics_port } = loaded;
     let metrics = metrics_port.map(|port| std::net::SocketAddr::new(settings.ip.into(), port));
     let log = crate::log::root(level, &settings.node_name, about.name);
     let runtime = match build_runtime(settings.cores) {
         Ok(runtime) => runtime,
-        Err(e) => return fail(&about, RUN, format!("no runtime: {e}")),
+        Err(e) => return fail(&about, EXIT_FAILURE, format!("cannot start runtime: {e}")),
     };
-    let ended = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let (stop, reread) = watch_signals(path, settings.clone(), about.needs, log.clone());
         run(Start { settings, log: log.clone(), stop, reread, metrics }).await
     });
     runtime.shutdown_background();
-    match ended {
+    match result {
         Ok(()) => {
             crate::log_event!(log, Event::Stopped);
             ExitCode::SUCCESS
         }
-        Err(e) => fail(&about, RUN, e),
+        Err(e) => fail(&about, EXIT_FAILURE, e),
     }
 }
 
-fn fail(about: &About, code: u8, why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("{}: {why}", about.name);
+fn fail(about: &About, code: u8, message: impl std::fmt::Display) -> ExitCode {
+    eprintln!("{}: {message}", about.name);
     ExitCode::from(code)
 }
 
 /// Reads the command line and the settings; an exit code is returned if the program has to exit here, with or without
 /// an error.
-fn prepare(about: &About) -> Result<(slog::Level, Loaded), ExitCode> {
+fn prepare(about: &About) -> Result<(slog::Level, LoadedSettings), ExitCode> {
     let command_line = read_command_line(about)?;
     let Ok(level) = command_line.log_level.parse::<slog::Level>() else {
-        let why = format!("--log-level: `{}` is not a level", command_line.log_level);
-        return Err(fail(about, USAGE, why));
+        let message = format!("--log-level: `{}` is not a log level", command_line.log_level);
+        return Err(fail(about, EXIT_USAGE, message));
     };
-    let mut loaded = load(about, command_line.settings).map_err(|e| fail(about, SETTINGS, e))?;
+    let mut loaded =
+        load(about, command_line.settings).map_err(|e| fail(about, EXIT_SETTINGS, e))?;
     loaded.metrics_port = command_line.metrics;
     if command_line.check {
         println!("{}: usable", loaded.path);
@@ -125,7 +126,7 @@
     let args: Vec<String> = std::env::args().skip(1).collect();
     let name = about.name;
     let command_line = CommandLine::parse_args_default(&args)
-        .map_err(|e| fail(about, USAGE, format!("{e}\ntry {name} --help")))?;
+        .map_err(|e| fail(about, EXIT_USAGE, format!("{e}\ntry {name} --help")))?;
     if command_line.help {
         let usage = CommandLine::usage();
         println!("{name}: {}\n\nusage: {name} [options]\n\n{usage}", about.what);
@@ -138,10 +139,10 @@
     Ok(command_line)
 }
 
-fn load(about: &About, path: Option<String>) -> Result<Loaded, SettingsError> {
+fn load(about: &About, path: Option<String>) -> Result<LoadedSettings, SettingsError> {
     let path = path.map_or_else(Settings::path, Ok)?;
     let settings = load_complete(&path, about.needs)?;
-    Ok(Loaded { path, settings, metrics_port: None })
+    Ok(LoadedSettings { path, settings, metrics_port: None })
 }
 
 /// Loads the settings and checks that the ones this program requires are present.
@@ -165,25 +166,26 @@
         .build()
 }
 
-type Watched = (tokio::sync::watch::Receiver<bool>, tokio::sync::mpsc::Receiver<Settings>);
+type SignalChannels = (tokio::sync::watch::Receiver<bool>, tokio::sync::mpsc::Receiver<Settings>);
 
 /// Handles signals: SIGTERM and SIGINT stop the program; SIGHUP and a periodic timer reload the settings.
 fn watch_signals(
     path: String,
-    first: Settings,
+    initial: Settings,
     needs: fn(&Settings) -> Vec<&'static str>,
     log: slog::Logger,
-) -> Watched {
-    let (stop, stopped) = tokio::sync::watch::channel(false);
-    let (changed, reread) = tokio::sync::mpsc::channel(1);
-    let mut rereader = Rereader { path, needs, current: first, last_error: String::new(), log };
+) -> SignalChannels {
+    let (stop, stop_receiver) = tokio::sync::watch::channel(false);
+    let (reload_sender, reread) = tokio::sync::mpsc::channel(1);
+    let mut reloader =
+        SettingsReloader { path, needs, current: initial, last_error: String::new(), log };
     // Handlers are installed before anything is served: until then a signal ends the process at once.
     let (Ok(mut terminate), Ok(mut hangup), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::hangup()),
         signal(SignalKind::interrupt()),
     ) else {
-        return (stopped, reread);
+        return (stop_receiver, reread);
     };
     tokio::spawn(async move {
         loop {
@@ -193,18 +195,18 @@
                 _ = hangup.recv() => {}
                 () = tokio::time::sleep(constants::SETTINGS_REREAD_INTERVAL) => {}
             }
-            if let Some(settings) = rereader.reread() {
-                let _ = changed.send(settings).await;
+            if let Some(settings) = reloader.reload() {
+                let _ = reload_sender.send(settings).await;
             }
         }
         stop.send_replace(true);
         std::future::pending::<()>().await;
     });
-    (stopped, reread)
+    (stop_receiver, reread)
 }
 
 /// Reloads the settings; an error is logged once until it changes.
-struct Rereader {
+struct SettingsReloader {
     path: String,
     needs: fn(&Settings) -> Vec<&'static str>,
     current: Settings,
@@ -212,16 +214,16 @@
     log: slog::Logger,
 }
 
-impl Rereader {
+impl SettingsReloader {
     /// Returns the settings if they are valid and have changed.
-    fn reread(&mut self) -> Option<Settings> {
+    fn reload(&mut self) -> Option<Settings> {
         let settings = match load_complete(&self.path, self.needs) {
             Ok(settings) => settings,
             Err(e) => {
-                let why = e.to_string();
-                if why != self.last_error {
-                    crate::log_event!(self.log, Event::SettingsRejected, "why" => &why);
-                    self.last_error = why;
+                let message = e.to_string();
+                if message != self.last_error {
+                    crate::log_event!(self.log, Event::SettingsRejected, "why" => &message);
+                    self.last_error = message;
                 }
                 return None;
             }
@@ -230,7 +232,7 @@
         if settings == self.current {
             return None;
         }
-        crate::log_event!(self.log, Event::SettingsReread);
+        crate::log_event!(self.log, Event::SettingsReloaded);
         self.current = settings.clone();
         Some(settings)
     }
--- a/crates/fleet-core/src/settings/error.rs
+++ b/crates/fleet-core/src/settings/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// the variable ANISEDYKE_SETTINGS names no settings file
-    Unnamed,
+    VariableUnset,
     /// the settings file {0} can't be read: {1}
     Unreadable(String, String),
     /// {field}: missing from the settings file
@@ -12,7 +12,7 @@
         /// name of the field
         field: &'static str,
     },
-    /// line {line}: {field}: `{value}` is not {wanted}
+    /// line {line}: {field}: `{value}` is not {expected}
     Malformed {
         /// number of the line, from 1
         line: usize,
@@ -21,10 +21,10 @@
         /// the value found
         value: String,
         /// description of a valid value, with its article
-        wanted: &'static str,
+        expected: &'static str,
     },
     /// line {line}: not of the form name=value
-    NoPair {
+    NotKeyValue {
         /// number of the line, from 1
         line: usize,
     },
--- a/crates/fleet-core/src/settings/lines.rs
+++ b/crates/fleet-core/src/settings/lines.rs
@@ -13,36 +13,36 @@
 }
 
 /// All fields of a file; if a field occurs twice, the last one counts.
-pub(super) struct Lines<'a> {
+pub(super) struct Fields<'a> {
     fields: hashbrown::HashMap<&'a str, Field<'a>>,
 }
 
 /// Creates the error for a malformed field, with its line.
-fn malformed(field: &str, found: Field<'_>, wanted: &'static str) -> SettingsError {
+fn malformed(field: &str, entry: Field<'_>, expected: &'static str) -> SettingsError {
     SettingsError::Malformed {
-        line: found.line,
+        line: entry.line,
         field: field.to_owned(),
-        value: found.value.to_owned(),
-        wanted,
+        value: entry.value.to_owned(),
+        expected,
     }
 }
 
-impl<'a> Lines<'a> {
+impl<'a> Fields<'a> {
     /// Splits a file into its fields.
     pub(super) fn parse(text: &'a str) -> Result<Self, SettingsError> {
         let mut fields = hashbrown::HashMap::new();
-        for (index, raw) in text.lines().enumerate() {
-            let trimmed = raw.trim();
+        for (index, raw_line) in text.lines().enumerate() {
+            let trimmed = raw_line.trim();
             if trimmed.is_empty() || trimmed.starts_with('#') {
                 continue;
             }
             let line = index + 1;
             let Some((name, value)) = trimmed.split_once('=') else {
-                return Err(SettingsError::NoPair { line });
+                return Err(SettingsError::NotKeyValue { line });
             };
             fields.insert(name.trim(), Field { line, value: value.trim() });
         }
-        Ok(Lines { fields })
+        Ok(Fields { fields })
     }
 
     fn find(&self, field: &str) -> Option<Field<'a>> {
@@ -53,10 +53,10 @@
     pub(super) fn optional<T: std::str::FromStr>(
         &self,
         field: &'static str,
-        wanted: &'static str,
+        expected: &'static str,
     ) -> Result<Option<T>, SettingsError> {
-        let Some(found) = self.find(field) else { return Ok(None) };
-        let value = found.value.parse().map_err(|_| malformed(field, found, wanted))?;
+        let Some(entry) = self.find(field) else { return Ok(None) };
+        let value = entry.value.parse().map_err(|_| malformed(field, entry, expected))?;
         Ok(Some(value))
     }
 
@@ -64,9 +64,9 @@
     pub(super) fn required<T: std::str::FromStr>(
         &self,
         field: &'static str,
-        wanted: &'static str,
+        expected: &'static str,
     ) -> Result<T, SettingsError> {
-        self.optional(field, wanted)?.ok_or(SettingsError::Missing { field })
+        self.optional(field, expected)?.ok_or(SettingsError::Missing { field })
     }
 
     /// A duration given in units of `unit_ms` milliseconds; `default` has the same unit.
@@ -76,12 +76,12 @@
         unit_ms: f64,
         default: f64,
     ) -> Result<Duration, SettingsError> {
-        let Some(found) = self.find(field) else {
+        let Some(entry) = self.find(field) else {
             return Ok(Duration::from_secs_f64(default * unit_ms / 1000.0));
         };
-        let units: f64 = found.value.parse().map_err(|_| malformed(field, found, "a number"))?;
+        let units: f64 = entry.value.parse().map_err(|_| malformed(field, entry, "a number"))?;
         if !(units.is_finite() && (0.0..1e9).contains(&units)) {
-            return Err(malformed(field, found, "a span of time"));
+            return Err(malformed(field, entry, "a duration"));
         }
         Ok(Duration::from_secs_f64(units * unit_ms / 1000.0))
     }
@@ -89,25 +89,25 @@
     /// The range of ports that the processes of a machine may listen on.
     pub(super) fn ports(&self) -> Result<PortRange, SettingsError> {
         let field = "portRange";
-        let found = self.find(field).ok_or(SettingsError::Missing { field })?;
+        let entry = self.find(field).ok_or(SettingsError::Missing { field })?;
         let read = || {
-            let (first, last) = found.value.split_once(',')?;
+            let (first, last) = entry.value.split_once(',')?;
             Some(PortRange { first: first.trim().parse().ok()?, last: last.trim().parse().ok()? })
         };
         read()
             .filter(|range| range.first < range.last)
-            .ok_or_else(|| malformed(field, found, "two ports, the lower first"))
+            .ok_or_else(|| malformed(field, entry, "two ports, the lower first"))
     }
 
     /// The addresses of the controllers that a process contacts first.
     pub(super) fn seeds(&self) -> Result<Vec<SocketAddr>, SettingsError> {
         let field = "seeds";
-        let Some(found) = self.find(field) else { return Ok(Vec::new()) };
-        let parts = found.value.split(',').map(str::trim).filter(|part| !part.is_empty());
+        let Some(entry) = self.find(field) else { return Ok(Vec::new()) };
+        let parts = entry.value.split(',').map(str::trim).filter(|part| !part.is_empty());
         parts
             .map(|part| {
-                let only = Field { line: found.line, value: part };
-                part.parse().map_err(|_| malformed(field, only, "an address with a port"))
+                let item = Field { line: entry.line, value: part };
+                part.parse().map_err(|_| malformed(field, item, "an address with a port"))
             })
             .collect()
     }
@@ -117,8 +117,8 @@
         let mut zones: Vec<_> = self
             .fields
             .iter()
-            .filter_map(|(name, found)| {
-                Some((name.strip_prefix("zones.")?.to_owned(), found.value.to_owned()))
+            .filter_map(|(name, entry)| {
+                Some((name.strip_prefix("zones.")?.to_owned(), entry.value.to_owned()))
             })
             .collect();
         zones.sort();
--- a/crates/fleet-core/src/settings/mod.rs
+++ b/crates/fleet-core/src/settings/mod.rs
@@ -5,7 +5,7 @@
 mod error;
 mod lines;
 
-use lines::Lines;
+use lines::Fields;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -93,18 +93,18 @@
 }
 
 impl Bounds {
-    fn parse(lines: &Lines<'_>) -> Result<Bounds, SettingsError> {
+    fn parse(fields: &Fields<'_>) -> Result<Bounds, SettingsError> {
         Ok(Bounds {
-            drain: lines.duration("bounds.drainMs", 1.0, 2000.0)?,
-            grace: lines.duration("bounds.graceS", 1000.0, 8.0)?,
-            apply: lines.duration("bounds.applyMs", 1.0, 2000.0)?,
-            lease: lines.duration("bounds.leaseMs", 1.0, 3000.0)?,
-            version: lines.duration("bounds.versionMs", 1.0, 8000.0)?,
-            contact: lines.duration("bounds.contactMs", 1.0, 3000.0)?,
-            catch_up: lines.duration("bounds.catchUpS", 1000.0, 4.0)?,
-            retry_ratio: lines.optional("bounds.retryRatio", "a number")?.unwrap_or(0.0),
-            retry_window: lines.duration("bounds.retryWindowS", 1000.0, 10.0)?,
-            retry_slack: lines.optional("bounds.retrySlack", "a number")?.unwrap_or(0.0),
+            drain: fields.duration("bounds.drainMs", 1.0, 2000.0)?,
+            grace: fields.duration("bounds.graceS", 1000.0, 8.0)?,
+            apply: fields.duration("bounds.applyMs", 1.0, 2000.0)?,
+            lease: fields.duration("bounds.leaseMs", 1.0, 3000.0)?,
+            version: fields.duration("bounds.versionMs", 1.0, 8000.0)?,
+            contact: fields.duration("bounds.contactMs", 1.0, 3000.0)?,
+            catch_up: fields.duration("bounds.catchUpS", 1000.0, 4.0)?,
+            retry_ratio: fields.optional("bounds.retryRatio", "a number")?.unwrap_or(0.0),
+            retry_window: fields.duration("bounds.retryWindowS", 1000.0, 10.0)?,
+            retry_slack: fields.optional("bounds.retrySlack", "a number")?.unwrap_or(0.0),
         })
     }
 }
@@ -116,31 +116,31 @@
     ///
     /// The first error found: a line is not a key-value pair, a required field is missing, or a value is malformed.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-        let lines = Lines::parse(text)?;
-        let ports = lines.ports()?;
-        let seeds = lines.seeds()?;
+        let fields = Fields::parse(text)?;
+        let ports = fields.ports()?;
+        let seeds = fields.seeds()?;
         Ok(Settings {
-            node_name: lines.required("nodeName", "a name")?,
-            role: lines.optional("role", "a name")?.unwrap_or_default(),
-            ip: lines.required("ip", "an IPv4 address")?,
-            zone: lines.required("zone", "a name")?,
-            region: lines.optional("region", "a name")?.unwrap_or_default(),
-            zones: lines.zones(),
-            front: lines.optional("bindAddrs.frontHttp", "an address with a port")?,
-            readiness: lines.optional("bindAddrs.readiness", "an address with a port")?,
-            control: lines.optional("bindAddrs.control", "an address with a port")?,
+            node_name: fields.required("nodeName", "a name")?,
+            role: fields.optional("role", "a name")?.unwrap_or_default(),
+            ip: fields.required("ip", "an IPv4 address")?,
+            zone: fields.required("zone", "a name")?,
+            region: fields.optional("region", "a name")?.unwrap_or_default(),
+            zones: fields.zones(),
+            front: fields.optional("bindAddrs.frontHttp", "an address with a port")?,
+            readiness: fields.optional("bindAddrs.readiness", "an address with a port")?,
+            control: fields.optional("bindAddrs.control", "an address with a port")?,
             ports,
             seeds,
-            bootstrap: lines.optional("bootstrap", "true or false")?.unwrap_or(false),
-            counted: lines.optional("counted", "true or false")?.unwrap_or(false),
-            data_dir: lines.optional("dataDir", "a path")?,
-            heartbeat: lines.duration("heartbeatMs", 1.0, 1000.0)?.max(Duration::from_millis(50)),
-            cores: lines.optional("limits.cores", "a whole number")?.unwrap_or(1usize).max(1),
-            max_fds: lines.optional("limits.maxFds", "a whole number")?.unwrap_or(1024),
-            losses: lines.optional("tolerance.machines", "a whole number")?.unwrap_or(1),
-            lost_zones: lines.optional("tolerance.zones", "a whole number")?.unwrap_or(0),
-            lost_regions: lines.optional("tolerance.regions", "a whole number")?.unwrap_or(0),
-            bounds: Bounds::parse(&lines)?,
+            bootstrap: fields.optional("bootstrap", "true or false")?.unwrap_or(false),
+            counted: fields.optional("counted", "true or false")?.unwrap_or(false),
+            data_dir: fields.optional("dataDir", "a path")?,
+            heartbeat: fields.duration("heartbeatMs", 1.0, 1000.0)?.max(Duration::from_millis(50)),
+            cores: fields.optional("limits.cores", "a whole number")?.unwrap_or(1usize).max(1),
+            max_fds: fields.optional("limits.maxFds", "a whole number")?.unwrap_or(1024),
+            losses: fields.optional("tolerance.machines", "a whole number")?.unwrap_or(1),
+            lost_zones: fields.optional("tolerance.zones", "a whole number")?.unwrap_or(0),
+            lost_regions: fields.optional("tolerance.regions", "a whole number")?.unwrap_or(0),
+            bounds: Bounds::parse(&fields)?,
         })
     }
 
@@ -161,7 +161,7 @@
     ///
     /// [`SettingsError::VariableUnset`] if the variable is missing.
     pub fn path() -> Result<String, SettingsError> {
-        std::env::var("ANISEDYKE_SETTINGS").map_err(|_| SettingsError::Unnamed)
+        std::env::var("ANISEDYKE_SETTINGS").map_err(|_| SettingsError::VariableUnset)
     }
 
     /// The port on which controllers listen for peers; the same on all machines.
--- a/crates/fleet-core/src/target_versions.rs
+++ b/crates/fleet-core/src/target_versions.rs
@@ -32,13 +32,13 @@
         if version == 0 {
             return false;
         }
-        let place = self.versions.partition_point(|known| known.version < version);
-        match self.versions.get(place) {
+        let index = self.versions.partition_point(|known| known.version < version);
+        match self.versions.get(index) {
             Some(known) if known.version == version && known.since <= since => return false,
-            Some(known) if known.version == version => self.versions[place].since = since,
-            _ => self.versions.insert(place, TargetVersion { version, since }),
+            Some(known) if known.version == version => self.versions[index].since = since,
+            _ => self.versions.insert(index, TargetVersion { version, since }),
         }
-        self.restore_order(place);
+        self.restore_order(index);
         self.merge_oldest();
         true
     }
@@ -70,8 +70,8 @@
 
     /// The time since which weights of this version are outdated; `None` if no higher version is known.
     pub fn outdated_since(&self, version: u64) -> Option<Instant> {
-        let place = self.versions.partition_point(|known| known.version <= version);
-        self.versions.get(place).map(|first_above| first_above.since)
+        let index = self.versions.partition_point(|known| known.version <= version);
+        self.versions.get(index).map(|first_above| first_above.since)
     }
 
     /// All versions kept, the oldest first.
--- a/crates/fleet-core/src/target_versions_tests.rs
+++ b/crates/fleet-core/src/target_versions_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn an_engine_is_outdated_since_the_first_version_that_it_lacks() {
+fn engine_is_outdated_since_the_first_version_that_it_lacks() {
     let start = Instant::now();
     let mut targets = TargetVersions::default();
     for (version, ms) in [(2, 0), (3, 4400), (4, 8800)] {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn the_earliest_moment_told_counts_and_nothing_told_later_extends_it() {
+fn earliest_reported_time_counts_and_later_reports_do_not_extend_it() {
     let start = Instant::now();
     let mut targets = TargetVersions::default();
     assert!(targets.learn(2, at(start, 5000)));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_version_learned_late_was_named_before_those_above_it() {
+fn version_learned_late_gets_the_time_of_a_higher_version() {
     let start = Instant::now();
     let mut targets = TargetVersions::default();
     targets.learn(3, at(start, 1000));
@@ -47,14 +47,14 @@
     /// Compares with a map of everything that was recorded: the bound is never later, and exact while all versions
     /// fit.
     #[test]
-    fn a_bound_is_never_later_than_all_that_was_told_makes_it(
-        told in prop::collection::vec((1u64..40, 0u64..10_000), 1..80),
+    fn bound_is_never_later_than_reported_times_imply(
+        reported in prop::collection::vec((1u64..40, 0u64..10_000), 1..80),
         engine in 0u64..40,
     ) {
         let start = Instant::now();
         let mut targets = TargetVersions::default();
         let mut model: BTreeMap<u64, u64> = BTreeMap::new();
-        for (version, ms) in told {
+        for (version, ms) in reported {
             targets.learn(version, at(start, ms));
             let known = model.entry(version).or_insert(ms);
             *known = ms.min(*known);
--- a/crates/fleet-core/src/transport.rs
+++ b/crates/fleet-core/src/transport.rs
@@ -70,8 +70,8 @@
     /// Connects from the machine's own address; fails after the time-out `limit`.
     fn connect(
         &self,
-        own: Ipv4Addr,
-        to: SocketAddr,
+        local_ip: Ipv4Addr,
+        remote_addr: SocketAddr,
         limit: Duration,
     ) -> BoxFuture<'_, Result<BoxedStream, TransportError>>;
 
@@ -80,7 +80,7 @@
     /// # Errors
     ///
     /// The address is in use or does not belong to this machine.
-    fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>>;
+    fn listen(&self, addr: SocketAddr) -> std::io::Result<Box<dyn Listener>>;
 }
 
 /// A bound address that accepts connections.
@@ -103,18 +103,18 @@
 impl Transport for Tcp {
     fn connect(
         &self,
-        own: Ipv4Addr,
-        to: SocketAddr,
+        local_ip: Ipv4Addr,
+        remote_addr: SocketAddr,
         limit: Duration,
     ) -> BoxFuture<'_, Result<BoxedStream, TransportError>> {
         Box::pin(async move {
-            let stream = connect(own, to, limit).await?;
+            let stream = connect(local_ip, remote_addr, limit).await?;
             Ok(Box::new(stream) as BoxedStream)
         })
     }
 
-    fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>> {
-        Ok(Box::new(listen(at)?))
+    fn listen(&self, addr: SocketAddr) -> std::io::Result<Box<dyn Listener>> {
+        Ok(Box::new(listen(addr)?))
     }
 }
 
@@ -153,11 +153,11 @@
 /// # Errors
 ///
 /// The address is in use or does not belong to this machine.
-pub fn listen(at: SocketAddr) -> std::io::Result<tokio::net::TcpListener> {
+pub fn listen(addr: SocketAddr) -> std::io::Result<tokio::net::TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&addr.into())?;
     socket.listen(constants::LISTEN_BACKLOG)?;
     tokio::net::TcpListener::from_std(socket.into())
 }
@@ -168,13 +168,13 @@
 ///
 /// The connection was refused or not established within the time-out; nothing was sent.
 pub async fn connect(
-    own: Ipv4Addr,
-    to: SocketAddr,
+    local_ip: Ipv4Addr,
+    remote_addr: SocketAddr,
     limit: Duration,
 ) -> Result<tokio::net::TcpStream, TransportError> {
     let socket = tokio::net::TcpSocket::new_v4()?;
-    socket.bind(SocketAddr::new(own.into(), 0))?;
-    let connecting = tokio::time::timeout(limit, socket.connect(to));
+    socket.bind(SocketAddr::new(local_ip.into(), 0))?;
+    let connecting = tokio::time::timeout(limit, socket.connect(remote_addr));
     let stream = connecting.await.map_err(|_| TransportError::Timeout)??;
     set_socket_options(&stream)?;
     Ok(stream)
--- a/crates/fleet-core/src/wire/answers.rs
+++ b/crates/fleet-core/src/wire/answers.rs
@@ -7,7 +7,7 @@
     /// call.
     ///
     /// The match has no catch-all arm, so that every new kind of message has to state its answer here.
-    pub fn answer_test(&self) -> fn(&Body) -> bool {
+    pub fn answer_matcher(&self) -> fn(&Body) -> bool {
         match self {
             Body::Prepare(_) | Body::Accept(_) => |answer| matches!(answer, Body::Vote(_)),
             Body::PreVoteRequest(_) => |answer| matches!(answer, Body::PreVoteResponse(_)),
--- a/crates/fleet-core/tests/configuration_sizes.rs
+++ b/crates/fleet-core/tests/configuration_sizes.rs
@@ -1,5 +1,5 @@
-//! Size of the messages that transfer a configuration to a router, in full and as a delta, at three sizes. `cargo
-//! test -p fleet-core --test configuration_sizes -- --nocapture` prints the table of docs/measurements.md.
+//! Size of the messages that transfer a configuration to a router, in full and as a delta, at three sizes.
+//! `cargo test -p fleet-core --test configuration_sizes -- --nocapture` prints the table of docs/measurements.md.
 
 use fleet_core::{delta, node, packing};
 use prost::Message;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_small_change_costs_the_same_in_a_large_configuration() {
+fn delta_size_does_not_grow_with_the_configuration() {
     println!("| routes | whole | whole, packed | delta of 1 route | delta of 5 routes |");
     println!("|---|---|---|---|---|");
     let mut deltas = Vec::new();
--- a/crates/fleet-core/tests/docs.rs
+++ b/crates/fleet-core/tests/docs.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 
 /// Pages of docs/ that do not describe the current sources.
-const LEFT_OUT: [&str; 2] = ["measurements.md", "questions.md"];
+const EXCLUDED_PAGES: [&str; 2] = ["measurements.md", "questions.md"];
 
 /// Root directory of the workspace.
 fn workspace() -> PathBuf {
@@ -38,7 +38,7 @@
     for entry in fs::read_dir(root.join("docs")).expect("a folder of docs") {
         let path = entry.expect("a readable entry").path();
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
-        if name.ends_with(".md") && !LEFT_OUT.contains(&name) {
+        if name.ends_with(".md") && !EXCLUDED_PAGES.contains(&name) {
             pages.push(path);
         }
     }
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_span_is_read_as_a_path_a_name_or_neither() {
+fn code_span_is_classified_as_path_name_or_neither() {
     assert!(is_path("consensus/acceptor.rs") && is_path("tests/harness/"));
     assert!(!is_path("config") && !is_path("fleetctl check FILE"));
     assert_eq!(name("wire::RingHead"), Some("RingHead"));
--- a/crates/fleet-core/tests/event_numbers.rs
+++ b/crates/fleet-core/tests/event_numbers.rs
@@ -63,7 +63,7 @@
 ];
 
 #[test]
-fn every_event_has_the_number_and_the_level_that_it_always_had() {
+fn event_numbers_and_levels_never_change() {
     let mut events: Vec<_> = Event::ALL.iter().map(|e| (*e as u32, e.level())).collect();
     events.sort_by_key(|(number, _)| *number);
     let mut expected: Vec<_> = EVENTS.into_iter().chain(LATER).collect();
--- a/crates/fleet-core/tests/load.rs
+++ b/crates/fleet-core/tests/load.rs
@@ -8,46 +8,50 @@
     Load { unread, runs, interactive: runs / 2 }
 }
 
-fn one(id: &str, l: Load) -> ByEngine {
-    std::iter::once((key_of(id), l)).collect()
+fn single_engine(id: &str, engine_load: Load) -> ByEngine {
+    std::iter::once((key_of(id), engine_load)).collect()
 }
 
 #[test]
-fn packed_loads_keep_their_sums_rounded_up() {
-    let l = pack(&one("e", load(65, 4)));
-    let back: ByEngine = unpack(&l).collect();
-    assert_eq!(back[&key_of("e")], Load { unread: 128, runs: 4, interactive: 2 });
-    assert!(pack(&one("e", Load::default())).keys.is_empty());
+fn packed_loads_round_tokens_up() {
+    let report = pack(&single_engine("e", load(65, 4)));
+    let unpacked: ByEngine = unpack(&report).collect();
+    assert_eq!(unpacked[&key_of("e")], Load { unread: 128, runs: 4, interactive: 2 });
+    assert!(pack(&single_engine("e", Load::default())).keys.is_empty());
 }
 
 #[test]
-fn lists_of_unequal_length_are_read_as_far_as_all_reach() {
-    let mut l = pack(&one("e", load(64, 1)));
-    l.keys.push(7);
-    l.runs.clear();
-    assert_eq!(unpack(&l).count(), 0);
+fn entries_beyond_the_shortest_list_are_ignored() {
+    let mut report = pack(&single_engine("e", load(64, 1)));
+    report.keys.push(7);
+    report.runs.clear();
+    assert_eq!(unpack(&report).count(), 0);
 }
 
 #[test]
-fn tellers_add_up_until_they_fall_silent() {
-    let t = Instant::now();
-    let mut b = LoadTable::default();
-    b.record(1, t, pack(&one("e", load(64, 1))));
-    b.record(2, t, pack(&one("e", load(64, 9))));
-    b.record(2, t + constants::LOAD_REPORT_REFRESH, pack(&one("e", load(64, 2))));
-    assert_eq!(b.sum(t + constants::LOAD_REPORT_REFRESH)[&key_of("e")].runs, 3);
-    assert_eq!(b.sum(t + constants::LOAD_REPORT_TIMEOUT)[&key_of("e")].runs, 2);
-    assert_eq!(b.reporters().collect::<Vec<_>>(), [2]);
-    assert!(b.sum(t + constants::LOAD_REPORT_TIMEOUT * 2).is_empty());
+fn reports_are_summed_until_they_expire() {
+    let start = Instant::now();
+    let mut table = LoadTable::default();
+    table.record(1, start, pack(&single_engine("e", load(64, 1))));
+    table.record(2, start, pack(&single_engine("e", load(64, 9))));
+    table.record(2, start + constants::LOAD_REPORT_REFRESH, pack(&single_engine("e", load(64, 2))));
+    assert_eq!(table.sum(start + constants::LOAD_REPORT_REFRESH)[&key_of("e")].runs, 3);
+    assert_eq!(table.sum(start + constants::LOAD_REPORT_TIMEOUT)[&key_of("e")].runs, 2);
+    assert_eq!(table.reporters().collect::<Vec<_>>(), [2]);
+    assert!(table.sum(start + constants::LOAD_REPORT_TIMEOUT * 2).is_empty());
 }
 
 #[test]
-fn nothing_goes_out_while_nothing_changes_but_now_and_then() {
-    let t = Instant::now();
-    let mut last = ReportSchedule::default();
-    let (a, b) = (pack(&one("e", load(64, 1))), pack(&one("e", load(64, 2))));
-    assert!(last.is_due(t, &a));
-    assert!(!last.is_due(t + constants::LOAD_REPORT_INTERVAL, &a));
-    assert!(last.is_due(t + constants::LOAD_REPORT_INTERVAL, &b));
-    assert!(last.is_due(t + constants::LOAD_REPORT_INTERVAL + constants::LOAD_REPORT_REFRESH, &b));
+fn unchanged_loads_are_sent_only_at_the_refresh_interval() {
+    let start = Instant::now();
+    let mut schedule = ReportSchedule::default();
+    let (first, changed) =
+        (pack(&single_engine("e", load(64, 1))), pack(&single_engine("e", load(64, 2))));
+    assert!(schedule.is_due(start, &first));
+    assert!(!schedule.is_due(start + constants::LOAD_REPORT_INTERVAL, &first));
+    assert!(schedule.is_due(start + constants::LOAD_REPORT_INTERVAL, &changed));
+    assert!(schedule.is_due(
+        start + constants::LOAD_REPORT_INTERVAL + constants::LOAD_REPORT_REFRESH,
+        &changed
+    ));
 }
--- a/crates/fleet-core/tests/settings_format.rs
+++ b/crates/fleet-core/tests/settings_format.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn every_field_is_read_under_its_name_and_in_its_unit() {
+fn every_field_is_parsed_with_its_name_and_unit() {
     let expected = Settings {
         node_name: "n1".into(),
         role: "router".into(),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn fields_that_are_missing_have_their_defaults() {
+fn missing_fields_have_defaults() {
     let expected = Settings {
         node_name: "n1".into(),
         role: String::new(),
@@ -122,10 +122,13 @@
 }
 
 #[test]
-fn the_required_fields_are_named_where_they_are_missing() {
+fn missing_required_fields_are_reported() {
     for field in ["nodeName", "ip", "zone", "portRange"] {
-        let without: String =
-            REQUIRED.lines().filter(|l| !l.starts_with(field)).map(|l| format!("{l}\n")).collect();
+        let without: String = REQUIRED
+            .lines()
+            .filter(|line| !line.starts_with(field))
+            .map(|line| format!("{line}\n"))
+            .collect();
         assert_eq!(Settings::parse(&without), Err(SettingsError::Missing { field }), "{field}");
     }
 }
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -1,5 +1,5 @@
-//! Size on the wire of each item, at three fleet sizes, on which docs/CAPACITY.md is based. `cargo test -p fleet-core
-//! --test sizes -- --nocapture` prints them.
+//! Size on the wire of each item, at three fleet sizes, on which docs/CAPACITY.md is based.
+//! `cargo test -p fleet-core --test sizes -- --nocapture` prints them.
 
 use fleet_core::load::{ByEngine, Load, pack};
 use fleet_core::wire::{
@@ -11,16 +11,16 @@
 
 /// Size of each additional item, which must be the same between all fleet sizes.
 fn slope(what: &str, bytes: impl Fn(usize) -> usize) -> f64 {
-    let at: Vec<usize> = SIZES.iter().map(|n| bytes(*n)).collect();
-    let per = |a: usize, b: usize| (at[b] - at[a]) as f64 / (SIZES[b] - SIZES[a]) as f64;
+    let sizes: Vec<usize> = SIZES.iter().map(|n| bytes(*n)).collect();
+    let per = |a: usize, b: usize| (sizes[b] - sizes[a]) as f64 / (SIZES[b] - SIZES[a]) as f64;
     let (low, high) = (per(0, 1).min(per(1, 2)), per(0, 1).max(per(1, 2)));
-    println!("{what}: {at:?} bytes at {SIZES:?}, {low:.2} to {high:.2} each");
+    println!("{what}: {sizes:?} bytes at {SIZES:?}, {low:.2} to {high:.2} each");
     assert!(high <= low * 1.1 + 0.1, "{what} grows faster than its items");
     high
 }
 
 #[test]
-fn loads_take_a_few_bytes_an_engine() {
+fn load_report_takes_a_few_bytes_per_engine() {
     let bytes = |n: usize| {
         let all: ByEngine = (0..n as u32)
             .map(|i| (i * 7919, Load { unread: 6000, runs: 6, interactive: 4 }))
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn news_of_an_engine_and_entries_of_the_ring_are_bounded() {
+fn engine_update_and_ring_entry_sizes_are_bounded() {
     let engine = |n: usize| FleetUpdate {
         engines: (0..n)
             .map(|i| Engine {
@@ -59,11 +59,11 @@
     };
     let ring = |n: usize| (0..n).map(|i| entry(i).encoded_len() + 2).sum::<usize>();
     assert!(slope("ring, an evicted part", ring) <= 48.0);
-    let held = |n: usize| {
+    let cached_parts = |n: usize| {
         let parts: Vec<u64> = (0..n as u64).map(|i| i << 20).collect();
         let cached_tokens = vec![3780; n];
         CachedParts { holder: "i-00".into(), salt: "m|2|#1".into(), parts, cached_tokens }
             .encoded_len()
     };
-    assert!(slope("finding at one holder, a part", held) <= 11.0);
+    assert!(slope("finding at one holder, a part", cached_parts) <= 11.0);
 }
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -128,7 +128,7 @@
         membership: Some(membership()),
         recovery_epoch: 3,
     };
-    let peeked = BallotReport {
+    let report = BallotReport {
         votes: true,
         registers: vec![register()],
         membership: Some(membership()),
@@ -136,14 +136,14 @@
     };
     let recover = RecoverRequest { membership: 1, incarnation: 2, recovery_epoch: 3 };
     let chunk_request = ValueChunkRequest { key: "config".into(), ballot: ballot(2), offset: 3 };
-    let delta_op = ValueChunk { ballot: ballot(2), offset: 3, total: 4, bytes: vec![5].into() };
+    let chunk = ValueChunk { ballot: ballot(2), offset: 3, total: 4, bytes: vec![5].into() };
     let join = JoinRequest { member: member(), observes: true, running_ms: 12 };
     vec![
         ("4", Body::Prepare(prepare)),
         ("5", Body::Accept(accept)),
         ("6", Body::Vote(vote)),
         ("7", Body::ReadBallots(ReadBallots { membership: 1, values: true })),
-        ("8", Body::BallotReport(peeked)),
+        ("8", Body::BallotReport(report)),
         ("9", Body::RecoverRequest(recover)),
         ("10", Body::RegisterRequest(RegisterRequest { key: "config".into() })),
         (
@@ -154,7 +154,7 @@
         ("18", Body::JoinRequest(join)),
         ("19", Body::JoinResponse(JoinResponse { membership: Some(membership()) })),
         ("28", Body::ValueChunkRequest(chunk_request)),
-        ("29", Body::ValueChunk(delta_op)),
+        ("29", Body::ValueChunk(chunk)),
         ("40", Body::PreVoteRequest(PreVoteRequest { key: "config".into(), membership: 1 })),
         ("41", Body::PreVoteResponse(PreVoteResponse { ok: true, promised: ballot(2) })),
         ("42", Body::OwnerResigned(Empty {})),
@@ -207,7 +207,7 @@
         membership: 6,
         number: 7,
     };
-    let view = FleetUpdate {
+    let update = FleetUpdate {
         membership: Some(membership()),
         config: 2,
         weights: vec![TargetWeights { model: "m".into(), version: 1, age_ms: 2 }],
@@ -223,7 +223,7 @@
         runs: vec![5, 6],
         interactive: vec![7, 8],
     };
-    let give = |form| {
+    let response = |form| {
         let digest = vec![3].into();
         Body::ConfigResponse(ConfigResponse { version: 1, isolation: 2, digest, form: Some(form) })
     };
@@ -236,19 +236,19 @@
             Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine()], request_all: true }),
         ),
         ("20", Body::RouterHeartbeat(RouterHeartbeat { version: 1, shutting_down: true })),
-        ("21", Body::FleetUpdate(view)),
+        ("21", Body::FleetUpdate(update)),
         ("24", Body::Empty(Empty {})),
         ("25", Body::Acknowledged(Empty {})),
         ("27", Body::LoadReport(loads)),
         ("32", Body::ConfigRequest(ConfigRequest { digest: vec![1].into() })),
-        ("33-whole", give(ConfigForm::Full(vec![4].into()))),
-        ("33-delta", give(ConfigForm::Delta(vec![5].into()))),
+        ("33-whole", response(ConfigForm::Full(vec![4].into()))),
+        ("33-delta", response(ConfigForm::Delta(vec![5].into()))),
     ]
 }
 
 /// Messages of the invalidation ring and the prompt index.
 fn ring_bodies() -> Vec<(&'static str, Body)> {
-    let request_all = RingRequest {
+    let ring_request = RingRequest {
         fencing_token: 1,
         incarnation: 2,
         cursor: 3,
@@ -263,7 +263,7 @@
         entry(Invalidation::Weights(Weights { model: "m".into(), version: 2 })),
         entry(Invalidation::Isolation(5)),
     ];
-    let give = RingResponse {
+    let response = RingResponse {
         head: Some(ring_head()),
         reset: true,
         entries,
@@ -271,8 +271,8 @@
         snapshot: vec![cached_parts()],
     };
     vec![
-        ("22", Body::RingRequest(request_all)),
-        ("23", Body::RingResponse(give)),
+        ("22", Body::RingRequest(ring_request)),
+        ("23", Body::RingResponse(response)),
         ("26", Body::CachedPrefixes(CachedPrefixes { entries: vec![cached_parts()] })),
     ]
 }
@@ -291,21 +291,21 @@
         digest: vec![5].into(),
         isolated: vec!["t".into()],
     };
-    let lease_name = LeaseValue {
+    let lease = LeaseValue {
         fencing_token: 1,
         holder: "n1".into(),
         acting: "n2".into(),
         raise: Some(raise_id()),
     };
     let departures = DeparturesValue { recorded: 9, departures: vec![departure(9)] };
-    let delta_op = DeltaOp { from: 1, length: 2, insert: vec![3] };
+    let chunk = DeltaOp { from: 1, length: 2, insert: vec![3] };
     vec![
         ("value-config", config.encode_to_vec()),
         ("value-weights", WeightsValue { version: 3 }.encode_to_vec()),
-        ("value-duty", lease_name.encode_to_vec()),
+        ("value-duty", lease.encode_to_vec()),
         ("value-departures", departures.encode_to_vec()),
         ("value-membership", membership().encode_to_vec()),
-        ("value-delta", ConfigDelta { ops: vec![delta_op] }.encode_to_vec()),
+        ("value-delta", ConfigDelta { ops: vec![chunk] }.encode_to_vec()),
     ]
 }
 
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn every_message_is_written_as_the_earlier_release_wrote_it() {
+fn messages_are_encoded_as_in_the_earlier_release() {
     let fixtures = fixtures();
     let frames = bodies().into_iter().map(|(name, body)| (name, frame(body).encode_to_vec()));
     for (name, bytes) in frames.chain(values()) {
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn every_message_of_the_earlier_release_is_read_as_what_it_was() {
+fn messages_of_the_earlier_release_are_decoded() {
     let fixtures = fixtures();
     for (name, body) in bodies() {
         assert_eq!(Frame::decode(&*fixtures[name]).unwrap(), frame(body), "{name}");
@@ -344,7 +344,7 @@
 
 /// Tags 30 and above 42 are not in use: a frame with one of them is decoded as a frame without a body.
 #[test]
-fn an_unknown_message_is_read_as_none() {
+fn unknown_message_is_decoded_as_none() {
     let mut bytes = Frame { call: 5, answer: false, body: None }.encode_to_vec();
     bytes.extend_from_slice(&[0xf2, 0x01, 0x00]);
     assert_eq!(Frame::decode(&*bytes).unwrap(), Frame { call: 5, answer: false, body: None });
