--- a/crates/fleet-core/src/settings/mod.rs
+++ b/crates/fleet-core/src/settings/mod.rs
@@ -3,9 +3,9 @@
 //! Unknown fields are ignored, so that an older program can read a newer file. List items are separated by commas.
 
 mod error;
-mod lines;
+mod fields;
 
-use lines::Fields;
+use fields::Fields;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
