--- a/crates/fleet-core/src/configuration/checks.rs
+++ b/crates/fleet-core/src/configuration/checks.rs
@@ -30,11 +30,11 @@
     /// The first error with its location, in the order: JSON text, bounds of fields, routes, keys.
     pub fn read(body: &[u8]) -> Result<Configuration, ConfigError> {
         let configuration: Configuration = serde_json::from_slice(body).map_err(|e| {
-            ConfigError::Unreadable { line: e.line(), column: e.column(), reason: e.to_string() }
+            ConfigError::Malformed { line: e.line(), column: e.column(), reason: e.to_string() }
         })?;
         configuration
             .validate()
-            .map_err(|e| ConfigError::OutOfBounds { place: first_invalid_path(&e) })?;
+            .map_err(|e| ConfigError::OutOfBounds { path: first_invalid_path(&e) })?;
         configuration.check_routes()?;
         configuration.check_keys()?;
         Ok(configuration)
@@ -46,20 +46,20 @@
             self.services.iter().map(|service| service.name.as_str()).collect();
         let mut seen_routes = HashMap::new();
         for (index, route) in self.routes.iter().enumerate() {
-            let place = format!("routes[{index}]");
+            let path = format!("routes[{index}]");
             let key = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-            if let Some(other) = seen_routes.insert(key, index) {
+            if let Some(other_route) = seen_routes.insert(key, index) {
                 return Err(ConfigError::DuplicateRoute {
-                    place,
-                    other: format!("routes[{other}]"),
+                    path,
+                    other_route: format!("routes[{other_route}]"),
                 });
             }
             let shares = route.shares();
             if let Some((unknown, _)) = shares.iter().find(|(name, _)| !services.contains(name)) {
-                return Err(ConfigError::UnknownService { place, service: (*unknown).to_owned() });
+                return Err(ConfigError::UnknownService { path, service: (*unknown).to_owned() });
             }
             if shares.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>() == 0 {
-                return Err(ConfigError::ZeroTotalWeight { place });
+                return Err(ConfigError::ZeroTotalWeight { path });
             }
         }
         Ok(())
@@ -70,12 +70,12 @@
         let mut tenant_by_key: HashMap<&str, usize> = HashMap::new();
         for (index, tenant) in self.tenants.iter().enumerate() {
             for (key_index, key) in tenant.api_keys.iter().enumerate() {
-                let other =
+                let other_tenant =
                     tenant_by_key.insert(key.as_str(), index).filter(|other| *other != index);
-                if let Some(other) = other {
+                if let Some(other_tenant) = other_tenant {
                     return Err(ConfigError::SharedKey {
-                        place: format!("tenants[{index}].apiKeys[{key_index}]"),
-                        other: self.tenants[other].name.clone(),
+                        path: format!("tenants[{index}].apiKeys[{key_index}]"),
+                        other_tenant: self.tenants[other_tenant].name.clone(),
                     });
                 }
             }
--- a/crates/fleet-core/src/configuration/error.rs
+++ b/crates/fleet-core/src/configuration/error.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum ConfigError {
     /// unreadable: {reason} (line {line}, column {column})
-    Unreadable {
+    Malformed {
         /// line of the JSON text, from 1
         line: usize,
         /// column of that line, from 1
@@ -12,36 +12,36 @@
         /// parser message
         reason: String,
     },
-    /// {place}: out of bounds
+    /// {path}: out of bounds
     OutOfBounds {
         /// path of the field
-        place: String,
+        path: String,
     },
-    /// {place}: names the unknown service `{service}`
+    /// {path}: names the unknown service `{service}`
     UnknownService {
         /// path of the route
-        place: String,
+        path: String,
         /// name that matches no service
         service: String,
     },
-    /// {place}: same host and prefix as {other}
+    /// {path}: same host and prefix as {other_route}
     DuplicateRoute {
         /// path of the later route
-        place: String,
+        path: String,
         /// path of the earlier route
-        other: String,
+        other_route: String,
     },
-    /// {place}: its weights sum to 0
+    /// {path}: its weights sum to 0
     ZeroTotalWeight {
         /// path of the route
-        place: String,
+        path: String,
     },
-    /// {place}: a key of tenant `{other}` too
+    /// {path}: a key of tenant `{other_tenant}` too
     SharedKey {
         /// path of the key
-        place: String,
+        path: String,
         /// name of the other tenant
-        other: String,
+        other_tenant: String,
     },
     /// revision: {version} is not above {current}
     VersionNotAbove {
@@ -56,7 +56,7 @@
     /// Stable identifier of the error for programs.
     pub fn code(&self) -> &'static str {
         match self {
-            ConfigError::Unreadable { .. } => "unreadable",
+            ConfigError::Malformed { .. } => "unreadable",
             ConfigError::OutOfBounds { .. } => "out_of_bounds",
             ConfigError::UnknownService { .. } => "unknown_service",
             ConfigError::DuplicateRoute { .. } => "same_place",
--- a/crates/fleet-core/src/configuration/mod.rs
+++ b/crates/fleet-core/src/configuration/mod.rs
@@ -9,7 +9,9 @@
 mod schema;
 
 pub use error::ConfigError;
-pub use schema::{Configuration, EngineSpec, Kind, Limits, Model, Route, Service, Share, Tenant};
+pub use schema::{
+    Configuration, EngineSpec, Kind, Limits, Model, Route, Service, Tenant, WeightedService,
+};
 
 #[cfg(test)]
 mod tests;
--- a/crates/fleet-core/src/configuration/schema.rs
+++ b/crates/fleet-core/src/configuration/schema.rs
@@ -18,7 +18,7 @@
 /// A service with its weight in the traffic split of a route.
 #[derive(Debug, Clone, Deserialize, Validate)]
 #[serde(rename_all = "camelCase")]
-pub struct Share {
+pub struct WeightedService {
     /// Name of the service.
     pub service: String,
     /// Weight in relation to the other weights of the route; a service of weight 0 gets no requests.
@@ -54,7 +54,7 @@
     pub service: Option<String>,
     /// Services with their weights; takes precedence over `service`.
     #[serde(default)]
-    pub split: Option<Vec<Share>>,
+    pub split: Option<Vec<WeightedService>>,
     /// Maximum number of engines that one request may be sent to; defaults to 1.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
--- a/crates/fleet-core/src/configuration/tests.rs
+++ b/crates/fleet-core/src/configuration/tests.rs
@@ -50,12 +50,12 @@
         ),
         (|value| value["revision"] = "x".into(), "unreadable", "line 1"),
     ];
-    for (edit, code, place) in table {
+    for (edit, code, path) in table {
         let mut value = valid_configuration();
         edit(&mut value);
         let error = read(&value).unwrap_err();
         assert_eq!(error.code(), *code);
-        assert!(error.to_string().contains(place), "{error} lacks {place}");
+        assert!(error.to_string().contains(path), "{error} lacks {path}");
     }
 }
 
--- a/crates/fleet-core/src/constants/link.rs
+++ b/crates/fleet-core/src/constants/link.rs
@@ -36,7 +36,7 @@
 /// Interval at which the queue of a slow reader is checked.
 pub const SLOW_READER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Read buffer of a connection, in bytes; most messages are small and each connection has a buffer.
-pub const LINK_READ_BUFFER: usize = 4096;
+pub const LINK_READ_BUFFER_BYTES: usize = 4096;
 /// A write buffer larger than this many bytes is freed after its frames have been sent, because a controller has a
 /// link to each router.
-pub const WRITE_BUFFER_RETAINED: usize = 16 << 10;
+pub const WRITE_BUFFER_RETAINED_BYTES: usize = 16 << 10;
--- a/crates/fleet-core/src/constants/process.rs
+++ b/crates/fleet-core/src/constants/process.rs
@@ -17,7 +17,7 @@
 /// Time that pending calls of engines and operators get when a controller ends.
 pub const SERVER_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 /// Interval at which the settings file is read again without a signal.
-pub const SETTINGS_REREAD_INTERVAL: Duration = Duration::from_secs(5);
+pub const SETTINGS_RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval at which counters are logged.
 pub const COUNTERS_INTERVAL: Duration = Duration::from_secs(20);
 /// Stack size of a thread in bytes; call chains are short and memory is limited.
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -13,7 +13,7 @@
 /// Interval at which engine loads are forwarded, twice on their way; most prefills take longer.
 pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval at which unchanged loads are reported again.
-pub const LOAD_REPORT_REFRESH: Duration = Duration::from_millis(500);
+pub const LOAD_REPORT_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 /// Number of engines up to which a report is sent every `LOAD_REPORT_INTERVAL`: 18 KB per second, a seventieth of a
 /// 10 Mbit/s network link. Reports of more engines are sent less often.
 pub const LOAD_REPORT_ENGINES: usize = 256;
--- a/crates/fleet-core/src/link/error.rs
+++ b/crates/fleet-core/src/link/error.rs
@@ -16,7 +16,7 @@
     /// message of unknown kind
     UnknownKind,
     /// {0}
-    Socket(std::io::ErrorKind),
+    Io(std::io::ErrorKind),
 }
 
 impl LinkError {
@@ -28,6 +28,6 @@
 
 impl From<std::io::Error> for LinkError {
     fn from(error: std::io::Error) -> Self {
-        LinkError::Socket(error.kind())
+        LinkError::Io(error.kind())
     }
 }
--- a/crates/fleet-core/src/link/frame.rs
+++ b/crates/fleet-core/src/link/frame.rs
@@ -12,14 +12,14 @@
 
 /// Wraps the reading half of a connection in a buffer, since most frames are small.
 pub(super) fn buffered(reader: ByteReader) -> BufReader<ByteReader> {
-    BufReader::with_capacity(constants::LINK_READ_BUFFER, reader)
+    BufReader::with_capacity(constants::LINK_READ_BUFFER_BYTES, reader)
 }
 
 /// Reads the next frame.
 ///
 /// # Errors
 ///
-/// [`LinkError::Socket`] if the connection ended, [`LinkError::TooLarge`] and [`LinkError::Malformed`] if the bytes
+/// [`LinkError::Io`] if the connection ended, [`LinkError::TooLarge`] and [`LinkError::Malformed`] if the bytes
 /// are not a valid frame. The connection cannot be used any more after any of them.
 ///
 /// # Cancel safety
@@ -47,7 +47,7 @@
 ///
 /// [`LinkError::TooLarge`] if the remote side would reject it.
 pub(super) fn request(call: u64, body: Body) -> Result<Frame, LinkError> {
-    within_limit(Frame { call, answer: false, body: Some(body) })
+    check_frame_size(Frame { call, answer: false, body: Some(body) })
 }
 
 /// Creates the answer to a call.
@@ -56,10 +56,10 @@
 ///
 /// [`LinkError::TooLarge`] if the remote side would reject it.
 pub(super) fn response(call: u64, body: Body) -> Result<Frame, LinkError> {
-    within_limit(Frame { call, answer: true, body: Some(body) })
+    check_frame_size(Frame { call, answer: true, body: Some(body) })
 }
 
-fn within_limit(frame: Frame) -> Result<Frame, LinkError> {
+fn check_frame_size(frame: Frame) -> Result<Frame, LinkError> {
     match frame.encoded_len() {
         length if length > constants::FRAME_MAX => Err(LinkError::TooLarge(length)),
         _ => Ok(frame),
--- a/crates/fleet-core/src/link/peer.rs
+++ b/crates/fleet-core/src/link/peer.rs
@@ -96,7 +96,7 @@
     loop {
         let message = match read_frame(reader).await {
             Ok(frame) => message(frame),
-            Err(LinkError::Socket(_)) => return,
+            Err(LinkError::Io(_)) => return,
             Err(error) => return handler.message_rejected(&error),
         };
         match message {
--- a/crates/fleet-core/src/link/writer.rs
+++ b/crates/fleet-core/src/link/writer.rs
@@ -43,7 +43,7 @@
             return;
         }
         // Frees the memory used by a large configuration.
-        if out.capacity() > constants::WRITE_BUFFER_RETAINED {
+        if out.capacity() > constants::WRITE_BUFFER_RETAINED_BYTES {
             out = Vec::new();
         }
     }
--- a/crates/fleet-core/src/load.rs
+++ b/crates/fleet-core/src/load.rs
@@ -97,7 +97,7 @@
     }
 }
 
-/// Decides whether a report is sent now: when it has changed, and every `LOAD_REPORT_REFRESH` so that it does not
+/// Decides whether a report is sent now: when it has changed, and every `LOAD_REPORT_REFRESH_INTERVAL` so that it does not
 /// expire. Larger reports are sent less often, which bounds the bytes per second for each receiver regardless of the
 /// number of engines.
 #[derive(Default)]
@@ -117,7 +117,7 @@
         let due = match &self.sent {
             Some((at, previous)) => {
                 let age = now.duration_since(*at);
-                let is_new = previous != loads || age >= constants::LOAD_REPORT_REFRESH;
+                let is_new = previous != loads || age >= constants::LOAD_REPORT_REFRESH_INTERVAL;
                 // Tolerates a task that wakes up slightly early.
                 is_new
                     && age + constants::LOAD_REPORT_INTERVAL / 2
--- a/crates/fleet-core/src/load_tests.rs
+++ b/crates/fleet-core/src/load_tests.rs
@@ -42,5 +42,5 @@
     let (start, mut schedule) = (Instant::now(), ReportSchedule::default());
     assert!(schedule.is_due(start, &report(3, 1)));
     assert!(!schedule.is_due(start + constants::LOAD_REPORT_INTERVAL, &report(3, 1)));
-    assert!(schedule.is_due(start + constants::LOAD_REPORT_REFRESH, &report(3, 1)));
+    assert!(schedule.is_due(start + constants::LOAD_REPORT_REFRESH_INTERVAL, &report(3, 1)));
 }
--- a/crates/fleet-core/src/packing.rs
+++ b/crates/fleet-core/src/packing.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum UnpackError {
     /// not a complete deflate stream
-    Damaged,
+    Corrupt,
     /// more than {0} bytes
     TooLarge(usize),
 }
@@ -29,7 +29,7 @@
     let mut uncompressed = Vec::new();
     let limit = max_bytes as u64 + 1;
     let mut decoder = flate2::read::DeflateDecoder::new(packed).take(limit);
-    decoder.read_to_end(&mut uncompressed).map_err(|_| UnpackError::Damaged)?;
+    decoder.read_to_end(&mut uncompressed).map_err(|_| UnpackError::Corrupt)?;
     if uncompressed.len() > max_bytes {
         return Err(UnpackError::TooLarge(max_bytes));
     }
--- a/crates/fleet-core/src/packing_tests.rs
+++ b/crates/fleet-core/src/packing_tests.rs
@@ -17,6 +17,6 @@
 #[test]
 fn corrupt_input_is_an_error() {
     let packed = pack(&b"0123456789".repeat(50));
-    assert_eq!(unpack(&packed[..packed.len() - 2], 1000), Err(UnpackError::Damaged));
-    assert_eq!(unpack(&[0xff; 9], 1000), Err(UnpackError::Damaged));
+    assert_eq!(unpack(&packed[..packed.len() - 2], 1000), Err(UnpackError::Corrupt));
+    assert_eq!(unpack(&[0xff; 9], 1000), Err(UnpackError::Corrupt));
 }
--- a/crates/fleet-core/src/program.rs
+++ b/crates/fleet-core/src/program.rs
@@ -141,12 +141,12 @@
 
 fn load(about: &About, path: Option<String>) -> Result<LoadedSettings, SettingsError> {
     let path = path.map_or_else(Settings::path, Ok)?;
-    let settings = load_complete(&path, about.needs)?;
+    let settings = load_and_check(&path, about.needs)?;
     Ok(LoadedSettings { path, settings, metrics_port: None })
 }
 
 /// Loads the settings and checks that the ones this program requires are present.
-fn load_complete(
+fn load_and_check(
     path: &str,
     needs: fn(&Settings) -> Vec<&'static str>,
 ) -> Result<Settings, SettingsError> {
@@ -193,7 +193,7 @@
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
                 _ = hangup.recv() => {}
-                () = tokio::time::sleep(constants::SETTINGS_REREAD_INTERVAL) => {}
+                () = tokio::time::sleep(constants::SETTINGS_RELOAD_INTERVAL) => {}
             }
             if let Some(settings) = reloader.reload() {
                 let _ = reload_sender.send(settings).await;
@@ -217,7 +217,7 @@
 impl SettingsReloader {
     /// Returns the settings if they are valid and have changed.
     fn reload(&mut self) -> Option<Settings> {
-        let settings = match load_complete(&self.path, self.needs) {
+        let settings = match load_and_check(&self.path, self.needs) {
             Ok(settings) => settings,
             Err(e) => {
                 let message = e.to_string();
--- a/crates/fleet-core/src/random.rs
+++ b/crates/fleet-core/src/random.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Increment of the generator's state (the golden ratio as a fraction of 2^64).
-const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// A pseudo-random number generator shared by all tasks of a process. The same seed produces the same sequence, so
 /// that a simulation run can be repeated. Not suitable for secrets.
@@ -21,7 +21,7 @@
 
     /// The next number of the sequence.
     pub fn next(&self) -> u64 {
-        let state = self.state.fetch_add(STEP, Ordering::Relaxed);
+        let state = self.state.fetch_add(INCREMENT, Ordering::Relaxed);
         stable_hash(&[&state.to_le_bytes()])
     }
 
--- a/crates/fleet-core/tests/load.rs
+++ b/crates/fleet-core/tests/load.rs
@@ -34,8 +34,12 @@
     let mut table = LoadTable::default();
     table.record(1, start, pack(&single_engine("e", load(64, 1))));
     table.record(2, start, pack(&single_engine("e", load(64, 9))));
-    table.record(2, start + constants::LOAD_REPORT_REFRESH, pack(&single_engine("e", load(64, 2))));
-    assert_eq!(table.sum(start + constants::LOAD_REPORT_REFRESH)[&key_of("e")].runs, 3);
+    table.record(
+        2,
+        start + constants::LOAD_REPORT_REFRESH_INTERVAL,
+        pack(&single_engine("e", load(64, 2))),
+    );
+    assert_eq!(table.sum(start + constants::LOAD_REPORT_REFRESH_INTERVAL)[&key_of("e")].runs, 3);
     assert_eq!(table.sum(start + constants::LOAD_REPORT_TIMEOUT)[&key_of("e")].runs, 2);
     assert_eq!(table.reporters().collect::<Vec<_>>(), [2]);
     assert!(table.sum(start + constants::LOAD_REPORT_TIMEOUT * 2).is_empty());
@@ -51,7 +55,7 @@
     assert!(!schedule.is_due(start + constants::LOAD_REPORT_INTERVAL, &first));
     assert!(schedule.is_due(start + constants::LOAD_REPORT_INTERVAL, &changed));
     assert!(schedule.is_due(
-        start + constants::LOAD_REPORT_INTERVAL + constants::LOAD_REPORT_REFRESH,
+        start + constants::LOAD_REPORT_INTERVAL + constants::LOAD_REPORT_REFRESH_INTERVAL,
         &changed
     ));
 }
