--- a/crates/fleet-core/src/constants/consensus.rs
+++ b/crates/fleet-core/src/constants/consensus.rs
@@ -4,8 +4,8 @@
 
 /// Time-out of one phase of a register round: two syncs of a slow disk and a round trip.
 pub const PHASE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time-out of a change that was forwarded to the owner of its key, after which another node takes the key over; well
-/// below the one second that callers wait.
+/// Time-out of a change that was forwarded to the owner of its key, after which the forwarding node proposes it
+/// itself; well below the one second that callers wait.
 pub const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
 /// Time-out of a change, so that its caller learns of the failure within its own time-out of one second.
 pub const CHANGE_TIMEOUT: Duration = Duration::from_millis(900);
@@ -34,7 +34,7 @@
 /// A ballot whose epoch is further ahead of the voter's than this cannot result from elections and is rejected: a key
 /// sees at most a few elections per second, and a voter is offline for days at most.
 pub const EPOCH_LEAD_MAX: u64 = 1 << 24;
-/// Maximum number of times a change is forwarded; after that it is decided by the node that has it.
+/// Maximum number of times a change is forwarded; the last receiver has to decide it.
 pub const CHANGE_HOPS: u32 = 2;
 /// Number of times a read queries a quorum before it asks the owner to complete a pending round.
 pub const READ_ATTEMPTS: u32 = 4;
--- a/crates/fleet-core/src/constants/engines.rs
+++ b/crates/fleet-core/src/constants/engines.rs
@@ -6,7 +6,8 @@
 pub const HEARTBEAT_MAX_BYTES: usize = 4096;
 /// How often routine heartbeats are sent to the other controllers.
 pub const HEARTBEAT_SHARE_INTERVAL: Duration = Duration::from_millis(300);
-/// Time-out for replicating a drain to a majority, within the one second that engines wait.
+/// Time-out for sending heartbeats to the other controllers. A drain is replicated to a majority within this time,
+/// which is below the one second that engines wait.
 pub const HEARTBEAT_SHARE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Heartbeat periods without a heartbeat after which an engine is suspected.
 pub const MISSED_HEARTBEATS: f64 = 3.5;
--- a/crates/fleet-core/src/constants/rollout.rs
+++ b/crates/fleet-core/src/constants/rollout.rs
@@ -18,8 +18,8 @@
 /// Maximum share of a service's engines that load new weights concurrently when the version bound would otherwise be
 /// missed.
 pub const ROLLOUT_MAX_SHARE_LATE: f64 = 0.5;
-/// Share of the interactive engines that receive no new long streams or are being updated; the other engines take
-/// their requests.
+/// Share of the interactive engines that may be draining long streams or updating at the same time; the other engines
+/// take their requests.
 pub const STREAM_DRAIN_SHARE: f64 = 0.34;
 /// Long streams get this long to complete before their engine is ordered to update regardless.
 pub const STREAM_DRAIN_TIMEOUT: Duration = Duration::from_millis(2500);
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -88,11 +88,12 @@
 pub const SINK_TOKENS: u64 = 1500;
 /// Ratio of prompt tokens to output tokens above which a request counts as prefill-heavy.
 pub const PREFILL_HEAVY_RATIO: u64 = 10;
-/// Initial share of a service's engines that is assigned to prefill-heavy requests.
+/// Share of a service's engines that is assigned to prefill-heavy requests while interactive requests need no more of
+/// the rest.
 pub const PREFILL_HEAVY_SHARE: f64 = 0.67;
 /// Share of their slots that long streams may fill before more engines are reserved for them.
 pub const LIGHT_FILL: f64 = 0.75;
-/// Minimum share of a service's engines that is reserved for prefill-heavy requests.
+/// Minimum share of a service's engines that is assigned to prefill-heavy requests.
 pub const PREFILL_HEAVY_MIN_SHARE: f64 = 0.58;
 /// Hysteresis of the division between the groups, as a share of all engines.
 pub const DIVISION_STEP: f64 = 0.05;
--- a/crates/fleet-core/tests/configuration_sizes.rs
+++ b/crates/fleet-core/tests/configuration_sizes.rs
@@ -61,7 +61,7 @@
         let one = packed_delta(&former, &body(2, routes, 1));
         let five = packed_delta(&former, &body(2, routes, 5));
         println!("| {routes} | {} | {whole} | {one} | {five} |", former.len());
-        assert!(whole * 5 < former.len(), "a configuration packs to a fifth");
+        assert!(whole * 5 < former.len(), "a configuration compresses to less than a fifth");
         assert!(one <= five && five < 1500, "{five} bytes for five routes");
         deltas.push(one);
     }
--- a/crates/fleet-core/tests/docs.rs
+++ b/crates/fleet-core/tests/docs.rs
@@ -20,12 +20,12 @@
 }
 
 /// Collects all files below a directory, and the directory with its subdirectories.
-fn walk(folder: &Path, files: &mut Vec<PathBuf>, folders: &mut Vec<PathBuf>) {
-    folders.push(folder.to_owned());
-    for entry in fs::read_dir(folder).expect("a readable folder") {
+fn walk(directory: &Path, files: &mut Vec<PathBuf>, directories: &mut Vec<PathBuf>) {
+    directories.push(directory.to_owned());
+    for entry in fs::read_dir(directory).expect("a readable directory") {
         let path = entry.expect("a readable entry").path();
         if path.is_dir() {
-            walk(&path, files, folders);
+            walk(&path, files, directories);
         } else {
             files.push(path);
         }
@@ -35,7 +35,7 @@
 /// The pages that describe the current sources.
 fn pages(root: &Path) -> Vec<PathBuf> {
     let mut pages = vec![root.join("README.md"), root.join("CONTRIBUTING.md")];
-    for entry in fs::read_dir(root.join("docs")).expect("a folder of docs") {
+    for entry in fs::read_dir(root.join("docs")).expect("a docs directory") {
         let path = entry.expect("a readable entry").path();
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
         if name.ends_with(".md") && !EXCLUDED_PAGES.contains(&name) {
@@ -98,16 +98,16 @@
 #[test]
 fn every_path_and_name_of_the_pages_exists() {
     let root = workspace();
-    let (mut files, mut folders) = (Vec::new(), vec![root.clone(), root.join("docs")]);
-    walk(&root.join("crates"), &mut files, &mut folders);
+    let (mut files, mut directories) = (Vec::new(), vec![root.clone(), root.join("docs")]);
+    walk(&root.join("crates"), &mut files, &mut directories);
     let words = words(&files);
     let (mut missing, mut seen) = (Vec::new(), 0);
     for page in pages(&root) {
         let text = fs::read_to_string(&page).expect("a readable page");
         for (number, line) in text.lines().enumerate() {
             for span in spans(line) {
-                let known_path =
-                    !is_path(span) || folders.iter().any(|folder| folder.join(span).exists());
+                let known_path = !is_path(span)
+                    || directories.iter().any(|directory| directory.join(span).exists());
                 let known_name = name(span).is_none_or(|name| words.contains(name));
                 seen += usize::from(is_path(span) || name(span).is_some());
                 if !known_path || !known_name {
@@ -117,5 +117,9 @@
         }
     }
     assert!(seen > 50, "only {seen} paths and names were found on the pages");
-    assert!(missing.is_empty(), "named, but not there:\n{}", missing.join("\n"));
+    assert!(
+        missing.is_empty(),
+        "named on the pages, but missing from the sources:\n{}",
+        missing.join("\n")
+    );
 }
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -12,8 +12,12 @@
 /// Size of each additional item, which must be the same between all fleet sizes.
 fn slope(what: &str, bytes: impl Fn(usize) -> usize) -> f64 {
     let sizes: Vec<usize> = SIZES.iter().map(|n| bytes(*n)).collect();
-    let per = |a: usize, b: usize| (sizes[b] - sizes[a]) as f64 / (SIZES[b] - SIZES[a]) as f64;
-    let (low, high) = (per(0, 1).min(per(1, 2)), per(0, 1).max(per(1, 2)));
+    let bytes_per_item =
+        |a: usize, b: usize| (sizes[b] - sizes[a]) as f64 / (SIZES[b] - SIZES[a]) as f64;
+    let (low, high) = (
+        bytes_per_item(0, 1).min(bytes_per_item(1, 2)),
+        bytes_per_item(0, 1).max(bytes_per_item(1, 2)),
+    );
     println!("{what}: {sizes:?} bytes at {SIZES:?}, {low:.2} to {high:.2} each");
     assert!(high <= low * 1.1 + 0.1, "{what} grows faster than its items");
     high
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -97,7 +97,7 @@
     RaiseId { incarnation: 31, attempt: 32 }
 }
 
-fn changed(outcome: Outcome) -> Body {
+fn change_response(outcome: Outcome) -> Body {
     Body::ChangeResponse(ChangeResponse {
         outcome: outcome as i32,
         number: 41,
@@ -177,11 +177,11 @@
         ("13-raise", change(ChangeKind::Raise(raise))),
         ("13-confirm", change(ChangeKind::Confirm("config".into()))),
         ("13-departures", change(ChangeKind::RecordDepartures(departures))),
-        ("14-unknown", changed(Outcome::Unknown)),
-        ("14-done", changed(Outcome::Done)),
-        ("14-stale", changed(Outcome::Stale)),
-        ("14-invalid", changed(Outcome::Invalid)),
-        ("14-unproven", changed(Outcome::Unproven)),
+        ("14-unknown", change_response(Outcome::Unknown)),
+        ("14-done", change_response(Outcome::Done)),
+        ("14-stale", change_response(Outcome::Stale)),
+        ("14-invalid", change_response(Outcome::Invalid)),
+        ("14-unproven", change_response(Outcome::Unproven)),
     ]
 }
 
