--- a/crates/fleet-core/src/configuration/checks.rs
+++ b/crates/fleet-core/src/configuration/checks.rs
@@ -1,20 +1,20 @@
-//! Reading a configuration, and the checks that its form alone doesn't make.
+//! Parsing of a configuration, and the checks that its schema alone does not make.
 
 use super::{ConfigError, Configuration};
 use hashbrown::{HashMap, HashSet};
 use validator::{Validate, ValidationErrors, ValidationErrorsKind};
 
 /// Path of the first field that is out of bounds.
-fn first_place(errors: &ValidationErrors) -> String {
+fn first_invalid_path(errors: &ValidationErrors) -> String {
     for (field, kind) in errors.errors() {
         match kind {
             ValidationErrorsKind::List(items) => {
                 if let Some((index, inner)) = items.iter().next() {
-                    return format!("{field}[{index}].{}", first_place(inner));
+                    return format!("{field}[{index}].{}", first_invalid_path(inner));
                 }
             }
             ValidationErrorsKind::Struct(inner) => {
-                return format!("{field}.{}", first_place(inner));
+                return format!("{field}.{}", first_invalid_path(inner));
             }
             ValidationErrorsKind::Field(_) => return field.to_string(),
         }
@@ -23,55 +23,59 @@
 }
 
 impl Configuration {
-    /// Reads and checks a configuration by itself, without what is in force.
+    /// Parses a configuration and checks it on its own, without comparing it with the one in force.
     ///
     /// # Errors
     ///
-    /// The first thing that is wrong, with its place: the text, then bounds of fields, routes, and keys.
+    /// The first error with its location, in the order: JSON text, bounds of fields, routes, keys.
     pub fn read(body: &[u8]) -> Result<Configuration, ConfigError> {
         let configuration: Configuration = serde_json::from_slice(body).map_err(|e| {
-            ConfigError::Unreadable { line: e.line(), column: e.column(), reason: e.to_string() }
+            ConfigError::Malformed { line: e.line(), column: e.column(), reason: e.to_string() }
         })?;
         configuration
             .validate()
-            .map_err(|e| ConfigError::OutOfBounds { place: first_place(&e) })?;
+            .map_err(|e| ConfigError::OutOfBounds { path: first_invalid_path(&e) })?;
         configuration.check_routes()?;
         configuration.check_keys()?;
         Ok(configuration)
     }
 
-    /// Each route has a place of its own, known services and some weight.
+    /// Each route has a unique host and prefix, known services and a total weight above 0.
     fn check_routes(&self) -> Result<(), ConfigError> {
         let services: HashSet<&str> =
             self.services.iter().map(|service| service.name.as_str()).collect();
-        let mut places = HashMap::new();
+        let mut seen_routes = HashMap::new();
         for (index, route) in self.routes.iter().enumerate() {
-            let place = format!("routes[{index}]");
+            let path = format!("routes[{index}]");
             let key = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-            if let Some(other) = places.insert(key, index) {
-                return Err(ConfigError::SamePlace { place, other: format!("routes[{other}]") });
+            if let Some(other_route) = seen_routes.insert(key, index) {
+                return Err(ConfigError::DuplicateRoute {
+                    path,
+                    other_route: format!("routes[{other_route}]"),
+                });
             }
             let shares = route.shares();
             if let Some((unknown, _)) = shares.iter().find(|(name, _)| !services.contains(name)) {
-                return Err(ConfigError::UnknownService { place, service: (*unknown).to_owned() });
+                return Err(ConfigError::UnknownService { path, service: (*unknown).to_owned() });
             }
             if shares.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>() == 0 {
-                return Err(ConfigError::NoWeight { place });
+                return Err(ConfigError::ZeroTotalWeight { path });
             }
         }
         Ok(())
     }
 
-    /// No key stands for two tenants.
+    /// No API key belongs to two tenants.
     fn check_keys(&self) -> Result<(), ConfigError> {
-        let mut owners: HashMap<&str, usize> = HashMap::new();
+        let mut tenant_by_key: HashMap<&str, usize> = HashMap::new();
         for (index, tenant) in self.tenants.iter().enumerate() {
             for (key_index, key) in tenant.api_keys.iter().enumerate() {
-                let other = owners.insert(key.as_str(), index).filter(|other| *other != index);
-                if let Some(other) = other {
+                let other_tenant =
+                    tenant_by_key.insert(key.as_str(), index).filter(|other| *other != index);
+                if let Some(other_tenant) = other_tenant {
                     return Err(ConfigError::SharedKey {
-                        place: format!("tenants[{index}].apiKeys[{key_index}]"),
-                        other: self.tenants[other].name.clone(),
+                        path: format!("tenants[{index}].apiKeys[{key_index}]"),
+                        other_tenant: self.tenants[other_tenant].name.clone(),
                     });
                 }
             }
--- a/crates/fleet-core/src/configuration/error.rs
+++ b/crates/fleet-core/src/configuration/error.rs
@@ -1,66 +1,66 @@
-//! What makes a configuration invalid.
+//! Errors of an invalid configuration.
 
-/// What makes a configuration invalid, with the place in it.
+/// Why a configuration is invalid, with the location in it.
 #[derive(Debug, Clone, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum ConfigError {
     /// unreadable: {reason} (line {line}, column {column})
-    Unreadable {
+    Malformed {
         /// line of the JSON text, from 1
         line: usize,
         /// column of that line, from 1
         column: usize,
-        /// what is wrong there
+        /// parser message
         reason: String,
     },
-    /// {place}: out of bounds
+    /// {path}: out of bounds
     OutOfBounds {
         /// path of the field
-        place: String,
+        path: String,
     },
-    /// {place}: names the unknown service `{service}`
+    /// {path}: names the unknown service `{service}`
     UnknownService {
         /// path of the route
-        place: String,
-        /// the name that no service has
+        path: String,
+        /// name that matches no service
         service: String,
     },
-    /// {place}: same host and prefix as {other}
-    SamePlace {
+    /// {path}: same host and prefix as {other_route}
+    DuplicateRoute {
         /// path of the later route
-        place: String,
+        path: String,
         /// path of the earlier route
-        other: String,
+        other_route: String,
     },
-    /// {place}: its weights sum to 0
-    NoWeight {
+    /// {path}: its weights sum to 0
+    ZeroTotalWeight {
         /// path of the route
-        place: String,
+        path: String,
     },
-    /// {place}: a key of tenant `{other}` too
+    /// {path}: a key of tenant `{other_tenant}` too
     SharedKey {
         /// path of the key
-        place: String,
+        path: String,
         /// name of the other tenant
-        other: String,
+        other_tenant: String,
     },
     /// revision: {version} is not above {current}
     VersionNotAbove {
-        /// the number sent
+        /// the revision in the request
         version: u64,
-        /// the number in force
+        /// the revision in force
         current: u64,
     },
 }
 
 impl ConfigError {
-    /// The error's stable name, for programs.
+    /// Stable identifier of the error for programs.
     pub fn code(&self) -> &'static str {
         match self {
-            ConfigError::Unreadable { .. } => "unreadable",
+            ConfigError::Malformed { .. } => "unreadable",
             ConfigError::OutOfBounds { .. } => "out_of_bounds",
             ConfigError::UnknownService { .. } => "unknown_service",
-            ConfigError::SamePlace { .. } => "same_place",
-            ConfigError::NoWeight { .. } => "no_weight",
+            ConfigError::DuplicateRoute { .. } => "same_place",
+            ConfigError::ZeroTotalWeight { .. } => "no_weight",
             ConfigError::SharedKey { .. } => "shared_key",
             ConfigError::VersionNotAbove { .. } => "version_not_above",
         }
--- a/crates/fleet-core/src/program.rs
+++ b/crates/fleet-core/src/program.rs
@@ -1,4 +1,4 @@
-//! What both programs share: command line, settings, signals, runtime.
+//! Process start-up shared by both programs: command line, settings, signals, runtime.
 
 use crate::constants;
 use crate::log::Event;
@@ -14,60 +14,60 @@
     /// print the version
     #[options(no_short)]
     version: bool,
-    /// only check the settings, and end
+    /// check the settings file and exit
     check: bool,
-    /// settings file; else the one that ANISEDYKE_SETTINGS names
+    /// settings file (default: the one named by ANISEDYKE_SETTINGS)
     #[options(meta = "FILE")]
     settings: Option<String>,
     /// error, warning, info or debug
     #[options(meta = "LEVEL", default = "info")]
     log_level: String,
-    /// serve metrics at this port of the node's address
+    /// serve metrics on this port of the node's address
     #[options(no_short, meta = "PORT")]
     metrics: Option<u16>,
 }
 
-/// What tells one program from the other.
+/// Description of a program.
 pub struct About {
     /// Name of the program.
     pub name: &'static str,
     /// Version of its crate.
     pub version: &'static str,
-    /// What it does, in half a sentence.
+    /// Short description for the help text.
     pub what: &'static str,
-    /// Settings that this program can't do without and that are missing.
+    /// Returns the names of settings that this program requires and that are missing.
     pub needs: fn(&Settings) -> Vec<&'static str>,
 }
 
-/// Exit code: the program could not run.
-const RUN: u8 = 1;
-/// Exit code: unknown option or value.
-const USAGE: u8 = 2;
+/// Exit code: the program failed to start or to run.
+const EXIT_FAILURE: u8 = 1;
+/// Exit code: unknown option or invalid value.
+const EXIT_USAGE: u8 = 2;
 /// Exit code: settings missing or malformed.
-const SETTINGS: u8 = 3;
+const EXIT_SETTINGS: u8 = 3;
 
-/// Settings, and the file that they were read from.
-struct Loaded {
+/// Settings and the file that they were read from.
+struct LoadedSettings {
     path: String,
     settings: Settings,
     metrics_port: Option<u16>,
 }
 
-/// What a program runs with.
+/// What a running program gets from its start-up.
 pub struct Start {
-    /// The settings at the start.
+    /// The settings read at start-up.
     pub settings: Settings,
     /// The root logger.
     pub log: slog::Logger,
-    /// Turns true once the program is to end.
+    /// Becomes true when the program has to shut down.
     pub stop: tokio::sync::watch::Receiver<bool>,
-    /// Settings that are read again while it runs.
+    /// Receives changed settings while the program runs.
     pub reread: tokio::sync::mpsc::Receiver<Settings>,
-    /// Where to serve metrics; nowhere if none.
+    /// Listen address for metrics; `None` to serve none.
     pub metrics: Option<std::net::SocketAddr>,
 }
 
-/// Runs a program from its command line to its exit code.
+/// Runs a program from parsing its command line to its exit code.
 pub fn start<F, R, E>(about: About, run: F) -> ExitCode
 where
     F: FnOnce(Start) -> R,
@@ -78,40 +78,42 @@
         Ok(prepared) => prepared,
         Err(code) => return code,
     };
-    let Loaded { path, settings, metrics_port } = loaded;
+    let LoadedSettings { path, settings, metrics_port } = loaded;
     let metrics = metrics_port.map(|port| std::net::SocketAddr::new(settings.ip.into(), port));
     let log = crate::log::root(level, &settings.node_name, about.name);
     let runtime = match build_runtime(settings.cores) {
         Ok(runtime) => runtime,
-        Err(e) => return fail(&about, RUN, format!("no runtime: {e}")),
+        Err(e) => return fail(&about, EXIT_FAILURE, format!("cannot start runtime: {e}")),
     };
-    let ended = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let (stop, reread) = watch_signals(path, settings.clone(), about.needs, log.clone());
         run(Start { settings, log: log.clone(), stop, reread, metrics }).await
     });
     runtime.shutdown_background();
-    match ended {
+    match result {
         Ok(()) => {
             crate::log_event!(log, Event::Stopped);
             ExitCode::SUCCESS
         }
-        Err(e) => fail(&about, RUN, e),
+        Err(e) => fail(&about, EXIT_FAILURE, e),
     }
 }
 
-fn fail(about: &About, code: u8, why: impl std::fmt::Display) -> ExitCode {
-    eprintln!("{}: {why}", about.name);
+fn fail(about: &About, code: u8, message: impl std::fmt::Display) -> ExitCode {
+    eprintln!("{}: {message}", about.name);
     ExitCode::from(code)
 }
 
-/// Command line and settings; an exit code where the program is to end here, in order or not.
-fn prepare(about: &About) -> Result<(slog::Level, Loaded), ExitCode> {
+/// Reads the command line and the settings; an exit code is returned if the program has to exit here, with or without
+/// an error.
+fn prepare(about: &About) -> Result<(slog::Level, LoadedSettings), ExitCode> {
     let command_line = read_command_line(about)?;
     let Ok(level) = command_line.log_level.parse::<slog::Level>() else {
-        let why = format!("--log-level: `{}` is not a level", command_line.log_level);
-        return Err(fail(about, USAGE, why));
+        let message = format!("--log-level: `{}` is not a log level", command_line.log_level);
+        return Err(fail(about, EXIT_USAGE, message));
     };
-    let mut loaded = load(about, command_line.settings).map_err(|e| fail(about, SETTINGS, e))?;
+    let mut loaded =
+        load(about, command_line.settings).map_err(|e| fail(about, EXIT_SETTINGS, e))?;
     loaded.metrics_port = command_line.metrics;
     if command_line.check {
         println!("{}: usable", loaded.path);
@@ -124,7 +126,7 @@
     let args: Vec<String> = std::env::args().skip(1).collect();
     let name = about.name;
     let command_line = CommandLine::parse_args_default(&args)
-        .map_err(|e| fail(about, USAGE, format!("{e}\ntry {name} --help")))?;
+        .map_err(|e| fail(about, EXIT_USAGE, format!("{e}\ntry {name} --help")))?;
     if command_line.help {
         let usage = CommandLine::usage();
         println!("{name}: {}\n\nusage: {name} [options]\n\n{usage}", about.what);
@@ -137,14 +139,14 @@
     Ok(command_line)
 }
 
-fn load(about: &About, path: Option<String>) -> Result<Loaded, SettingsError> {
+fn load(about: &About, path: Option<String>) -> Result<LoadedSettings, SettingsError> {
     let path = path.map_or_else(Settings::path, Ok)?;
-    let settings = load_complete(&path, about.needs)?;
-    Ok(Loaded { path, settings, metrics_port: None })
+    let settings = load_and_check(&path, about.needs)?;
+    Ok(LoadedSettings { path, settings, metrics_port: None })
 }
 
-/// Settings in which nothing is missing that this program needs.
-fn load_complete(
+/// Loads the settings and checks that the ones this program requires are present.
+fn load_and_check(
     path: &str,
     needs: fn(&Settings) -> Vec<&'static str>,
 ) -> Result<Settings, SettingsError> {
@@ -164,25 +166,26 @@
         .build()
 }
 
-type Watched = (tokio::sync::watch::Receiver<bool>, tokio::sync::mpsc::Receiver<Settings>);
+type SignalChannels = (tokio::sync::watch::Receiver<bool>, tokio::sync::mpsc::Receiver<Settings>);
 
-/// SIGTERM and SIGINT stop; SIGHUP and a slow schedule read the settings again.
+/// Handles signals: SIGTERM and SIGINT stop the program; SIGHUP and a periodic timer reload the settings.
 fn watch_signals(
     path: String,
-    first: Settings,
+    initial: Settings,
     needs: fn(&Settings) -> Vec<&'static str>,
     log: slog::Logger,
-) -> Watched {
-    let (stop, stopped) = tokio::sync::watch::channel(false);
-    let (changed, reread) = tokio::sync::mpsc::channel(1);
-    let mut rereader = Rereader { path, needs, current: first, last_error: String::new(), log };
-    // before anything is served: until then a signal ends the process at once
+) -> SignalChannels {
+    let (stop, stop_receiver) = tokio::sync::watch::channel(false);
+    let (reload_sender, reread) = tokio::sync::mpsc::channel(1);
+    let mut reloader =
+        SettingsReloader { path, needs, current: initial, last_error: String::new(), log };
+    // Handlers are installed before anything is served: until then a signal ends the process at once.
     let (Ok(mut terminate), Ok(mut hangup), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::hangup()),
         signal(SignalKind::interrupt()),
     ) else {
-        return (stopped, reread);
+        return (stop_receiver, reread);
     };
     tokio::spawn(async move {
         loop {
@@ -190,20 +193,20 @@
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
                 _ = hangup.recv() => {}
-                () = tokio::time::sleep(constants::SETTINGS_REREAD_INTERVAL) => {}
+                () = tokio::time::sleep(constants::SETTINGS_RELOAD_INTERVAL) => {}
             }
-            if let Some(settings) = rereader.reread() {
-                let _ = changed.send(settings).await;
+            if let Some(settings) = reloader.reload() {
+                let _ = reload_sender.send(settings).await;
             }
         }
         stop.send_replace(true);
         std::future::pending::<()>().await;
     });
-    (stopped, reread)
+    (stop_receiver, reread)
 }
 
-/// Reads the settings again, and logs a problem once for as long as it stays the same.
-struct Rereader {
+/// Reloads the settings; an error is logged once until it changes.
+struct SettingsReloader {
     path: String,
     needs: fn(&Settings) -> Vec<&'static str>,
     current: Settings,
@@ -211,16 +214,16 @@
     log: slog::Logger,
 }
 
-impl Rereader {
-    /// The settings, if they are usable and have changed.
-    fn reread(&mut self) -> Option<Settings> {
-        let settings = match load_complete(&self.path, self.needs) {
+impl SettingsReloader {
+    /// Returns the settings if they are valid and have changed.
+    fn reload(&mut self) -> Option<Settings> {
+        let settings = match load_and_check(&self.path, self.needs) {
             Ok(settings) => settings,
             Err(e) => {
-                let why = e.to_string();
-                if why != self.last_error {
-                    crate::log_event!(self.log, Event::SettingsRejected, "why" => &why);
-                    self.last_error = why;
+                let message = e.to_string();
+                if message != self.last_error {
+                    crate::log_event!(self.log, Event::SettingsRejected, "why" => &message);
+                    self.last_error = message;
                 }
                 return None;
             }
@@ -229,7 +232,7 @@
         if settings == self.current {
             return None;
         }
-        crate::log_event!(self.log, Event::SettingsReread);
+        crate::log_event!(self.log, Event::SettingsReloaded);
         self.current = settings.clone();
         Some(settings)
     }
--- a/crates/fleet-core/src/settings/error.rs
+++ b/crates/fleet-core/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! Why a settings file cannot be used.
+//! Errors of the settings file.
 
-/// Why a settings file cannot be used.
+/// Why the settings file cannot be used.
 #[derive(Debug, displaydoc::Display, thiserror::Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// the variable ANISEDYKE_SETTINGS names no settings file
-    Unnamed,
+    VariableUnset,
     /// the settings file {0} can't be read: {1}
     Unreadable(String, String),
     /// {field}: missing from the settings file
@@ -12,19 +12,19 @@
         /// name of the field
         field: &'static str,
     },
-    /// line {line}: {field}: `{value}` is not {wanted}
+    /// line {line}: {field}: `{value}` is not {expected}
     Malformed {
         /// number of the line, from 1
         line: usize,
         /// name of the field
         field: String,
-        /// what stands there
+        /// the value found
         value: String,
-        /// what should stand there, with its article
-        wanted: &'static str,
+        /// description of a valid value, with its article
+        expected: &'static str,
     },
     /// line {line}: not of the form name=value
-    NoPair {
+    NotKeyValue {
         /// number of the line, from 1
         line: usize,
     },
--- a/crates/fleet-core/tests/docs.rs
+++ b/crates/fleet-core/tests/docs.rs
@@ -1,16 +1,16 @@
-//! What the pages of docs/ name in the sources exists: paths of files and folders, types and constants.
+//! Checks that paths, types and constants named on the pages of docs/ exist in the sources.
 //!
-//! The log of measurements and the incident pages tell of sources as they were then, and the questions page of the
-//! users' pages; they are left out.
+//! The measurement log and the incident pages describe the sources at an earlier time, and the questions page
+//! describes the users' pages; they are excluded.
 
 use std::collections::HashSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Pages of docs/ that don't speak of the sources as they are.
-const LEFT_OUT: [&str; 2] = ["measurements.md", "questions.md"];
+/// Pages of docs/ that do not describe the current sources.
+const EXCLUDED_PAGES: [&str; 2] = ["measurements.md", "questions.md"];
 
-/// The folder of the workspace.
+/// Root directory of the workspace.
 fn workspace() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .ancestors()
@@ -19,44 +19,44 @@
         .to_owned()
 }
 
-/// All files below a folder, and the folders themselves.
-fn walk(folder: &Path, files: &mut Vec<PathBuf>, folders: &mut Vec<PathBuf>) {
-    folders.push(folder.to_owned());
-    for entry in fs::read_dir(folder).expect("a readable folder") {
+/// Collects all files below a directory, and the directory with its subdirectories.
+fn walk(directory: &Path, files: &mut Vec<PathBuf>, directories: &mut Vec<PathBuf>) {
+    directories.push(directory.to_owned());
+    for entry in fs::read_dir(directory).expect("a readable directory") {
         let path = entry.expect("a readable entry").path();
         if path.is_dir() {
-            walk(&path, files, folders);
+            walk(&path, files, directories);
         } else {
             files.push(path);
         }
     }
 }
 
-/// The pages that speak of the sources as they are.
+/// The pages that describe the current sources.
 fn pages(root: &Path) -> Vec<PathBuf> {
     let mut pages = vec![root.join("README.md"), root.join("CONTRIBUTING.md")];
-    for entry in fs::read_dir(root.join("docs")).expect("a folder of docs") {
+    for entry in fs::read_dir(root.join("docs")).expect("a docs directory") {
         let path = entry.expect("a readable entry").path();
         let name = path.file_name().and_then(|name| name.to_str()).unwrap_or_default();
-        if name.ends_with(".md") && !LEFT_OUT.contains(&name) {
+        if name.ends_with(".md") && !EXCLUDED_PAGES.contains(&name) {
             pages.push(path);
         }
     }
     pages
 }
 
-/// What stands between backticks on a line.
+/// The texts between backticks on a line.
 fn spans(line: &str) -> impl Iterator<Item = &str> {
     line.split('`').skip(1).step_by(2)
 }
 
-/// Whether a span is meant as a path of the sources.
+/// Whether a code span is a path in the sources.
 fn is_path(span: &str) -> bool {
     let is_part = |c: char| c.is_alphanumeric() || "_-./".contains(c);
     span.chars().all(is_part) && (span.ends_with(".rs") || span.ends_with('/'))
 }
 
-/// The last part of a span that is meant as a type (`module::TypeName`) or a constant (`SOME_LIMIT`).
+/// The last segment of a code span that names a type (`module::TypeName`) or a constant (`SOME_LIMIT`).
 fn name(span: &str) -> Option<&str> {
     if !span.chars().all(|c| c.is_ascii_alphanumeric() || c == '_' || c == ':') {
         return None;
@@ -71,7 +71,7 @@
     (starts_upper && (is_type || is_constant)).then_some(last)
 }
 
-/// Every word of the sources, those of strings and comments too: settings and messages are named there.
+/// All words of the sources, including strings and comments, because settings and messages are named there.
 fn words(files: &[PathBuf]) -> HashSet<String> {
     let mut words = HashSet::new();
     for file in
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_span_is_read_as_a_path_a_name_or_neither() {
+fn code_span_is_classified_as_path_name_or_neither() {
     assert!(is_path("consensus/acceptor.rs") && is_path("tests/harness/"));
     assert!(!is_path("config") && !is_path("fleetctl check FILE"));
     assert_eq!(name("wire::RingHead"), Some("RingHead"));
@@ -98,16 +98,16 @@
 #[test]
 fn every_path_and_name_of_the_pages_exists() {
     let root = workspace();
-    let (mut files, mut folders) = (Vec::new(), vec![root.clone(), root.join("docs")]);
-    walk(&root.join("crates"), &mut files, &mut folders);
+    let (mut files, mut directories) = (Vec::new(), vec![root.clone(), root.join("docs")]);
+    walk(&root.join("crates"), &mut files, &mut directories);
     let words = words(&files);
     let (mut missing, mut seen) = (Vec::new(), 0);
     for page in pages(&root) {
         let text = fs::read_to_string(&page).expect("a readable page");
         for (number, line) in text.lines().enumerate() {
             for span in spans(line) {
-                let known_path =
-                    !is_path(span) || folders.iter().any(|folder| folder.join(span).exists());
+                let known_path = !is_path(span)
+                    || directories.iter().any(|directory| directory.join(span).exists());
                 let known_name = name(span).is_none_or(|name| words.contains(name));
                 seen += usize::from(is_path(span) || name(span).is_some());
                 if !known_path || !known_name {
@@ -117,5 +117,9 @@
         }
     }
     assert!(seen > 50, "only {seen} paths and names were found on the pages");
-    assert!(missing.is_empty(), "named, but not there:\n{}", missing.join("\n"));
+    assert!(
+        missing.is_empty(),
+        "named on the pages, but missing from the sources:\n{}",
+        missing.join("\n")
+    );
 }
