--- a/crates/controller/src/main.rs
+++ b/crates/controller/src/main.rs
@@ -1,16 +1,16 @@
-//! The program of the control plane.
+//! Entry point of the controller, the program of the control plane.
 
 use fleet_core::program::{About, start};
 use fleet_core::settings::Settings;
 
 fn main() -> std::process::ExitCode {
-    let about = About {
+    let program = About {
         name: "controller",
         version: env!("CARGO_PKG_VERSION"),
-        what: "keeps anisedyke's control state and knows its engines",
+        what: "replicates anisedyke's control state and tracks its engines",
         needs: missing_settings,
     };
-    start(about, control_plane::run)
+    start(program, control_plane::run)
 }
 
 fn missing_settings(settings: &Settings) -> Vec<&'static str> {
--- a/crates/fleetctl/src/findings.rs
+++ b/crates/fleetctl/src/findings.rs
@@ -1,82 +1,82 @@
-//! What is wrong with a configuration, and what is valid but unwise now.
+//! Checks of a configuration: errors that make it invalid, and warnings about its effect on the current fleet.
 
-use crate::query::AsItIs;
+use crate::query::CurrentState;
 use fleet_core::configuration::{ConfigError, Configuration, Route};
 
-/// How much a finding weighs.
+/// Severity of a finding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Weight {
-    /// The configuration would be refused.
+pub enum Severity {
+    /// Controllers would reject the configuration.
     Error,
-    /// It would be taken, and is unwise for the fleet as it is.
+    /// Controllers would accept the configuration, but it may disrupt service in the current fleet.
     Warning,
 }
 
-/// Something to tell about a configuration.
+/// A problem with a configuration.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct Finding {
-    /// How much it weighs.
-    pub weight: Weight,
-    /// Stable name, for programs; README.md lists them.
+    /// How serious it is.
+    pub weight: Severity,
+    /// Stable machine-readable name; README.md lists them.
     pub code: &'static str,
-    /// Path in the configuration.
+    /// Path of the affected field in the configuration, such as `routes[0].timeoutMs`.
     pub place: String,
-    /// What is wrong, for people.
+    /// Human-readable description.
     pub text: String,
 }
 
 fn warning(code: &'static str, place: String, text: String) -> Finding {
-    Finding { weight: Weight::Warning, code, place, text }
+    Finding { weight: Severity::Warning, code, place, text }
 }
 
-fn error(error: &ConfigError) -> Finding {
+fn error_finding(error: &ConfigError) -> Finding {
     let text = error.to_string();
     let place = text.split(':').next().unwrap_or_default().to_owned();
-    Finding { weight: Weight::Error, code: error.code(), place, text }
+    Finding { weight: Severity::Error, code: error.code(), place, text }
 }
 
-/// Invalid by itself: the controller's own check, and nothing else can be said then.
+/// Parses a configuration and validates it as a controller does, without regard to the fleet.
 ///
 /// # Errors
 ///
-/// What makes it invalid, with its place.
-pub fn read(body: &[u8]) -> Result<Configuration, Finding> {
-    Configuration::read(body).map_err(|e| error(&e))
+/// Returns what makes the configuration invalid. The remaining checks need a valid one, so this is the only finding.
+pub fn parse(body: &[u8]) -> Result<Configuration, Finding> {
+    Configuration::read(body).map_err(|e| error_finding(&e))
 }
 
-/// What is to be said of a configuration that is valid by itself.
-pub fn findings(new: &Configuration, now: &AsItIs) -> Vec<Finding> {
-    let mut found = Vec::new();
-    if let Some(old) = &now.in_force {
+/// Checks a valid configuration against the active one and the current fleet.
+pub fn check(new: &Configuration, state: &CurrentState) -> Vec<Finding> {
+    let mut findings = Vec::new();
+    if let Some(old) = &state.configuration {
         if new.revision <= old.revision {
             let (version, current) = (new.revision, old.revision);
-            found.push(error(&ConfigError::VersionNotAbove { version, current }));
+            findings.push(error_finding(&ConfigError::VersionNotAbove { version, current }));
         }
-        removed_routes(new, old, &mut found);
-        removed_keys(new, old, &mut found);
-        newly_isolated(new, old, &mut found);
+        removed_routes(new, old, &mut findings);
+        removed_keys(new, old, &mut findings);
+        newly_isolated(new, old, &mut findings);
     }
-    engines_of_routes(new, now, &mut found);
-    differing_facts(new, now, &mut found);
-    short_timeouts(new, &mut found);
-    few_connections(new, now, &mut found);
-    found
+    routes_without_engines(new, state, &mut findings);
+    mismatched_slots(new, state, &mut findings);
+    timeouts_below_target(new, &mut findings);
+    insufficient_connections(new, state, &mut findings);
+    findings
 }
 
-fn same_place(a: &Route, b: &Route) -> bool {
+fn match_same_requests(a: &Route, b: &Route) -> bool {
     a.host.eq_ignore_ascii_case(&b.host) && a.path_prefix == b.path_prefix
 }
 
-fn removed_routes(new: &Configuration, old: &Configuration, found: &mut Vec<Finding>) {
-    let remains = |route: &Route| new.routes.iter().any(|other| same_place(other, route));
+fn removed_routes(new: &Configuration, old: &Configuration, findings: &mut Vec<Finding>) {
+    let remains = |route: &Route| new.routes.iter().any(|other| match_same_requests(other, route));
     for route in old.routes.iter().filter(|route| !remains(route)) {
         let text = format!("{}{} is no longer served", route.host, route.path_prefix);
-        found.push(warning("removed_route", "routes".to_owned(), text));
+        findings.push(warning("removed_route", "routes".to_owned(), text));
     }
 }
 
-fn removed_keys(new: &Configuration, old: &Configuration, found: &mut Vec<Finding>) {
+fn removed_keys(new: &Configuration, old: &Configuration, findings: &mut Vec<Finding>) {
     let remains = |key: &String| new.tenants.iter().any(|tenant| tenant.api_keys.contains(key));
     for tenant in &old.tenants {
         let removed = tenant.api_keys.iter().filter(|key| !remains(key)).count();
@@ -85,80 +85,94 @@
         }
         let index = new.tenants.iter().position(|other| other.name == tenant.name);
         let place = index.map_or("tenants".to_owned(), |i| format!("tenants[{i}].apiKeys"));
-        let text = format!("{removed} keys of tenant `{}` are taken away", tenant.name);
-        found.push(warning("removed_key", place, text));
+        let text = format!("{removed} API keys of tenant `{}` are removed", tenant.name);
+        findings.push(warning("removed_key", place, text));
     }
 }
 
-fn newly_isolated(new: &Configuration, old: &Configuration, found: &mut Vec<Finding>) {
+fn newly_isolated(new: &Configuration, old: &Configuration, findings: &mut Vec<Finding>) {
     for (i, tenant) in new.tenants.iter().enumerate().filter(|(_, tenant)| tenant.isolated) {
         if old.tenants.iter().any(|other| other.name == tenant.name && other.isolated) {
             continue;
         }
         let text = format!(
-            "tenant `{}` becomes isolated: the shared parts of all are read again",
+            "tenant `{}` becomes isolated: cached prompts that tenants share are invalidated",
             tenant.name
         );
-        found.push(warning("newly_isolated", format!("tenants[{i}].isolated"), text));
+        findings.push(warning("newly_isolated", format!("tenants[{i}].isolated"), text));
     }
 }
 
-/// Ready engines of a service, as far as they are heard.
-fn ready_engines(now: &AsItIs, service: &str) -> usize {
-    let engines = now.fleet.engines.iter().filter(|engine| engine.service == service);
+/// Number of engines of a service that are ready and send heartbeats.
+fn ready_engine_count(state: &CurrentState, service: &str) -> usize {
+    let engines = state.fleet.engines.iter().filter(|engine| engine.service == service);
     engines.filter(|engine| engine.state == "ready" && !engine.heartbeat_missed).count()
 }
 
-/// Whether a route can be answered: some service with weight has a ready engine.
-fn is_served(now: &AsItIs, route: &Route) -> bool {
-    route.shares().iter().any(|(service, weight)| *weight > 0 && ready_engines(now, service) > 0)
+/// Whether some service with a weight above 0 on this route has a ready engine.
+fn has_ready_engine(state: &CurrentState, route: &Route) -> bool {
+    route
+        .shares()
+        .iter()
+        .any(|(service, weight)| *weight > 0 && ready_engine_count(state, service) > 0)
 }
 
-fn engines_of_routes(new: &Configuration, now: &AsItIs, found: &mut Vec<Finding>) {
+fn routes_without_engines(new: &Configuration, state: &CurrentState, findings: &mut Vec<Finding>) {
     for (i, route) in new.routes.iter().enumerate() {
         let shares = route.shares().into_iter().filter(|(_, weight)| *weight > 0);
-        for (service, _) in shares.filter(|(service, _)| ready_engines(now, service) == 0) {
+        for (service, _) in shares.filter(|(service, _)| ready_engine_count(state, service) == 0) {
             let text = format!("service `{service}` has no ready engine");
-            found.push(warning("no_ready_engine", format!("routes[{i}]"), text));
+            findings.push(warning("no_ready_engine", format!("routes[{i}]"), text));
         }
-        let routes_now = now.in_force.iter().flat_map(|old| &old.routes);
-        let before = routes_now.into_iter().find(|old| same_place(old, route));
-        if before.is_some_and(|old| is_served(now, old)) && !is_served(now, route) {
-            let text = format!("{}{} loses its only engines", route.host, route.path_prefix);
-            found.push(warning("loses_engines", format!("routes[{i}]"), text));
+        let active_routes = state.configuration.iter().flat_map(|old| &old.routes);
+        let active_route = active_routes.into_iter().find(|old| match_same_requests(old, route));
+        if active_route.is_some_and(|old| has_ready_engine(state, old))
+            && !has_ready_engine(state, route)
+        {
+            let text =
+                format!("{}{} would lose all its ready engines", route.host, route.path_prefix);
+            findings.push(warning("loses_engines", format!("routes[{i}]"), text));
         }
     }
 }
 
-fn differing_facts(new: &Configuration, now: &AsItIs, found: &mut Vec<Finding>) {
+fn mismatched_slots(new: &Configuration, state: &CurrentState, findings: &mut Vec<Finding>) {
     for (i, service) in new.services.iter().enumerate() {
-        let Some(facts) = &service.engine else { continue };
-        let engines = now.fleet.engines.iter().filter(|engine| engine.service == service.name);
+        let Some(declared) = &service.engine else { continue };
+        let engines = state.fleet.engines.iter().filter(|engine| engine.service == service.name);
         let live = engines.filter(|engine| engine.state != "gone");
-        let differing = live.filter(|engine| engine.slots != facts.slots).count();
-        if differing > 0 {
-            let text = format!("{differing} engines report other slots than {}", facts.slots);
-            found.push(warning("facts_differ", format!("services[{i}].engine.slots"), text));
+        let mismatched = live.filter(|engine| engine.slots != declared.slots).count();
+        if mismatched > 0 {
+            let text =
+                format!("{mismatched} engines report a slot count other than {}", declared.slots);
+            findings.push(warning("facts_differ", format!("services[{i}].engine.slots"), text));
         }
     }
 }
 
-fn short_timeouts(new: &Configuration, found: &mut Vec<Finding>) {
+fn timeouts_below_target(new: &Configuration, findings: &mut Vec<Finding>) {
     for (i, route) in new.routes.iter().enumerate() {
         let (timeout, target) = (route.timeout_ms, route.target_ms);
         if timeout < target {
-            let text = format!("time-out {timeout} ms is below the aim of {target} ms");
-            found.push(warning("timeout_below_aim", format!("routes[{i}].timeoutMs"), text));
+            let text = format!("the timeout of {timeout} ms is below the target of {target} ms");
+            findings.push(warning("timeout_below_aim", format!("routes[{i}].timeoutMs"), text));
         }
     }
 }
 
-fn few_connections(new: &Configuration, now: &AsItIs, found: &mut Vec<Finding>) {
-    let routers = now.fleet.routers;
+fn insufficient_connections(
+    new: &Configuration,
+    state: &CurrentState,
+    findings: &mut Vec<Finding>,
+) {
+    let routers = state.fleet.routers;
     for (i, service) in new.services.iter().enumerate() {
         if service.kv_store.is_none() && service.max_conns < routers {
-            let text = format!("{} connections for {routers} live routers", service.max_conns);
-            found.push(warning("conns_too_few", format!("services[{i}].maxConns"), text));
+            let text = format!(
+                "{} connections per engine are fewer than the {routers} live routers",
+                service.max_conns
+            );
+            findings.push(warning("conns_too_few", format!("services[{i}].maxConns"), text));
         }
     }
 }
--- a/crates/fleetctl/src/findings_tests.rs
+++ b/crates/fleetctl/src/findings_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `findings`.
+//! Tests of `findings`: the code and place of each finding.
 
 use super::*;
 use crate::query::{EngineView, Fleet};
 
-fn sheet(revision: u64) -> serde_json::Value {
+fn configuration(revision: u64) -> serde_json::Value {
     serde_json::json!({
         "revision": revision,
         "routes": [{"host": "h", "pathPrefix": "/a/", "kind": "safe", "timeoutMs": 100, "targetMs": 50, "service": "s"},
@@ -13,31 +13,38 @@
     })
 }
 
-fn now() -> AsItIs {
-    let e = |state: &str| EngineView {
+fn current_state() -> CurrentState {
+    let engine = |state: &str| EngineView {
         service: "s".into(),
         state: state.into(),
         heartbeat_missed: false,
         slots: 8,
     };
-    AsItIs {
-        in_force: Some(read(sheet(5).to_string().as_bytes()).unwrap()),
-        fleet: Fleet { revision: 5, routers: 3, engines: vec![e("ready"), e("draining")] },
+    CurrentState {
+        configuration: Some(parse(configuration(5).to_string().as_bytes()).unwrap()),
+        fleet: Fleet {
+            revision: 5,
+            routers: 3,
+            engines: vec![engine("ready"), engine("draining")],
+        },
     }
 }
 
-fn codes(edit: impl Fn(&mut serde_json::Value)) -> Vec<(&'static str, String)> {
-    let mut v = sheet(6);
-    edit(&mut v);
-    match read(v.to_string().as_bytes()) {
-        Err(f) => vec![(f.code, f.place)],
-        Ok(c) => findings(&c, &now()).into_iter().map(|f| (f.code, f.place)).collect(),
+fn codes_and_places(edit: impl Fn(&mut serde_json::Value)) -> Vec<(&'static str, String)> {
+    let mut json = configuration(6);
+    edit(&mut json);
+    match parse(json.to_string().as_bytes()) {
+        Err(finding) => vec![(finding.code, finding.place)],
+        Ok(new) => check(&new, &current_state())
+            .into_iter()
+            .map(|finding| (finding.code, finding.place))
+            .collect(),
     }
 }
 
 #[test]
-fn sound_configuration_has_no_findings() {
-    assert!(codes(|_| {}).is_empty());
+fn a_valid_configuration_has_no_findings() {
+    assert!(codes_and_places(|_| {}).is_empty());
 }
 
 #[test]
@@ -63,9 +70,9 @@
         ),
     ];
     for (edit, code, place) in table {
-        assert_eq!(codes(edit), vec![(*code, (*place).to_owned())]);
+        assert_eq!(codes_and_places(edit), vec![(*code, (*place).to_owned())]);
     }
-    let moved = codes(|v| v["routes"][1]["service"] = "u".into());
-    let both = ["no_ready_engine", "loses_engines"].map(|c| (c, "routes[1]".to_owned()));
-    assert_eq!(moved, both);
+    let found = codes_and_places(|v| v["routes"][1]["service"] = "u".into());
+    let expected = ["no_ready_engine", "loses_engines"].map(|code| (code, "routes[1]".to_owned()));
+    assert_eq!(found, expected);
 }
--- a/crates/fleetctl/src/lib.rs
+++ b/crates/fleetctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! Checks a configuration against the fleet as it is, before it is sent, and shows how a roll-out and the
-//! control plane stand. It only reads.
+//! Checks a configuration against the current state of the fleet before it is applied, and reports the status of
+//! weight rollouts and of the control plane. All requests to controllers are read-only.
 
 pub mod findings;
 pub mod members;
--- a/crates/fleetctl/src/main.rs
+++ b/crates/fleetctl/src/main.rs
@@ -1,5 +1,5 @@
 //! `fleetctl check FILE --control ADDR[,ADDR…]`, `fleetctl rollout --control ADDR[,ADDR…]` and
-//! `fleetctl members --control ADDR[,ADDR…]`
+//! `fleetctl members --control ADDR[,ADDR…]`.
 
 use fleetctl::report;
 use gumdrop::Options;
@@ -14,16 +14,16 @@
     #[options(no_short)]
     version: bool,
     #[options(command)]
-    verb: Option<Verb>,
+    command: Option<Command>,
 }
 
 #[derive(Debug, Options)]
-enum Verb {
-    /// check a configuration against the fleet as it is
+enum Command {
+    /// check a configuration against the current state of the fleet
     Check(Check),
-    /// tell how far named weights have come
+    /// show the progress of weight rollouts
     Rollout(Rollout),
-    /// tell how the control plane stands
+    /// show the status of the control plane
     Members(Members),
 }
 
@@ -31,19 +31,19 @@
 struct Check {
     /// print this help
     help: bool,
-    /// the configuration
+    /// configuration file
     #[options(free, required)]
     file: String,
-    /// control addresses, the first that answers is asked
+    /// control addresses of the controllers; the first that answers is used
     #[options(meta = "ADDR[,ADDR...]", required)]
     control: String,
     /// print findings as JSON
     #[options(no_short)]
     json: bool,
-    /// warnings count as findings
+    /// treat warnings as problems in the exit code
     #[options(no_short)]
     strict: bool,
-    /// longest wait for each call
+    /// timeout of each request
     #[options(no_short, meta = "MS", default = "2000")]
     limit_ms: u64,
 }
@@ -52,16 +52,16 @@
 struct Rollout {
     /// print this help
     help: bool,
-    /// control addresses; the node that carries the roll-out out is looked for among them
+    /// control addresses of the controllers; the answer of the one that runs the rollout is preferred
     #[options(meta = "ADDR[,ADDR...]", required)]
     control: String,
-    /// ask again every second until all is done or something is stuck
+    /// repeat every second until the rollout is complete, stuck or past its deadline
     #[options(no_short)]
     watch: bool,
-    /// print the roll-out as JSON
+    /// print the status of the rollout as JSON
     #[options(no_short)]
     json: bool,
-    /// longest wait for each call
+    /// timeout of each request
     #[options(no_short, meta = "MS", default = "2000")]
     limit_ms: u64,
 }
@@ -70,18 +70,18 @@
 struct Members {
     /// print this help
     help: bool,
-    /// control addresses; each is asked, and the voters that they name
+    /// control addresses of the controllers; the voters that they report are queried too
     #[options(meta = "ADDR[,ADDR...]", required)]
     control: String,
-    /// print the view as JSON
+    /// print the status of the control plane as JSON
     #[options(no_short)]
     json: bool,
-    /// longest wait for each call
+    /// timeout of each request
     #[options(no_short, meta = "MS", default = "2000")]
     limit_ms: u64,
 }
 
-/// Between two looks at a roll-out that is watched.
+/// Pause between two queries of `fleetctl rollout --watch`.
 const WATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 const USAGE: &str =
@@ -89,82 +89,82 @@
        fleetctl rollout --control ADDR[,ADDR...] [--watch] [--json] [--limit-ms MS]
        fleetctl members --control ADDR[,ADDR...] [--json] [--limit-ms MS]";
 
-/// Why nothing could be checked; printed, and turned into an exit code.
-struct Unchecked(String);
+/// Why a command could not be carried out. `main` prints it and exits with [`report::EXIT_FAILURE`].
+struct CommandError(String);
 
-impl<E: std::error::Error> From<E> for Unchecked {
+impl<E: std::error::Error> From<E> for CommandError {
     fn from(error: E) -> Self {
-        Unchecked(error.to_string())
+        CommandError(error.to_string())
     }
 }
 
-fn control_addresses(list: &str) -> Result<Vec<std::net::SocketAddr>, Unchecked> {
-    let read = |address: &str| {
-        address
-            .trim()
-            .parse()
-            .map_err(|_| Unchecked(format!("--control: `{address}` is not an address with a port")))
+fn parse_control_addresses(list: &str) -> Result<Vec<std::net::SocketAddr>, CommandError> {
+    let parse = |address: &str| {
+        address.trim().parse().map_err(|_| {
+            CommandError(format!("--control: `{address}` is not an IP address with a port"))
+        })
     };
-    list.split(',').map(read).collect()
+    list.split(',').map(parse).collect()
 }
 
 fn build_runtime() -> std::io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread().enable_all().build()
 }
 
-fn check(check: &Check) -> Result<u8, Unchecked> {
-    let nodes = control_addresses(&check.control)?;
-    let body = std::fs::read(&check.file).map_err(|e| Unchecked(format!("{}: {e}", check.file)))?;
+fn check(options: &Check) -> Result<u8, CommandError> {
+    let nodes = parse_control_addresses(&options.control)?;
+    let body =
+        std::fs::read(&options.file).map_err(|e| CommandError(format!("{}: {e}", options.file)))?;
     let runtime = build_runtime()?;
-    let found = match fleetctl::findings::read(&body) {
+    let findings = match fleetctl::findings::parse(&body) {
         Err(finding) => vec![finding],
         Ok(configuration) => {
-            let limit = Duration::from_millis(check.limit_ms);
-            let now = runtime.block_on(fleetctl::query::fetch(&nodes, limit))?;
-            fleetctl::findings::findings(&configuration, &now)
+            let timeout = Duration::from_millis(options.limit_ms);
+            let state = runtime.block_on(fleetctl::query::fetch(&nodes, timeout))?;
+            fleetctl::findings::check(&configuration, &state)
         }
     };
-    if check.json {
-        println!("{}", report::json(&found));
+    if options.json {
+        println!("{}", report::json(&findings));
     } else {
-        print!("{}", report::text(&found));
+        print!("{}", report::text(&findings));
     }
-    Ok(report::exit(&found, check.strict))
+    Ok(report::exit_code(&findings, options.strict))
 }
 
-fn rollout(options: &Rollout) -> Result<u8, Unchecked> {
-    let nodes = control_addresses(&options.control)?;
+fn rollout(options: &Rollout) -> Result<u8, CommandError> {
+    let nodes = parse_control_addresses(&options.control)?;
     let runtime = build_runtime()?;
     loop {
-        let limit = Duration::from_millis(options.limit_ms);
-        let rollout = runtime.block_on(fleetctl::rollout::query(&nodes, limit))?;
+        let timeout = Duration::from_millis(options.limit_ms);
+        let rollout = runtime.block_on(fleetctl::rollout::query(&nodes, timeout))?;
         if options.json {
             println!("{}", rollout.json());
         } else {
             print!("{}", rollout.text());
         }
-        if !options.watch || rollout.is_done() || rollout.exit() != report::CLEAN {
-            return Ok(rollout.exit());
+        if !options.watch || rollout.is_done() || rollout.exit_code() != report::EXIT_CLEAN {
+            return Ok(rollout.exit_code());
         }
         std::thread::sleep(WATCH_INTERVAL);
     }
 }
 
-fn members(options: &Members) -> Result<u8, Unchecked> {
-    let nodes = control_addresses(&options.control)?;
-    let limit = Duration::from_millis(options.limit_ms);
-    let members = build_runtime()?.block_on(fleetctl::members::query(&nodes, limit))?;
+fn members(options: &Members) -> Result<u8, CommandError> {
+    let nodes = parse_control_addresses(&options.control)?;
+    let timeout = Duration::from_millis(options.limit_ms);
+    let members = build_runtime()?.block_on(fleetctl::members::query(&nodes, timeout))?;
     if options.json {
         println!("{}", members.json());
     } else {
         print!("{}", members.text());
     }
-    Ok(members.exit())
+    Ok(members.exit_code())
 }
 
 fn print_help() {
     println!(
-        "{USAGE}\n\n{}\n\ncheck:\n{}\n\nrollout:\n{}\n\nmembers:\n{}\n\nexit codes: 0 clean, 1 findings, 2 could not check",
+        "{USAGE}\n\n{}\n\ncheck:\n{}\n\nrollout:\n{}\n\nmembers:\n{}\n\nexit codes: 0 no problem found, 1 problem found, 2 command failed",
         CommandLine::usage(),
         Check::usage(),
         Rollout::usage(),
@@ -172,25 +172,25 @@
     );
 }
 
-fn run() -> Result<u8, Unchecked> {
+fn run() -> Result<u8, CommandError> {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let command_line = CommandLine::parse_args_default(&args)
-        .map_err(|e| Unchecked(format!("{e}\ntry fleetctl --help")))?;
+        .map_err(|e| CommandError(format!("{e}\ntry fleetctl --help")))?;
     if command_line.version {
         println!("fleetctl {}", env!("CARGO_PKG_VERSION"));
-        return Ok(report::CLEAN);
+        return Ok(report::EXIT_CLEAN);
     }
     if command_line.help_requested() {
         print_help();
-        return Ok(report::CLEAN);
+        return Ok(report::EXIT_CLEAN);
     }
-    match command_line.verb {
-        Some(Verb::Check(options)) => check(&options),
-        Some(Verb::Rollout(options)) => rollout(&options),
-        Some(Verb::Members(options)) => members(&options),
+    match command_line.command {
+        Some(Command::Check(options)) => check(&options),
+        Some(Command::Rollout(options)) => rollout(&options),
+        Some(Command::Members(options)) => members(&options),
         None => {
             print_help();
-            Ok(report::UNCHECKED)
+            Ok(report::EXIT_FAILURE)
         }
     }
 }
@@ -198,9 +198,9 @@
 fn main() -> ExitCode {
     match run() {
         Ok(code) => ExitCode::from(code),
-        Err(Unchecked(why)) => {
-            eprintln!("fleetctl: {why}");
-            ExitCode::from(report::UNCHECKED)
+        Err(CommandError(message)) => {
+            eprintln!("fleetctl: {message}");
+            ExitCode::from(report::EXIT_FAILURE)
         }
     }
 }
--- a/crates/fleetctl/src/members/verdict.rs
+++ b/crates/fleetctl/src/members/verdict.rs
@@ -1,22 +1,22 @@
-//! Whether enough voters are left.
+//! Whether the control plane has a quorum, and would keep it after the tolerated losses.
 
 use super::MembersView;
 
-/// How the voters stand against what may be lost.
+/// The number of voting voters, compared with the quorum and the tolerated losses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize)]
 #[serde(rename_all = "camelCase")]
 pub enum Verdict {
-    /// A quorum would be left after the tolerated losses.
+    /// A quorum would remain after the tolerated losses.
     Healthy,
-    /// There is a quorum, and the tolerated losses would end it.
+    /// There is a quorum, but it would not survive the tolerated losses.
     AtRisk,
-    /// No quorum votes: nothing can be changed or read.
+    /// Fewer voters than a quorum vote: control state can be neither read nor changed.
     NoQuorum,
 }
 
 impl Verdict {
-    /// Of one controller's view.
-    pub fn of(view: &MembersView) -> Verdict {
+    /// Computes the verdict from one controller's report.
+    pub fn from_view(view: &MembersView) -> Verdict {
         let (voting, quorum) = (view.voting(), view.quorum());
         if voting < quorum {
             return Verdict::NoQuorum;
@@ -27,7 +27,7 @@
         Verdict::Healthy
     }
 
-    /// The verdict with its figures, as one line.
+    /// Formats the verdict and the numbers behind it as one line.
     pub fn text(self, view: &MembersView) -> String {
         let (voting, voters, quorum) = (view.voting(), view.voters.len(), view.quorum());
         let losses = view.tolerated_losses;
@@ -37,8 +37,8 @@
             Verdict::NoQuorum => "no quorum",
         };
         format!(
-            "{verdict}: {voting} of {voters} voters vote, a quorum is {quorum}, \
-             {losses} more should be spare"
+            "{verdict}: {voting} of {voters} voters vote, quorum {quorum}, \
+             tolerated losses {losses}"
         )
     }
 }
--- a/crates/fleetctl/src/members/verdict_tests.rs
+++ b/crates/fleetctl/src/members/verdict_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `verdict`.
+//! Tests of `verdict`: which voters count, and how many are needed.
 
 use super::*;
 use control_plane::service::membership::VoterView;
 
-/// Voters of membership epoch 4, of which so many vote.
+/// A report with `voters` voters at membership epoch 4, the first `voting` of which vote.
 fn view(voters: usize, voting: usize, tolerated_losses: usize) -> MembersView {
     let voter = |index| VoterView {
         answered: true,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_tolerated_losses_have_to_leave_a_quorum() {
+fn healthy_requires_a_quorum_after_the_tolerated_losses() {
     let table = [
         (3, 3, 1, Verdict::Healthy),
         (3, 2, 1, Verdict::AtRisk),
@@ -28,18 +28,18 @@
         (5, 2, 2, Verdict::NoQuorum),
         (0, 0, 0, Verdict::NoQuorum),
     ];
-    for (voters, voting, losses, want) in table {
+    for (voters, voting, losses, expected) in table {
         let view = view(voters, voting, losses);
-        assert_eq!(Verdict::of(&view), want, "{}", want.text(&view));
+        assert_eq!(Verdict::from_view(&view), expected, "{}", expected.text(&view));
     }
 }
 
 #[test]
-fn a_vote_counts_only_if_it_was_answered_under_the_same_membership() {
-    let mut one_behind = view(3, 3, 1);
-    one_behind.voters[0].membership_epoch = 3;
-    assert_eq!(Verdict::of(&one_behind), Verdict::AtRisk);
+fn a_voter_counts_only_if_it_answered_at_the_same_membership_epoch() {
+    let mut one_outdated = view(3, 3, 1);
+    one_outdated.voters[0].membership_epoch = 3;
+    assert_eq!(Verdict::from_view(&one_outdated), Verdict::AtRisk);
     let mut one_unanswered = view(3, 3, 1);
     one_unanswered.voters[2].answered = false;
-    assert_eq!(Verdict::of(&one_unanswered), Verdict::AtRisk);
+    assert_eq!(Verdict::from_view(&one_unanswered), Verdict::AtRisk);
 }
--- a/crates/fleetctl/src/query.rs
+++ b/crates/fleetctl/src/query.rs
@@ -1,42 +1,42 @@
-//! Reads what is in force and the fleet as seen; never writes.
+//! Queries controllers for the active configuration and the state of the fleet. All requests are `GET`s.
 
 use control_plane::engines::client::EngineClient;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// Redirections that are followed.
-const REDIRECTS: usize = 2;
-/// The status of an answer that counts.
-const OK: u16 = 200;
+/// Redirects that are followed for one request.
+const MAX_REDIRECTS: usize = 2;
+/// The HTTP status of a usable response.
+const STATUS_OK: u16 = 200;
 
-/// Why the fleet could not be asked.
+/// Why a query failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum QueryError {
-    /// no node answered: {0}
+    /// no controller answered: {0}
     Unreachable(String),
-    /// {0}: the answer can't be read: {1}
+    /// {0}: malformed response: {1}
     Malformed(SocketAddr, String),
 }
 
-/// The fleet as a controller sees it (`Fleet.Look`).
+/// State of the fleet as a controller reports it (`Fleet.Look`).
 #[derive(Debug, Clone, Default, serde::Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Fleet {
-    /// Number of the configuration in force; 0 for none.
+    /// Revision of the active configuration; 0 if there is none.
     #[serde(default)]
     pub revision: u64,
-    /// Live routers.
+    /// Number of live routers.
     #[serde(default)]
     pub routers: u32,
-    /// All engines that the controller remembers, gone ones too.
+    /// All engines that the controller knows, including those that are gone.
     #[serde(default)]
     pub engines: Vec<EngineView>,
 }
 
-/// An engine as a controller sees it.
+/// State of an engine as a controller reports it.
 #[derive(Debug, Clone, serde::Deserialize)]
 pub struct EngineView {
-    /// Name of its service.
+    /// Name of the service that it belongs to.
     pub service: String,
     /// `ready`, `draining` or `gone`.
     #[serde(rename = "standing")]
@@ -44,105 +44,106 @@
     /// Whether its heartbeats have stopped.
     #[serde(rename = "silent")]
     pub heartbeat_missed: bool,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// A status and a body.
+/// Status and body of an HTTP response.
 struct Response {
     status: u16,
     body: Vec<u8>,
 }
 
-/// A response, and the node that gave it.
+/// A response and the node that was asked for it.
 struct NodeResponse {
     node: SocketAddr,
     response: Response,
 }
 
-/// What one node answered: its body, or why there is none.
-pub struct NodeAnswer {
-    /// The node that was asked.
+/// Outcome of a request to one node.
+pub struct NodeResult {
+    /// The node that the request was sent to.
     pub node: SocketAddr,
-    /// The body of an answer with status 200; else the reason, in words.
+    /// The body of a response with status 200, or a description of the failure.
     pub body: Result<Vec<u8>, String>,
 }
 
-/// Follows a node that names another, at most twice.
-async fn get(first: SocketAddr, path: &str, limit: Duration) -> Result<Response, String> {
-    let mut to = first;
-    for _ in 0..=REDIRECTS {
-        let mut client = EngineClient::new(Ipv4Addr::UNSPECIFIED, to);
-        let answer = client
-            .call(http::Method::GET, path, &[("Connection", "close")], Vec::new(), limit)
+/// Sends a `GET` request and follows up to [`MAX_REDIRECTS`] redirects to other nodes.
+async fn get(initial: SocketAddr, path: &str, timeout: Duration) -> Result<Response, String> {
+    let mut node = initial;
+    for _ in 0..=MAX_REDIRECTS {
+        let mut client = EngineClient::new(Ipv4Addr::UNSPECIFIED, node);
+        let response = client
+            .call(http::Method::GET, path, &[("Connection", "close")], Vec::new(), timeout)
             .await
-            .map_err(|e| format!("{to}: {e}"))?;
-        if answer.status != http::StatusCode::TEMPORARY_REDIRECT {
-            return Ok(Response { status: answer.status.as_u16(), body: answer.body.to_vec() });
+            .map_err(|e| format!("{node}: {e}"))?;
+        if response.status != http::StatusCode::TEMPORARY_REDIRECT {
+            return Ok(Response { status: response.status.as_u16(), body: response.body.to_vec() });
         }
-        let target = answer.location.as_deref().and_then(|url| url.strip_prefix("http://"));
+        let target = response.location.as_deref().and_then(|url| url.strip_prefix("http://"));
         let target = target.and_then(|rest| rest.split('/').next());
         let target = target.and_then(|address| address.parse().ok());
-        to = target.ok_or_else(|| format!("{to}: names no other node"))?;
+        node = target.ok_or_else(|| format!("{node}: redirect without a valid Location header"))?;
     }
-    Err(format!("{to}: named too many other nodes"))
+    Err(format!("{node}: more than {MAX_REDIRECTS} redirects"))
 }
 
-/// The first node that answers with status 200.
-async fn first_of(
+/// Queries the nodes in order and returns the first response with status 200.
+async fn query_first(
     nodes: &[SocketAddr],
     path: &str,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<NodeResponse, QueryError> {
-    let mut why = Vec::new();
+    let mut errors = Vec::new();
     for node in nodes {
-        match get(*node, path, limit).await {
-            Ok(response) if response.status == OK => {
+        match get(*node, path, timeout).await {
+            Ok(response) if response.status == STATUS_OK => {
                 return Ok(NodeResponse { node: *node, response });
             }
-            Ok(response) => why.push(format!("{node}: status {}", response.status)),
-            Err(e) => why.push(e),
+            Ok(response) => errors.push(format!("{node}: status {}", response.status)),
+            Err(e) => errors.push(e),
         }
     }
-    Err(QueryError::Unreachable(why.join("; ")))
+    Err(QueryError::Unreachable(errors.join("; ")))
 }
 
-/// What each node answers to a read, one node after the other.
-pub async fn answers(nodes: &[SocketAddr], path: &str, limit: Duration) -> Vec<NodeAnswer> {
-    let mut answers = Vec::new();
+/// Queries every node, one after the other, and returns the results in the same order.
+pub async fn query_all(nodes: &[SocketAddr], path: &str, timeout: Duration) -> Vec<NodeResult> {
+    let mut results = Vec::new();
     for node in nodes {
-        let body = match get(*node, path, limit).await {
-            Ok(response) if response.status == OK => Ok(response.body),
+        let body = match get(*node, path, timeout).await {
+            Ok(response) if response.status == STATUS_OK => Ok(response.body),
             Ok(response) => Err(format!("{node}: status {}", response.status)),
             Err(e) => Err(e),
         };
-        answers.push(NodeAnswer { node: *node, body });
+        results.push(NodeResult { node: *node, body });
     }
-    answers
+    results
 }
 
-/// The fleet, and the configuration in force, if there is one.
-pub struct AsItIs {
-    /// The configuration in force; none before the first.
-    pub in_force: Option<fleet_core::configuration::Configuration>,
-    /// The fleet.
+/// The active configuration and the state of the fleet.
+pub struct CurrentState {
+    /// The active configuration; `None` before the first one has been applied.
+    pub configuration: Option<fleet_core::configuration::Configuration>,
+    /// State of the fleet.
     pub fleet: Fleet,
 }
 
-/// Asks the first node that answers, with up to `limit` for each call.
+/// Queries the nodes in order and uses the first that answers; `timeout` applies to each request.
 ///
 /// # Errors
 ///
-/// No node answered in time, or the answer can't be read.
-pub async fn fetch(nodes: &[SocketAddr], limit: Duration) -> Result<AsItIs, QueryError> {
-    let found = first_of(nodes, "/anisedyke/Fleet.Look", limit).await?;
-    let fleet: Fleet = serde_json::from_slice(&found.response.body)
-        .map_err(|e| QueryError::Malformed(found.node, e.to_string()))?;
+/// Fails if no node answers in time or the response is malformed.
+pub async fn fetch(nodes: &[SocketAddr], timeout: Duration) -> Result<CurrentState, QueryError> {
+    let node_response = query_first(nodes, "/anisedyke/Fleet.Look", timeout).await?;
+    let fleet: Fleet = serde_json::from_slice(&node_response.response.body)
+        .map_err(|e| QueryError::Malformed(node_response.node, e.to_string()))?;
     if fleet.revision == 0 {
-        return Ok(AsItIs { in_force: None, fleet });
+        return Ok(CurrentState { configuration: None, fleet });
     }
-    let found = first_of(nodes, "/anisedyke/Config.Fetch", limit).await?;
-    let in_force = fleet_core::configuration::Configuration::read(&found.response.body)
-        .map_err(|e| QueryError::Malformed(found.node, e.to_string()))?;
-    Ok(AsItIs { in_force: Some(in_force), fleet })
+    let node_response = query_first(nodes, "/anisedyke/Config.Fetch", timeout).await?;
+    let configuration =
+        fleet_core::configuration::Configuration::read(&node_response.response.body)
+            .map_err(|e| QueryError::Malformed(node_response.node, e.to_string()))?;
+    Ok(CurrentState { configuration: Some(configuration), fleet })
 }
--- a/crates/fleetctl/src/report.rs
+++ b/crates/fleetctl/src/report.rs
@@ -1,36 +1,36 @@
-//! Findings for people and for programs, and the exit code that goes with them.
+//! Prints findings as text or JSON and chooses the exit code.
 
-use crate::findings::{Finding, Weight};
+use crate::findings::{Finding, Severity};
 
-/// Exit code: nothing was found.
-pub const CLEAN: u8 = 0;
-/// Exit code: something was found.
-pub const FOUND: u8 = 1;
-/// Exit code: the check could not be made.
-pub const UNCHECKED: u8 = 2;
+/// Exit code: nothing was found that counts as a problem.
+pub const EXIT_CLEAN: u8 = 0;
+/// Exit code: a problem was found.
+pub const EXIT_FINDINGS: u8 = 1;
+/// Exit code: the command itself failed, for example because no controller answered.
+pub const EXIT_FAILURE: u8 = 2;
 
-/// The exit code for these findings. Warnings count only where the caller is strict.
-pub fn exit(findings: &[Finding], strict: bool) -> u8 {
-    let counts = |finding: &Finding| strict || finding.weight == Weight::Error;
-    if findings.iter().any(counts) { FOUND } else { CLEAN }
+/// Returns the exit code for these findings. Warnings count only if `strict` is set.
+pub fn exit_code(findings: &[Finding], strict: bool) -> u8 {
+    let is_counted = |finding: &Finding| strict || finding.weight == Severity::Error;
+    if findings.iter().any(is_counted) { EXIT_FINDINGS } else { EXIT_CLEAN }
 }
 
-/// The findings for people, a line each.
+/// Formats the findings as text, one line each.
 pub fn text(findings: &[Finding]) -> String {
     if findings.is_empty() {
         return "no findings\n".to_owned();
     }
     let line = |finding: &Finding| {
-        let weight = match finding.weight {
-            Weight::Error => "error",
-            Weight::Warning => "warning",
+        let severity = match finding.weight {
+            Severity::Error => "error",
+            Severity::Warning => "warning",
         };
-        format!("{weight}: {} [{}]: {}\n", finding.place, finding.code, finding.text)
+        format!("{severity}: {} [{}]: {}\n", finding.place, finding.code, finding.text)
     };
     findings.iter().map(line).collect()
 }
 
-/// The findings as one JSON object.
+/// Formats the findings as one JSON object.
 pub fn json(findings: &[Finding]) -> String {
     serde_json::json!({ "findings": findings }).to_string()
 }
--- a/crates/fleetctl/src/report_tests.rs
+++ b/crates/fleetctl/src/report_tests.rs
@@ -1,17 +1,17 @@
-//! Tests of `report`.
+//! Tests of `report`: the output formats and exit codes.
 
 use super::*;
 
 #[test]
 fn warnings_count_only_when_strict() {
-    let f = |weight| Finding { weight, code: "c", place: "p".into(), text: "t".into() };
-    assert_eq!(exit(&[], true), CLEAN);
-    assert_eq!(exit(&[f(Weight::Warning)], false), CLEAN);
-    assert_eq!(exit(&[f(Weight::Warning)], true), FOUND);
-    assert_eq!(exit(&[f(Weight::Error)], false), FOUND);
-    assert_eq!(text(&[f(Weight::Error)]), "error: p [c]: t\n");
-    let printed = json(&[f(Weight::Warning)]);
-    let read: serde_json::Value = serde_json::from_str(&printed).unwrap();
-    let want = serde_json::json!({"weight": "warning", "code": "c", "place": "p", "text": "t"});
-    assert_eq!(read["findings"], serde_json::json!([want]));
+    let finding = |weight| Finding { weight, code: "c", place: "p".into(), text: "t".into() };
+    assert_eq!(exit_code(&[], true), EXIT_CLEAN);
+    assert_eq!(exit_code(&[finding(Severity::Warning)], false), EXIT_CLEAN);
+    assert_eq!(exit_code(&[finding(Severity::Warning)], true), EXIT_FINDINGS);
+    assert_eq!(exit_code(&[finding(Severity::Error)], false), EXIT_FINDINGS);
+    assert_eq!(text(&[finding(Severity::Error)]), "error: p [c]: t\n");
+    let printed = json(&[finding(Severity::Warning)]);
+    let parsed: serde_json::Value = serde_json::from_str(&printed).unwrap();
+    let expected = serde_json::json!({"weight": "warning", "code": "c", "place": "p", "text": "t"});
+    assert_eq!(parsed["findings"], serde_json::json!([expected]));
 }
--- a/crates/fleetctl/src/rollout.rs
+++ b/crates/fleetctl/src/rollout.rs
@@ -1,52 +1,52 @@
-//! How a roll-out of weights stands, for people and for programs.
+//! Status of weight rollouts, as text or JSON.
 
-use crate::query::{QueryError, answers};
+use crate::query::{QueryError, query_all};
 use crate::report;
 pub use control_plane::rollout::status::State;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How a roll-out of weights stands (`Rollout.Look`).
+/// Status of the weight rollouts of all models (`Rollout.Look`).
 #[derive(Debug, Clone, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Rollout {
-    /// Told by the node that carries it out.
+    /// Whether the node that reports this holds the rollout lease and so runs the rollout.
     pub holds: bool,
-    /// Engines that may change at once.
+    /// Maximum number of engines that are updated at the same time.
     #[serde(rename = "width")]
     pub concurrency: usize,
-    /// All models with named weights.
+    /// All models that have target weights.
     pub models: Vec<Model>,
 }
 
-/// How far the named weights of one model have come.
+/// Progress of the weight rollout of one model.
 #[derive(Debug, Clone, PartialEq, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Model {
     /// Name of the model.
     pub model: String,
-    /// The named version.
+    /// Target version of the weights.
     pub revision: u64,
-    /// Time since it was named, in ms.
+    /// Time since the target was set, in ms.
     pub age_ms: u64,
-    /// Time left until all requests have to begin on it, in ms; 0 once that has passed.
+    /// Time in ms until the deadline, after which no request may begin on an older version; 0 once it has passed.
     #[serde(rename = "leftMs")]
     pub remaining_ms: u64,
-    /// Engines of the model.
+    /// Engines that serve the model.
     pub engines: Vec<Engine>,
 }
 
-/// How far one engine has come.
+/// Progress of one engine.
 #[derive(Debug, Clone, PartialEq, serde::Deserialize, serde::Serialize)]
 pub struct Engine {
-    /// The instance's id.
+    /// Instance ID.
     pub id: String,
-    /// Its zone.
+    /// Zone that it runs in.
     pub zone: String,
-    /// Its state.
+    /// State of its update.
     pub state: State,
-    /// The version that it has, if it is known.
+    /// Version of the weights that it serves; `None` if it is not known.
     pub revision: Option<u64>,
-    /// Why it does not come on, if it does not.
+    /// Why its update makes no progress; `None` if nothing is wrong.
     pub stuck: Option<String>,
 }
 
@@ -55,8 +55,8 @@
         self.engines.iter().filter(|engine| engine.state == state).count()
     }
 
-    /// One line: engines by state.
-    fn counts(&self) -> String {
+    /// Formats the number of engines in each state as one line.
+    fn state_counts(&self) -> String {
         format!(
             "{} revision {}: {} of {} ready, {} turning, {} fading, {} waiting, {} silent\n",
             self.model,
@@ -70,80 +70,84 @@
         )
     }
 
-    /// Whether all engines have the named weights.
+    /// Whether all engines serve the target version.
     pub fn is_done(&self) -> bool {
         self.count(State::Ready) == self.engines.len()
     }
 
-    /// Something is stuck, or the bound has passed.
-    fn is_wrong(&self) -> bool {
+    /// Whether the rollout is incomplete and some engine is stuck or the deadline has passed.
+    fn is_stuck_or_late(&self) -> bool {
         !self.is_done()
             && (self.remaining_ms == 0 || self.engines.iter().any(|engine| engine.stuck.is_some()))
     }
 }
 
 impl Rollout {
-    /// Whether all engines of all models have the named weights.
+    /// Whether all engines of all models serve their target versions.
     pub fn is_done(&self) -> bool {
         self.models.iter().all(Model::is_done)
     }
 
-    /// The exit code: [`report::FOUND`] if something is stuck, or the time has passed.
-    pub fn exit(&self) -> u8 {
-        if self.models.iter().any(Model::is_wrong) { report::FOUND } else { report::CLEAN }
+    /// The exit code: [`report::EXIT_FINDINGS`] if the rollout of some model is stuck or past its deadline.
+    pub fn exit_code(&self) -> u8 {
+        if self.models.iter().any(Model::is_stuck_or_late) {
+            report::EXIT_FINDINGS
+        } else {
+            report::EXIT_CLEAN
+        }
     }
 
-    /// The roll-out for people.
+    /// Formats the status as text.
     pub fn text(&self) -> String {
         if self.models.is_empty() {
-            return "no weights have been named\n".to_owned();
+            return "no target weights have been set\n".to_owned();
         }
-        self.models.iter().map(|model| self.text_of(model)).collect()
+        self.models.iter().map(|model| self.model_text(model)).collect()
     }
 
-    fn text_of(&self, model: &Model) -> String {
-        let mut text = model.counts();
+    fn model_text(&self, model: &Model) -> String {
+        let mut text = model.state_counts();
         if !model.is_done() {
             let progress = if self.holds {
-                format!("up to {} turn at once", self.concurrency)
+                format!("up to {} engines updated at once", self.concurrency)
             } else {
-                "the node that carries it out did not answer".to_owned()
+                "the controller that runs the rollout did not answer".to_owned()
             };
             let (age_ms, remaining_ms) = (model.age_ms, model.remaining_ms);
             text += &format!(
-                "  named {age_ms} ms ago, {remaining_ms} ms left of the bound; {progress}\n"
+                "  target set {age_ms} ms ago, {remaining_ms} ms left until the deadline; {progress}\n"
             );
         }
         for engine in &model.engines {
-            if let Some(why) = &engine.stuck {
-                text += &format!("  stuck: {} in {}: {why}\n", engine.id, engine.zone);
+            if let Some(reason) = &engine.stuck {
+                text += &format!("  stuck: {} in {}: {reason}\n", engine.id, engine.zone);
             }
         }
         text
     }
 
-    /// The roll-out as one JSON object.
+    /// Formats the status as one JSON object.
     pub fn json(&self) -> String {
         serde_json::json!({ "rollout": self, "done": self.is_done() }).to_string()
     }
 }
 
-/// The view of the node that carries the roll-out out; any other's where that one can't be reached.
+/// Queries the nodes and returns the report of the one that runs the rollout, or else the first valid report.
 ///
 /// # Errors
 ///
-/// No node answered with a view; each is named with the reason.
-pub async fn query(nodes: &[SocketAddr], limit: Duration) -> Result<Rollout, QueryError> {
-    let mut best: Option<Rollout> = None;
-    let mut why = Vec::new();
-    for answer in answers(nodes, "/anisedyke/Rollout.Look", limit).await {
-        let node = answer.node;
-        match answer.body.map(|body| serde_json::from_slice::<Rollout>(&body)) {
+/// Fails if no node returns a valid report; the error names each node with the reason.
+pub async fn query(nodes: &[SocketAddr], timeout: Duration) -> Result<Rollout, QueryError> {
+    let mut fallback: Option<Rollout> = None;
+    let mut errors = Vec::new();
+    for result in query_all(nodes, "/anisedyke/Rollout.Look", timeout).await {
+        let node = result.node;
+        match result.body.map(|body| serde_json::from_slice::<Rollout>(&body)) {
             Ok(Ok(rollout)) if rollout.holds => return Ok(rollout),
-            Ok(Ok(rollout)) => best = best.or(Some(rollout)),
-            Ok(Err(e)) => why.push(format!("{node}: the answer can't be read: {e}")),
-            Err(e) => why.push(e),
+            Ok(Ok(rollout)) => fallback = fallback.or(Some(rollout)),
+            Ok(Err(e)) => errors.push(format!("{node}: malformed response: {e}")),
+            Err(e) => errors.push(e),
         }
     }
-    best.ok_or_else(|| QueryError::Unreachable(why.join("; ")))
+    fallback.ok_or_else(|| QueryError::Unreachable(errors.join("; ")))
 }
--- a/crates/fleetctl/tests/harness/mod.rs
+++ b/crates/fleetctl/tests/harness/mod.rs
@@ -1,21 +1,21 @@
-//! Nodes of the tests' own, asked by an fleetctl.
+//! Stub controllers on loopback for the tests of `fleetctl`.
 
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-pub async fn node(answer: impl Fn(&str) -> String + Send + Sync + 'static) -> SocketAddr {
-    let l = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = l.local_addr().unwrap();
+pub async fn stub_node(respond: impl Fn(&str) -> String + Send + Sync + 'static) -> SocketAddr {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
-        while let Ok((mut s, _)) = l.accept().await {
-            let mut b = vec![0u8; 4096];
-            let n = s.read(&mut b).await.unwrap();
-            let head = String::from_utf8_lossy(&b[..n]).into_owned();
-            assert!(head.starts_with("GET "), "an fleetctl only reads");
-            s.write_all(answer(&head).as_bytes()).await.unwrap();
+        while let Ok((mut stream, _)) = listener.accept().await {
+            let mut buffer = vec![0u8; 4096];
+            let length = stream.read(&mut buffer).await.unwrap();
+            let head = String::from_utf8_lossy(&buffer[..length]).into_owned();
+            assert!(head.starts_with("GET "), "fleetctl sends only GET requests, got {head}");
+            stream.write_all(respond(&head).as_bytes()).await.unwrap();
         }
     });
-    at
+    address
 }
 
 pub fn ok(body: &str) -> String {
--- a/crates/fleetctl/tests/json_output.rs
+++ b/crates/fleetctl/tests/json_output.rs
@@ -1,16 +1,16 @@
-//! What `fleetctl --json` prints, field by field, and its exit codes: programs read them.
+//! Every field of the `fleetctl --json` output, and the exit codes: other programs depend on them.
 
 mod harness;
 
-use fleetctl::findings::{Finding, Weight};
+use fleetctl::findings::{Finding, Severity};
 use fleetctl::{members, report, rollout};
-use harness::{node, ok, unreachable_address};
+use harness::{ok, stub_node, unreachable_address};
 use serde_json::{Value, json};
 use std::time::Duration;
 
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The control plane as a controller tells it; one voter votes.
+/// A controller's report on the control plane, with a single voter.
 fn view() -> Value {
     let ballot = json!({"epoch": 1, "owner": "10.0.0.1", "round": 2});
     json!({
@@ -32,14 +32,14 @@
 
 #[tokio::test]
 async fn members_are_printed_as_one_object() {
-    let at = node(|_| ok(&view().to_string())).await;
-    let members = members::query(&[at], LIMIT).await.unwrap();
+    let node = stub_node(|_| ok(&view().to_string())).await;
+    let members = members::query(&[node], TIMEOUT).await.unwrap();
     let expected = json!({
         "verdict": "atRisk", "voting": 1, "quorum": 1, "view": view(),
-        "nodes": [{"node": at.to_string(), "view": view(), "error": null}],
+        "nodes": [{"node": node.to_string(), "view": view(), "error": null}],
     });
     assert_eq!(serde_json::from_str::<Value>(&members.json()).unwrap(), expected);
-    assert_eq!(members.exit(), 1);
+    assert_eq!(members.exit_code(), 1);
 }
 
 #[tokio::test]
@@ -48,17 +48,17 @@
     let engines: Vec<Value> = states.into_iter().map(engine).collect();
     let rollout = json!({"holds": true, "width": 4, "models": [
         {"model": "m", "revision": 2, "ageMs": 900, "leftMs": 10, "engines": engines}]});
-    let answer = rollout.to_string();
-    let at = node(move |_| ok(&answer)).await;
-    let read = rollout::query(&[at], LIMIT).await.unwrap();
+    let body = rollout.to_string();
+    let node = stub_node(move |_| ok(&body)).await;
+    let parsed = rollout::query(&[node], TIMEOUT).await.unwrap();
     let expected = json!({"rollout": rollout, "done": false});
-    assert_eq!(serde_json::from_str::<Value>(&read.json()).unwrap(), expected);
-    assert_eq!(read.exit(), 0);
+    assert_eq!(serde_json::from_str::<Value>(&parsed.json()).unwrap(), expected);
+    assert_eq!(parsed.exit_code(), 0);
 }
 
 #[test]
 fn findings_are_printed_as_one_object() {
-    let found = [Weight::Error, Weight::Warning].map(|weight| Finding {
+    let findings = [Severity::Error, Severity::Warning].map(|weight| Finding {
         weight,
         code: "no_weight",
         place: "routes[0]".into(),
@@ -66,13 +66,13 @@
     });
     let finding = |weight| json!({"weight": weight, "code": "no_weight", "place": "routes[0]", "text": "text"});
     let expected = json!({"findings": [finding("error"), finding("warning")]});
-    assert_eq!(serde_json::from_str::<Value>(&report::json(&found)).unwrap(), expected);
-    assert_eq!((report::CLEAN, report::FOUND, report::UNCHECKED), (0, 1, 2));
+    assert_eq!(serde_json::from_str::<Value>(&report::json(&findings)).unwrap(), expected);
+    assert_eq!((report::EXIT_CLEAN, report::EXIT_FINDINGS, report::EXIT_FAILURE), (0, 1, 2));
 }
 
 #[tokio::test]
-async fn without_an_answer_there_is_an_error_and_no_output() {
-    assert!(members::query(&[unreachable_address()], LIMIT).await.is_err());
-    assert!(rollout::query(&[unreachable_address()], LIMIT).await.is_err());
-    assert!(fleetctl::query::fetch(&[unreachable_address()], LIMIT).await.is_err());
+async fn queries_fail_if_no_node_can_be_reached() {
+    assert!(members::query(&[unreachable_address()], TIMEOUT).await.is_err());
+    assert!(rollout::query(&[unreachable_address()], TIMEOUT).await.is_err());
+    assert!(fleetctl::query::fetch(&[unreachable_address()], TIMEOUT).await.is_err());
 }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,16 +1,16 @@
-//! The program of the data plane.
+//! Entry point of the router, the program of the data plane.
 
 use fleet_core::program::{About, start};
 use fleet_core::settings::Settings;
 
 fn main() -> std::process::ExitCode {
-    let about = About {
+    let program = About {
         name: "router",
         version: env!("CARGO_PKG_VERSION"),
-        what: "carries requests from clients to engines and answers back",
+        what: "routes requests from clients to engines and returns the responses",
         needs: missing_settings,
     };
-    start(about, data_plane::run)
+    start(program, data_plane::run)
 }
 
 fn missing_settings(settings: &Settings) -> Vec<&'static str> {
--- a/crates/router/tests/whole/stopping.rs
+++ b/crates/router/tests/whole/stopping.rs
@@ -1,6 +1,6 @@
-//! A router process that gets SIGTERM: each request that it has passed on ends with an answer.
+//! A router process that gets SIGTERM: every request that it has forwarded to an engine is answered before it exits.
 
-use super::support::{Place, Running, call, get, post, replace, until};
+use super::support::{RunningProgram, TestNode, call, get, post, replace, wait_for_status};
 use std::net::SocketAddr;
 use std::process::{Child, Command};
 use std::sync::Arc;
@@ -8,22 +8,22 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Well behind all that happens here.
+/// Deadline of the requests; later than the end of every test here.
 const DEADLINE_MS: u64 = 30_000;
-/// The path of a request that the engine leaves in its queue.
+/// Path segment of requests that the engine leaves in its queue.
 const QUEUED: &str = "queued";
-/// The path of a stream that has begun and doesn't end.
+/// Path segment of requests for which the engine starts a stream and never ends it.
 const ENDLESS: &str = "endless";
 
-/// A router as the platform runs it, killed if a test fails.
+/// A router in a process of its own, as in production. Killed on drop, so that a failed test leaves no process behind.
 struct RouterProcess(Child);
 
 impl RouterProcess {
-    fn start(place: &Place, grace_seconds: u64) -> RouterProcess {
-        let settings = place.dir.join("router.conf");
-        std::fs::create_dir_all(&place.dir).unwrap();
+    fn start(node: &TestNode, grace_seconds: u64) -> RouterProcess {
+        let settings = node.data_dir.join("router.conf");
+        std::fs::create_dir_all(&node.data_dir).unwrap();
         let bounds = format!("bounds.graceS={grace_seconds}\n");
-        std::fs::write(&settings, place.settings_text(false) + &bounds).unwrap();
+        std::fs::write(&settings, node.settings_text(false) + &bounds).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_router"));
         command
             .arg("--settings")
@@ -34,8 +34,8 @@
     }
 
     fn terminate(&self) {
-        let id = rustix::process::Pid::from_child(&self.0);
-        rustix::process::kill_process(id, rustix::process::Signal::TERM).unwrap();
+        let pid = rustix::process::Pid::from_child(&self.0);
+        rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
     }
 
     async fn exit(mut self) -> std::process::ExitStatus {
@@ -50,24 +50,24 @@
     }
 }
 
-/// An engine that answers, queues or streams without an end, as the path says.
-struct Engine {
+/// A stub engine that answers, queues the request or starts an endless stream, depending on the path.
+struct StubEngine {
     address: SocketAddr,
-    queued: Arc<AtomicUsize>,
+    queued_count: Arc<AtomicUsize>,
 }
 
-impl Engine {
-    async fn start() -> Engine {
+impl StubEngine {
+    async fn start() -> StubEngine {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let queued = Arc::<AtomicUsize>::default();
-        let count = queued.clone();
+        let queued_count = Arc::<AtomicUsize>::default();
+        let count = queued_count.clone();
         tokio::spawn(async move {
             while let Ok((connection, _)) = listener.accept().await {
                 tokio::spawn(serve(connection, count.clone()));
             }
         });
-        Engine { address, queued }
+        StubEngine { address, queued_count }
     }
 
     fn heartbeat(&self) -> String {
@@ -77,24 +77,26 @@
     }
 }
 
-async fn serve(mut connection: TcpStream, queued: Arc<AtomicUsize>) {
+async fn serve(mut connection: TcpStream, queued_count: Arc<AtomicUsize>) {
     let mut buffer = vec![0u8; 8192];
-    while let Ok(read) = connection.read(&mut buffer).await {
-        if read == 0 {
+    while let Ok(length) = connection.read(&mut buffer).await {
+        if length == 0 {
             return;
         }
-        let head = String::from_utf8_lossy(&buffer[..read]).into_owned();
-        let id = head.lines().find_map(|line| line.strip_prefix("x-attempt-id: ")).unwrap_or("");
-        let sealed = format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Seal: s\r\n");
-        let answer = if head.contains(QUEUED) {
-            queued.fetch_add(1, Ordering::Relaxed);
+        let head = String::from_utf8_lossy(&buffer[..length]).into_owned();
+        let attempt_id =
+            head.lines().find_map(|line| line.strip_prefix("x-attempt-id: ")).unwrap_or("");
+        let response_head =
+            format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {attempt_id}\r\nX-Server-Seal: s\r\n");
+        let response = if head.contains(QUEUED) {
+            queued_count.fetch_add(1, Ordering::Relaxed);
             continue;
         } else if head.contains(ENDLESS) {
-            format!("{sealed}Transfer-Encoding: chunked\r\n\r\n4\r\nwell\r\n")
+            format!("{response_head}Transfer-Encoding: chunked\r\n\r\n4\r\nwell\r\n")
         } else {
-            format!("{sealed}Content-Length: 4\r\n\r\nwell")
+            format!("{response_head}Content-Length: 4\r\n\r\nwell")
         };
-        if connection.write_all(answer.as_bytes()).await.is_err() {
+        if connection.write_all(response.as_bytes()).await.is_err() {
             return;
         }
     }
@@ -119,11 +121,11 @@
     )
 }
 
-/// All that comes on a connection until it is closed, and how it ended.
+/// Reads a connection until it is closed; returns the received text and the result of the read.
 async fn read_to_end(mut client: TcpStream) -> (String, std::io::Result<usize>) {
-    let mut seen = Vec::new();
-    let end = client.read_to_end(&mut seen).await;
-    (String::from_utf8_lossy(&seen).into_owned(), end)
+    let mut received = Vec::new();
+    let result = client.read_to_end(&mut received).await;
+    (String::from_utf8_lossy(&received).into_owned(), result)
 }
 
 async fn send(front: SocketAddr, path: &str) -> TcpStream {
@@ -132,58 +134,63 @@
     client
 }
 
-/// A controller, a router process and an engine that the router knows.
-async fn start(place: &Place, grace_seconds: u64) -> (Running, RouterProcess, Engine) {
-    let controller = place.controller(true);
-    let router = RouterProcess::start(place, grace_seconds);
-    assert_eq!(until(place.control, &replace(0, &configuration()), 200).await.0, 200);
-    assert_eq!(until(place.probe, &get("readyz"), 200).await.0, 200);
-    let engine = Engine::start().await;
-    assert_eq!(call(place.control, &engine.heartbeat()).await.unwrap().0, 200);
-    let probe = request("/safe/x").replace("Content-Length", "Connection: close\r\nContent-Length");
-    assert_eq!(until(place.front, &probe, 200).await.0, 200);
+/// Starts a controller, a router process and an engine, and waits until the router sends requests to the engine.
+async fn start(node: &TestNode, grace_seconds: u64) -> (RunningProgram, RouterProcess, StubEngine) {
+    let controller = node.controller(true);
+    let router = RouterProcess::start(node, grace_seconds);
+    assert_eq!(wait_for_status(node.control, &replace(0, &configuration()), 200).await.0, 200);
+    assert_eq!(wait_for_status(node.readiness, &get("readyz"), 200).await.0, 200);
+    let engine = StubEngine::start().await;
+    assert_eq!(call(node.control, &engine.heartbeat()).await.unwrap().0, 200);
+    let probe_request =
+        request("/safe/x").replace("Content-Length", "Connection: close\r\nContent-Length");
+    assert_eq!(wait_for_status(node.front, &probe_request, 200).await.0, 200);
     (controller, router, engine)
 }
 
-/// Guards against LOST: requests that waited at engines when a stopped router ended found their connections closed.
+/// Guards against requests that get no response: a stopped router exited while requests waited at engines, and closed
+/// their connections.
 #[tokio::test]
-async fn requests_that_wait_at_an_engine_get_an_answer_before_a_stopped_router_ends() {
-    stop_router_with_waiting_requests("stopping", 4).await;
+async fn requests_queued_at_an_engine_are_answered_before_a_stopped_router_exits() {
+    stop_router_with_queued_requests("stopping", 4).await;
 }
 
-/// The platform needs longer than this to see that the router is unready.
+/// The grace period is shorter than the time in which the platform notices that the router is no longer ready.
 #[tokio::test]
-async fn a_grace_period_shorter_than_two_probes_is_kept_too() {
-    stop_router_with_waiting_requests("short-grace", 2).await;
+async fn a_grace_period_shorter_than_two_readiness_probes_is_kept() {
+    stop_router_with_queued_requests("short-grace", 2).await;
 }
 
-async fn stop_router_with_waiting_requests(name: &str, grace_seconds: u64) {
-    let place = Place::new(name);
-    let (controller, router, engine) = start(&place, grace_seconds).await;
+async fn stop_router_with_queued_requests(name: &str, grace_seconds: u64) {
+    let node = TestNode::new(name);
+    let (controller, router, engine) = start(&node, grace_seconds).await;
     let mut clients = Vec::new();
     for kind in ["unsafe", "safe", "streaming", "streaming-on"] {
-        clients.push((kind, send(place.front, &format!("/{kind}/{QUEUED}")).await));
+        clients.push((kind, send(node.front, &format!("/{kind}/{QUEUED}")).await));
     }
-    let mut stream = send(place.front, &format!("/unsafe/{ENDLESS}")).await;
-    let mut begun = Vec::new();
-    while !String::from_utf8_lossy(&begun).ends_with("well\r\n") {
-        assert_ne!(stream.read_buf(&mut begun).await.unwrap(), 0);
+    let mut stream = send(node.front, &format!("/unsafe/{ENDLESS}")).await;
+    let mut stream_start = Vec::new();
+    while !String::from_utf8_lossy(&stream_start).ends_with("well\r\n") {
+        assert_ne!(stream.read_buf(&mut stream_start).await.unwrap(), 0);
     }
-    while engine.queued.load(Ordering::Relaxed) < clients.len() {
+    while engine.queued_count.load(Ordering::Relaxed) < clients.len() {
         tokio::task::yield_now().await;
     }
-    let stopped = std::time::Instant::now();
+    let stop_time = std::time::Instant::now();
     router.terminate();
     router.terminate();
     for (kind, client) in clients {
-        let (answer, end) = read_to_end(client).await;
-        assert!(end.is_ok(), "{kind}: {end:?}");
-        assert!(answer.starts_with("HTTP/1.1 502 "), "{kind}: it may have begun: {answer:?}");
-        assert!(answer.ends_with("\r\n\r\n"), "{kind}: {answer:?}");
+        let (response, result) = read_to_end(client).await;
+        assert!(result.is_ok(), "{kind}: {result:?}");
+        assert!(
+            response.starts_with("HTTP/1.1 502 "),
+            "{kind}: the engine may have begun it: {response:?}"
+        );
+        assert!(response.ends_with("\r\n\r\n"), "{kind}: {response:?}");
     }
     let (rest, _) = read_to_end(stream).await;
-    assert!(!rest.contains("0\r\n\r\n"), "what broke off looks whole: {rest:?}");
+    assert!(!rest.contains("0\r\n\r\n"), "the truncated stream looks complete: {rest:?}");
     assert!(router.exit().await.success());
-    assert!(stopped.elapsed().as_secs() < grace_seconds, "{:?}", stopped.elapsed());
-    controller.end().await;
+    assert!(stop_time.elapsed().as_secs() < grace_seconds, "{:?}", stop_time.elapsed());
+    controller.shut_down().await;
 }
--- a/crates/telemetry/src/exposition.rs
+++ b/crates/telemetry/src/exposition.rs
@@ -1,4 +1,4 @@
-//! Writing of metrics by the process that has them.
+//! Encodes the metrics of a process in the OpenMetrics text format.
 
 use prometheus_client::collector::Collector;
 use prometheus_client::encoding::{DescriptorEncoder, EncodeMetric};
@@ -9,50 +9,50 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Names and values of the labels of one series.
+/// Label names and values of one time series.
 pub type Labels<'a> = [(&'a str, String)];
 
-/// State of a process that can be shown as metrics.
+/// State of a process that can be exported as metrics.
 pub trait Source: Send + Sync + 'static {
-    /// Writes all metrics as they are now.
+    /// Writes the current value of every metric.
     ///
     /// # Errors
     ///
-    /// The text can't be written to.
+    /// Fails if the encoder can't write to its output.
     fn write(&self, exposition: &mut Exposition<'_>) -> fmt::Result;
 }
 
-/// The metrics of one fetch, being written.
+/// Writer for the metrics of one scrape.
 pub struct Exposition<'a> {
     encoder: DescriptorEncoder<'a>,
 }
 
 impl Exposition<'_> {
-    /// Writes a counter, which only rises while the process runs.
+    /// Writes a counter: a value that never decreases while the process runs. The encoder appends `_total` to the name.
     ///
     /// # Errors
     ///
-    /// The text can't be written to.
+    /// Fails if the encoder can't write to its output.
     pub fn counter(&mut self, name: &str, help: &str, value: u64) -> fmt::Result {
         let counter = ConstCounter::new(value);
         counter.encode(self.encoder.encode_descriptor(name, help, None, MetricType::Counter)?)
     }
 
-    /// Writes a gauge.
+    /// Writes a gauge without labels.
     ///
     /// # Errors
     ///
-    /// The text can't be written to.
+    /// Fails if the encoder can't write to its output.
     pub fn gauge(&mut self, name: &str, help: &str, value: f64) -> fmt::Result {
         let gauge = ConstGauge::new(value);
         gauge.encode(self.encoder.encode_descriptor(name, help, None, MetricType::Gauge)?)
     }
 
-    /// Writes one gauge for each set of labels.
+    /// Writes a gauge family: one series for each set of labels.
     ///
     /// # Errors
     ///
-    /// The text can't be written to.
+    /// Fails if the encoder can't write to its output.
     pub fn gauges<'l>(
         &mut self,
         name: &str,
@@ -81,11 +81,11 @@
     }
 }
 
-/// The metrics of a source as text.
+/// Renders the metrics of a source in the OpenMetrics text format; every name gets the prefix `anisedyke_`.
 ///
 /// # Errors
 ///
-/// The source could not write them.
+/// Fails if the source can't write its metrics.
 pub fn render(source: Arc<dyn Source>) -> Result<String, fmt::Error> {
     let mut registry = Registry::with_prefix("anisedyke");
     registry.register_collector(Box::new(SourceCollector(source)));
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Metrics of a process, in the OpenMetrics text format.
+//! Serves the metrics of a process over HTTP in the OpenMetrics text format.
 //!
-//! A figure is kept where it belongs: a program implements [`Source`] over its own state, which is read when the
-//! metrics are fetched, so that no figure is kept twice and nothing is computed while nobody looks. [`serve`]
-//! answers the fetches; [`Exposition`] is what a source writes to.
+//! There is no separate store of metric values: a program implements [`Source`] over its own state, which is read at
+//! each scrape, so no value is kept twice and nothing is computed between scrapes. [`serve`] answers the scrapes;
+//! [`Exposition`] is the writer that a source gets.
 
 mod exposition;
 mod server;
--- a/crates/telemetry/src/server.rs
+++ b/crates/telemetry/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP side: one path, read only.
+//! HTTP server for the metrics: one path, `GET` only.
 
 use crate::exposition::{Source, render};
 use bytes::Bytes;
@@ -10,14 +10,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Where the metrics are fetched.
+/// HTTP path of the metrics.
 pub const METRICS_PATH: &str = "/metrics";
 
 const CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("application/openmetrics-text; version=1.0.0; charset=utf-8");
 
-/// Answers fetches of the metrics until aborted. A port that can't be listened at is logged, and ends this and
-/// nothing else: a process runs on without its metrics.
+/// Serves the metrics until the task is aborted. If the address can't be bound, this is logged and the function
+/// returns: the process keeps running without metrics.
 pub async fn serve(address: SocketAddr, log: slog::Logger, source: Arc<dyn Source>) {
     let listener = match fleet_core::link::listen(address) {
         Ok(listener) => listener,
@@ -32,16 +32,16 @@
             tokio::time::sleep(constants::RECONNECT_BACKOFF).await;
             continue;
         };
-        tokio::spawn(answer_connection(stream, source.clone()));
+        tokio::spawn(serve_connection(stream, source.clone()));
     }
 }
 
-async fn answer_connection(stream: tokio::net::TcpStream, source: Arc<dyn Source>) {
+async fn serve_connection(stream: tokio::net::TcpStream, source: Arc<dyn Source>) {
     let service = hyper::service::service_fn(|request: http::Request<hyper::body::Incoming>| {
-        let response = respond(request.method(), request.uri().path(), source.clone());
+        let response = metrics_response(request.method(), request.uri().path(), source.clone());
         async move { Ok::<_, Infallible>(response) }
     });
-    // A fetch that breaks off concerns only the one who fetched.
+    // A failed connection affects only its client.
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(hyper_util::rt::TokioTimer::new())
         .header_read_timeout(constants::IDLE_CONNECTION_TIMEOUT)
@@ -50,7 +50,7 @@
         .await;
 }
 
-fn respond(method: &Method, path: &str, source: Arc<dyn Source>) -> Response<Full<Bytes>> {
+fn metrics_response(method: &Method, path: &str, source: Arc<dyn Source>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     if path != METRICS_PATH {
         *response.status_mut() = StatusCode::NOT_FOUND;
--- a/crates/telemetry/tests/endpoint.rs
+++ b/crates/telemetry/tests/endpoint.rs
@@ -1,4 +1,4 @@
-//! The text that a fetch gets, over a real connection.
+//! The metrics endpoint, scraped over a TCP connection.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,9 +6,9 @@
 use telemetry::{Exposition, Source};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-struct Fixed;
+struct FixedSource;
 
-impl Source for Fixed {
+impl Source for FixedSource {
     fn write(&self, exposition: &mut Exposition<'_>) -> fmt::Result {
         exposition.counter("requests", "Requests", 7)?;
         exposition.gauge("open", "Open connections", 2.0)?;
@@ -17,12 +17,12 @@
     }
 }
 
-/// A free port of the loopback address.
+/// A loopback address with a port that is free now.
 fn free_address() -> SocketAddr {
     std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-async fn fetch(address: SocketAddr, path: &str) -> String {
+async fn get(address: SocketAddr, path: &str) -> String {
     let mut stream = loop {
         match tokio::net::TcpStream::connect(address).await {
             Ok(stream) => break stream,
@@ -37,11 +37,11 @@
 }
 
 #[tokio::test]
-async fn a_fetch_gets_every_series_with_its_labels() {
+async fn a_scrape_returns_every_series_with_its_labels() {
     let address = free_address();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    let server = tokio::spawn(telemetry::serve(address, log, Arc::new(Fixed)));
-    let text = fetch(address, telemetry::METRICS_PATH).await;
+    let server = tokio::spawn(telemetry::serve(address, log, Arc::new(FixedSource)));
+    let text = get(address, telemetry::METRICS_PATH).await;
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     for line in [
         "# TYPE anisedyke_requests counter",
@@ -50,15 +50,15 @@
         "anisedyke_target_age_seconds{model=\"m\\\"1\",version=\"3\"} 1.5",
         "# EOF",
     ] {
-        assert!(text.lines().any(|l| l == line), "{line} is missing in {text}");
+        assert!(text.lines().any(|actual| actual == line), "{line} is missing from {text}");
     }
-    assert!(fetch(address, "/else").await.starts_with("HTTP/1.1 404"));
+    assert!(get(address, "/else").await.starts_with("HTTP/1.1 404"));
     server.abort();
 }
 
 #[tokio::test]
-async fn a_port_that_is_taken_ends_the_metrics_and_nothing_else() {
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+async fn serving_returns_without_an_error_if_the_port_is_in_use() {
+    let occupied = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let log = slog::Logger::root(slog::Discard, slog::o!());
-    telemetry::serve(taken.local_addr().unwrap(), log, Arc::new(Fixed)).await;
+    telemetry::serve(occupied.local_addr().unwrap(), log, Arc::new(FixedSource)).await;
 }
