--- a/crates/invalidation/src/cache.rs
+++ b/crates/invalidation/src/cache.rs
@@ -1,40 +1,41 @@
-//! What entries of the ring do to a cache: the [`View`](crate::view::View) of this crate, the index-keeper's
-//! index, or a router's prompt index.
+//! Applies ring entries and snapshots to a cache: the [`View`](crate::view::View) of this crate, the index
+//! owner's index, or a router's prompt index.
 
-use crate::salt::read_salt;
+use crate::salt::parse_salt;
 use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry, Weights};
 
-/// A cache of what holders (engines and stores) keep.
+/// A record of which prompt parts each holder (an engine or a store) has cached.
 pub trait Cache {
-    /// Hears of a holder that answers, with or without anything kept.
+    /// Adds a holder that is known to answer, even if it has cached nothing.
     fn meet(&mut self, holder: &str);
-    /// Learns that a holder keeps `cached_tokens` tokens of a part, or all of it where none are told.
+    /// Records that a holder has cached `cached_tokens` tokens of a part; `None` means the whole part.
     fn found(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>);
-    /// Learns that a holder keeps no more than `cached_tokens` tokens of a part.
+    /// Records that a holder has at most `cached_tokens` tokens of a part left.
     fn evict(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64);
-    /// Forgets all that a holder keeps.
+    /// Removes a holder and everything it has cached.
     fn drop_holder(&mut self, holder: &str);
-    /// Forgets all that is kept under the salts that are void.
+    /// Removes everything cached under the salts for which `void` returns true.
     fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool);
-    /// Forgets everything: the reader was overrun, or sees another incarnation of the ring.
+    /// Clears the cache, because the reader was overrun or the ring has a new incarnation.
     fn reset(&mut self);
-    /// Mends what was derived from the cache, after the entry itself has been applied.
+    /// Updates state derived from the cache; called after the entry itself has been applied.
     fn derive(&mut self, _entry: &RingEntry) {}
 }
 
-/// Whether a salt names older weights of this model.
-pub fn is_older(salt: &str, weights: &Weights) -> bool {
-    read_salt(salt)
+/// Whether a salt names the same model with an older version of its weights.
+pub fn has_older_weights(salt: &str, weights: &Weights) -> bool {
+    parse_salt(salt)
         .is_some_and(|salt| salt.model == weights.model && salt.version < weights.version)
 }
 
-/// Whether a salt names an older generation of the shared isolation.
-pub fn is_isolated_before(salt: &str, generation: u64) -> bool {
-    let isolation = read_salt(salt).and_then(|salt| salt.isolation);
+/// Whether a salt names a generation of the shared isolation older than `generation`.
+pub fn has_older_isolation(salt: &str, generation: u64) -> bool {
+    let isolation = parse_salt(salt).and_then(|salt| salt.isolation);
     isolation.is_some_and(|isolation| isolation < generation)
 }
 
-/// Applies one entry; false if it is out of scope.
+/// Applies one entry; returns false, without applying it, if its scope is not selected by `in_scope`. Scope 0
+/// is always applied.
 pub fn apply(cache: &mut impl Cache, entry: &RingEntry, in_scope: impl Fn(u64) -> bool) -> bool {
     if entry.scope != 0 && !in_scope(entry.scope) {
         return false;
@@ -44,9 +45,11 @@
             cache.evict(holder, salt, *part, *cached_tokens);
         }
         Some(Invalidation::Holder(holder)) => cache.drop_holder(holder),
-        Some(Invalidation::Weights(weights)) => cache.drop_salts(&|salt| is_older(salt, weights)),
+        Some(Invalidation::Weights(weights)) => {
+            cache.drop_salts(&|salt| has_older_weights(salt, weights))
+        }
         Some(Invalidation::Isolation(generation)) => {
-            cache.drop_salts(&|salt| is_isolated_before(salt, *generation));
+            cache.drop_salts(&|salt| has_older_isolation(salt, *generation));
         }
         None => {}
     }
@@ -54,7 +57,8 @@
     true
 }
 
-/// Takes in what holders were found to keep.
+/// Adds the parts listed in a snapshot. An empty salt only reports that the holder answers, and a token count of
+/// 0 stands for the whole part.
 pub fn refill(cache: &mut impl Cache, snapshot: &[CachedParts]) {
     for parts_of_holder in snapshot {
         cache.meet(&parts_of_holder.holder);
--- a/crates/invalidation/src/draft.rs
+++ b/crates/invalidation/src/draft.rs
@@ -1,7 +1,7 @@
-//! Messages of a change in flight: collected, and published only at its commit.
+//! Collects the ring entries of a change in progress and publishes them only when the change commits.
 
-/// A change in flight: its entries are applied to the writer's own cache at once, and readers hear of them at
-/// the commit only.
+/// A change in progress: its entries are applied to the writer's own cache immediately, and published to
+/// readers only on commit.
 pub struct Draft<'a, T, L: Local<T>> {
     entries: Vec<T>,
     local: &'a mut L,
@@ -9,30 +9,31 @@
 
 /// The writer's own cache.
 pub trait Local<T> {
-    /// Applies an entry before its commit, since the writer's own next step must see the change.
+    /// Applies an entry before the commit, because the writer's next step must see the change.
     fn apply(&mut self, entry: &T);
-    /// Flushes again what an aborted change had applied.
+    /// Invalidates again what an entry of an aborted change has already invalidated in this cache.
     fn reflush(&mut self, entry: &T);
 }
 
 impl<'a, T: Clone, L: Local<T>> Draft<'a, T, L> {
-    /// A change without entries as yet.
+    /// Starts a change that has no entries yet.
     pub fn open(local: &'a mut L) -> Self {
         Draft { entries: Vec::new(), local }
     }
 
-    /// Adds an entry, and applies it locally.
+    /// Adds an entry and applies it to the local cache.
     pub fn add(&mut self, entry: T) {
         self.local.apply(&entry);
         self.entries.push(entry);
     }
 
-    /// Publishes all entries; gives the readers to nudge, as [`Ring::publish`](crate::ring::Ring::publish) does.
+    /// Publishes all entries and returns the lagging readers, as [`Ring::publish`](crate::ring::Ring::publish)
+    /// does.
     pub fn commit(self, ring: &crate::ring::Ring<T>) -> Vec<u64> {
         ring.publish(&self.entries)
     }
 
-    /// Publishes nothing, and flushes the entries again locally.
+    /// Publishes nothing and invalidates the entries in the local cache again.
     pub fn abort(self) {
         for entry in &self.entries {
             self.local.reflush(entry);
--- a/crates/invalidation/src/lib.rs
+++ b/crates/invalidation/src/lib.rs
@@ -1,10 +1,11 @@
-//! Lazy invalidation of caches through one bounded ring (docs/purge.md): a writer publishes what has become
-//! void, and each reader applies it to its own cache when it next looks there.
+//! Lazy cache invalidation through one bounded ring buffer (docs/purge.md): a writer publishes invalidations, and
+//! each reader applies them to its own cache the next time it reads the ring.
 //!
-//! It has no I/O: the index owner writes the ring ([`ring`]) and answers routers from it; what an entry does to a cache is a trait ([`cache`]), which the
-//! index owner, the routers and the tests implement. A change publishes nothing before it commits ([`draft`]).
+//! The crate does no I/O: the index owner writes the ring ([`ring`]) and serves router requests from it. The effect of
+//! an entry on a cache is defined by a trait ([`cache`]) that the index owner, the routers and the tests implement. A
+//! change publishes nothing before it commits ([`draft`]).
 
-// A process that carries traffic does not panic for a value that is not there; tests may.
+// A process that carries traffic must not panic on a missing value; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
 
 pub mod cache;
--- a/crates/invalidation/src/reader.rs
+++ b/crates/invalidation/src/reader.rs
@@ -1,22 +1,22 @@
-//! A reader of the ring: where it stands, and what an answer of the index owner or of a relay does to it.
+//! The reader side of the ring: a reader's position, and how a response of the index owner or a relay advances it.
 //!
-//! Routers read the ring, and so do the controllers that relay it ([`ring`](crate::ring) is the writer's side).
+//! Routers read the ring, and so do the controllers that relay it. [`ring`](crate::ring) is the writer side.
 
 use crate::cache::{self, Cache};
 use fleet_core::wire::{CachedParts, RingEntry, RingRequest, RingResponse};
 
-/// What one fetch brought.
+/// Changes to apply to a cache, taken from one response.
 pub struct ViewUpdate {
-    /// The whole view gives way.
+    /// Whether to clear the cache first.
     pub reset: bool,
-    /// What holders were found to keep; on a reset, all of it.
+    /// Parts newly found at holders; on a reset, all cached parts.
     pub snapshot: Vec<CachedParts>,
-    /// Invalidations, to be applied after the findings.
+    /// Invalidations, to be applied after the snapshot.
     pub entries: Vec<RingEntry>,
 }
 
 impl ViewUpdate {
-    /// Applies all of it to a cache.
+    /// Applies the reset, the snapshot and the entries to a cache, in this order.
     pub fn apply(&self, cache: &mut impl Cache) {
         if self.reset {
             cache.reset();
@@ -28,7 +28,7 @@
     }
 }
 
-/// Where this reader stands, and in which incarnation of the ring.
+/// A reader's position, and the ring incarnation that it belongs to. The default value belongs to no ring.
 #[derive(Default, Clone, Copy, PartialEq, Eq, Debug)]
 pub struct RingPosition {
     fencing_token: u64,
@@ -38,27 +38,27 @@
 }
 
 impl RingPosition {
-    /// A place in a ring.
+    /// A position in the ring with this fencing token and incarnation; `found` is the number of findings seen.
     pub fn new(fencing_token: u64, incarnation: u64, cursor: u64, found: u64) -> RingPosition {
         RingPosition { fencing_token, incarnation, cursor, found }
     }
 
-    /// The index owner's fencing token.
+    /// The fencing token of the index owner whose ring this is; 0 before the first response.
     pub fn fencing_token(&self) -> u64 {
         self.fencing_token
     }
 
-    /// The incarnation of the ring.
+    /// The random number that identifies the ring; 0 before the first response.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Position of the first entry that the reader lacks.
+    /// Position of the first entry that the reader has not received.
     pub fn cursor(&self) -> u64 {
         self.cursor
     }
 
-    /// What this reader asks for next.
+    /// The next request of the reader `reader`; it asks for a snapshot if no position is known yet.
     pub fn request(&self, reader: u64) -> RingRequest {
         RingRequest {
             fencing_token: self.fencing_token,
@@ -71,17 +71,18 @@
     }
 }
 
-/// What an answer of the index owner does to the reader: its next place, and what to apply. None if the
-/// answer cannot be used: it is of an older index owner, of another ring without a reset, or without a head.
+/// Advances a reader by one response: returns its next position and the update to apply, if there is one.
+/// Returns `None` if the response is unusable: it comes from an older index owner, belongs to another ring without
+/// being a reset, or has no head.
 pub fn step(
     position: RingPosition,
-    answer: RingResponse,
+    response: RingResponse,
 ) -> Option<(RingPosition, Option<ViewUpdate>)> {
-    let head = answer.head?;
+    let head = response.head?;
     if head.fencing_token < position.fencing_token {
         return None;
     }
-    if !answer.reset
+    if !response.reset
         && (head.fencing_token, head.incarnation) != (position.fencing_token, position.incarnation)
     {
         return None;
@@ -89,10 +90,10 @@
     let next = RingPosition {
         fencing_token: head.fencing_token,
         incarnation: head.incarnation,
-        cursor: answer.cursor,
+        cursor: response.cursor,
         found: head.found,
     };
-    let RingResponse { reset, snapshot, entries, .. } = answer;
+    let RingResponse { reset, snapshot, entries, .. } = response;
     let has_changes = reset || !entries.is_empty() || !snapshot.is_empty();
     Some((next, has_changes.then_some(ViewUpdate { reset, snapshot, entries })))
 }
--- a/crates/invalidation/src/ring.rs
+++ b/crates/invalidation/src/ring.rs
@@ -1,46 +1,46 @@
-//! The ring, its writer and the cursors of its readers.
-//! Lock order: readers, then slots.
+//! The bounded ring of entries, its writer side and the cursors of its readers.
+//! Lock order: `readers` before `slots`.
 
 use crate::sync::{Arc, AtomicBool, AtomicU64, Mutex, Ordering};
 
-/// Where one reader stands; the writer sets the flags, the reader moves the position.
+/// The read position of one reader. The writer sets the flags; the reader advances the position and clears them.
 pub struct Cursor {
-    /// position of the next entry to read
+    /// Position of the next entry to read.
     next: AtomicU64,
-    /// something was published since the last read
+    /// Entries were published since the last read.
     pending: AtomicBool,
-    /// entries were overwritten before they were read
+    /// Entries were overwritten before they were read.
     overrun: AtomicBool,
-    /// was named as a laggard, and has not caught up yet
-    signalled: AtomicBool,
+    /// The reader was reported as lagging and has not caught up since.
+    lag_reported: AtomicBool,
 }
 
 struct Slots<T> {
     slots: Vec<Option<T>>,
     head: u64,
-    floor: u64,
+    low_watermark: u64,
 }
 
-/// A bounded ring of entries with one order for all readers. Positions count from 0 and never fall.
+/// A bounded ring of entries, in the same order for all readers. Positions start at 0 and never decrease.
 pub struct Ring<T> {
     readers: Mutex<hashbrown::HashMap<u64, Arc<Cursor>>>,
     slots: Mutex<Slots<T>>,
     batch: usize,
-    lag: u64,
+    max_lag: u64,
 }
 
-/// What a reader gets.
+/// The result of one read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Read<T> {
-    /// Nothing new.
+    /// No new entries.
     Nothing,
-    /// Entries were lost: the whole view is void, and the reader stands at this head now.
+    /// Entries were overwritten unread: the reader's cache is invalid, and its position is now this head.
     Reset(u64),
     /// The next entries, in order.
     Entries(Vec<T>),
 }
 
-/// Locks, also after a panic under the lock.
+/// Locks a mutex and ignores poisoning.
 fn lock<T>(mutex: &Mutex<T>) -> Guard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
@@ -51,28 +51,29 @@
 type Guard<'a, T> = std::sync::MutexGuard<'a, T>;
 
 impl<T: Clone> Ring<T> {
-    /// A ring of `size` slots that publishes up to `batch` entries under one hold of its locks, and names
-    /// readers that are behind by more than `lag` entries.
-    pub fn new(size: usize, batch: usize, lag: u64) -> Self {
+    /// A ring of `size` slots that publishes up to `batch` entries each time it takes its locks, and reports
+    /// readers that lag by more than `max_lag` entries.
+    pub fn new(size: usize, batch: usize, max_lag: u64) -> Self {
         Ring {
             readers: Mutex::new(hashbrown::HashMap::new()),
-            slots: Mutex::new(Slots { slots: vec![None; size], head: 0, floor: 0 }),
+            slots: Mutex::new(Slots { slots: vec![None; size], head: 0, low_watermark: 0 }),
             batch: batch.min(size).max(1),
-            lag,
+            max_lag,
         }
     }
 
-    /// Position behind the newest entry.
+    /// Position after the newest entry.
     pub fn head(&self) -> u64 {
         lock(&self.slots).head
     }
 
-    /// Nothing below is unread by a reader that still counts.
-    pub fn floor(&self) -> u64 {
-        lock(&self.slots).floor
+    /// Low watermark as of the last publication: readers that are neither overrun nor removed have read every entry
+    /// below it.
+    pub fn low_watermark(&self) -> u64 {
+        lock(&self.slots).low_watermark
     }
 
-    /// Lets a reader start at the head, which is given as well; whatever it knew before is void.
+    /// Registers a reader at the head and returns its cursor and the head. Anything it read before is invalid.
     pub fn enter(&self, reader: u64) -> (Arc<Cursor>, u64) {
         let mut readers = lock(&self.readers);
         let head = lock(&self.slots).head;
@@ -80,47 +81,49 @@
             next: AtomicU64::new(head),
             pending: AtomicBool::new(false),
             overrun: AtomicBool::new(false),
-            signalled: AtomicBool::new(false),
+            lag_reported: AtomicBool::new(false),
         });
         readers.insert(reader, cursor.clone());
         (cursor, head)
     }
 
-    /// The cursor of a reader that has entered and was not dropped.
+    /// The cursor of a registered reader.
     pub fn cursor(&self, reader: u64) -> Option<Arc<Cursor>> {
         lock(&self.readers).get(&reader).cloned()
     }
 
-    /// Drops the cursor of a reader that is stuck, so that it does not hold the floor; it has to enter anew.
+    /// Removes the cursor of a stuck reader, so that it does not hold back the low watermark; returns whether the
+    /// reader was registered. It must register again.
     pub fn drop_reader(&self, reader: u64) -> bool {
         lock(&self.readers).remove(&reader).is_some()
     }
 
-    /// Publishes in batches and names the laggards to nudge, each once until it has caught up.
+    /// Publishes in batches and returns the lagging readers to notify, each once until it has caught up.
     pub fn publish(&self, entries: &[T]) -> Vec<u64> {
-        let mut nudged = Vec::new();
+        let mut lagging = Vec::new();
         for batch in entries.chunks(self.batch) {
             let readers = lock(&self.readers);
             let mut slots = lock(&self.slots);
             let end = slots.head + batch.len() as u64;
-            slots.floor = self.advance(&readers, end, slots.slots.len() as u64, &mut nudged);
+            slots.low_watermark =
+                self.update_cursors(&readers, end, slots.slots.len() as u64, &mut lagging);
             slots.append(batch);
             for cursor in readers.values() {
                 cursor.pending.store(true, Ordering::Release);
             }
         }
-        nudged
+        lagging
     }
 
-    /// Marks the readers that a head at `end` overruns or leaves behind; gives the floor.
-    fn advance(
+    /// Marks the readers that a head at `end` overruns or leaves lagging; returns the low watermark.
+    fn update_cursors(
         &self,
         readers: &hashbrown::HashMap<u64, Arc<Cursor>>,
         end: u64,
         size: u64,
-        nudged: &mut Vec<u64>,
+        lagging: &mut Vec<u64>,
     ) -> u64 {
-        let mut floor = end;
+        let mut low_watermark = end;
         for (reader, cursor) in readers {
             let next = cursor.next.load(Ordering::Relaxed);
             if cursor.overrun.load(Ordering::Relaxed) {
@@ -130,16 +133,16 @@
                 cursor.overrun.store(true, Ordering::Relaxed);
                 continue;
             }
-            floor = floor.min(next);
-            if end - next > self.lag && !cursor.signalled.swap(true, Ordering::Relaxed) {
-                nudged.push(*reader);
+            low_watermark = low_watermark.min(next);
+            if end - next > self.max_lag && !cursor.lag_reported.swap(true, Ordering::Relaxed) {
+                lagging.push(*reader);
             }
         }
-        floor
+        low_watermark
     }
 
-    /// Reads up to `most` entries; without a lock where nothing is new.
-    pub fn read(&self, cursor: &Cursor, most: usize) -> Read<T> {
+    /// Reads up to `limit` entries; takes no lock if nothing was published.
+    pub fn read(&self, cursor: &Cursor, limit: usize) -> Read<T> {
         if !cursor.pending.load(Ordering::Acquire) {
             return Read::Nothing;
         }
@@ -148,17 +151,17 @@
         if cursor.overrun.load(Ordering::Relaxed) {
             cursor.next.store(slots.head, Ordering::Relaxed);
             cursor.overrun.store(false, Ordering::Relaxed);
-            cursor.signalled.store(false, Ordering::Relaxed);
+            cursor.lag_reported.store(false, Ordering::Relaxed);
             return Read::Reset(slots.head);
         }
         let from = cursor.next.load(Ordering::Relaxed);
-        let to = slots.head.min(from + most as u64);
+        let to = slots.head.min(from + limit as u64);
         let entries = slots.copy(from, to);
         cursor.next.store(to, Ordering::Relaxed);
         if to < slots.head {
             cursor.pending.store(true, Ordering::Relaxed);
         } else {
-            cursor.signalled.store(false, Ordering::Relaxed);
+            cursor.lag_reported.store(false, Ordering::Relaxed);
         }
         if entries.is_empty() { Read::Nothing } else { Read::Entries(entries) }
     }
@@ -193,4 +196,4 @@
 
 #[cfg(all(test, feature = "checker"))]
 #[path = "ring_interleavings_tests.rs"]
-mod checked;
+mod interleavings_tests;
--- a/crates/invalidation/src/ring_interleavings_tests.rs
+++ b/crates/invalidation/src/ring_interleavings_tests.rs
@@ -1,80 +1,80 @@
-//! All interleavings of a few threads at the ring, run by loom under the feature `checker`.
+//! Explores all interleavings of a few threads on a ring with loom, with the feature `checker`.
 
 use super::*;
 
 #[test]
 fn no_entry_is_skipped_without_a_reset() {
     loom::model(|| {
-        let r = Arc::new(Ring::new(2, 2, 1));
-        let (c, _) = r.enter(1);
-        let w = {
-            let r = r.clone();
+        let ring = Arc::new(Ring::new(2, 2, 1));
+        let (cursor, _) = ring.enter(1);
+        let writer = {
+            let ring = ring.clone();
             loom::thread::spawn(move || {
-                r.publish(&[0u64, 1]);
-                r.publish(&[2u64]);
+                ring.publish(&[0u64, 1]);
+                ring.publish(&[2u64]);
             })
         };
-        let mut at = 0;
-        let read_once = |at: &mut u64| match r.read(&c, 8) {
+        let mut position = 0;
+        let read_once = |position: &mut u64| match ring.read(&cursor, 8) {
             Read::Nothing => {}
-            Read::Reset(h) => *at = h,
-            Read::Entries(e) => {
-                for x in e {
-                    assert_eq!(x, *at);
-                    *at += 1;
+            Read::Reset(head) => *position = head,
+            Read::Entries(entries) => {
+                for entry in entries {
+                    assert_eq!(entry, *position);
+                    *position += 1;
                 }
             }
         };
-        read_once(&mut at);
-        w.join().unwrap();
-        read_once(&mut at);
-        read_once(&mut at);
-        assert_eq!(at, 3);
+        read_once(&mut position);
+        writer.join().unwrap();
+        read_once(&mut position);
+        read_once(&mut position);
+        assert_eq!(position, 3);
     });
 }
 
 #[test]
 fn two_writers_and_a_reader_agree_on_one_order() {
     loom::model(|| {
-        let r = Arc::new(Ring::new(4, 2, 4));
-        let (c, _) = r.enter(1);
-        let w = {
-            let r = r.clone();
+        let ring = Arc::new(Ring::new(4, 2, 4));
+        let (cursor, _) = ring.enter(1);
+        let writer = {
+            let ring = ring.clone();
             loom::thread::spawn(move || {
-                r.publish(&[1u64]);
+                ring.publish(&[1u64]);
             })
         };
-        r.publish(&[2u64]);
-        let mut got = Vec::new();
-        if let Read::Entries(e) = r.read(&c, 8) {
-            got.extend(e);
+        ring.publish(&[2u64]);
+        let mut received = Vec::new();
+        if let Read::Entries(entries) = ring.read(&cursor, 8) {
+            received.extend(entries);
         }
-        w.join().unwrap();
-        if let Read::Entries(e) = r.read(&c, 8) {
-            got.extend(e);
+        writer.join().unwrap();
+        if let Read::Entries(entries) = ring.read(&cursor, 8) {
+            received.extend(entries);
         }
-        got.sort();
-        assert_eq!(got, vec![1, 2]);
-        assert_eq!(c.next(), 2);
+        received.sort();
+        assert_eq!(received, vec![1, 2]);
+        assert_eq!(cursor.next(), 2);
     });
 }
 
 #[test]
 fn pending_is_never_lost_between_publish_and_read() {
     loom::model(|| {
-        let r = Arc::new(Ring::new(4, 2, 4));
-        let (c, _) = r.enter(1);
+        let ring = Arc::new(Ring::new(4, 2, 4));
+        let (cursor, _) = ring.enter(1);
         let reader = {
-            let (r, c) = (r.clone(), c.clone());
-            loom::thread::spawn(move || match r.read(&c, 8) {
-                Read::Entries(e) => e.len(),
+            let (ring, cursor) = (ring.clone(), cursor.clone());
+            loom::thread::spawn(move || match ring.read(&cursor, 8) {
+                Read::Entries(entries) => entries.len(),
                 _ => 0,
             })
         };
-        r.publish(&[1u64, 2]);
+        ring.publish(&[1u64, 2]);
         let first = reader.join().unwrap();
-        let second = match r.read(&c, 8) {
-            Read::Entries(e) => e.len(),
+        let second = match ring.read(&cursor, 8) {
+            Read::Entries(entries) => entries.len(),
             _ => 0,
         };
         assert_eq!(first + second, 2);
--- a/crates/invalidation/src/ring_tests.rs
+++ b/crates/invalidation/src/ring_tests.rs
@@ -1,68 +1,68 @@
-//! Tests of `ring`.
+//! Tests of the ring: order of entries, lagging and overrun readers, and the low watermark.
 
 use super::*;
 
 #[test]
-fn entries_come_in_order_and_once() {
-    let r = Ring::new(8, 3, 4);
-    let (c, _) = r.enter(1);
-    assert!(r.publish(&[1, 2, 3, 4]).is_empty());
-    assert_eq!(r.read(&c, 3), Read::Entries(vec![1, 2, 3]));
-    assert_eq!(r.read(&c, 3), Read::Entries(vec![4]));
-    assert_eq!(r.read(&c, 3), Read::Nothing);
-    assert_eq!(r.floor(), 0);
-    r.publish(&[5]);
-    assert_eq!(r.floor(), 4);
+fn entries_are_read_once_and_in_order() {
+    let ring = Ring::new(8, 3, 4);
+    let (cursor, _) = ring.enter(1);
+    assert!(ring.publish(&[1, 2, 3, 4]).is_empty());
+    assert_eq!(ring.read(&cursor, 3), Read::Entries(vec![1, 2, 3]));
+    assert_eq!(ring.read(&cursor, 3), Read::Entries(vec![4]));
+    assert_eq!(ring.read(&cursor, 3), Read::Nothing);
+    assert_eq!(ring.low_watermark(), 0);
+    ring.publish(&[5]);
+    assert_eq!(ring.low_watermark(), 4);
 }
 
 #[test]
-fn laggard_is_nudged_once_then_reset_when_overrun() {
-    let r = Ring::new(8, 64, 4);
-    let (c, _) = r.enter(7);
-    assert_eq!(r.publish(&[0; 5]), vec![7]);
-    assert!(r.publish(&[0; 2]).is_empty());
-    r.publish(&[0; 2]);
-    assert_eq!(r.read(&c, 100), Read::Reset(9));
-    r.publish(&[3]);
-    assert_eq!(r.read(&c, 100), Read::Entries(vec![3]));
-    assert_eq!(r.publish(&[0; 5]), vec![7]);
+fn lagging_reader_is_reported_once_then_reset_when_overrun() {
+    let ring = Ring::new(8, 64, 4);
+    let (cursor, _) = ring.enter(7);
+    assert_eq!(ring.publish(&[0; 5]), vec![7]);
+    assert!(ring.publish(&[0; 2]).is_empty());
+    ring.publish(&[0; 2]);
+    assert_eq!(ring.read(&cursor, 100), Read::Reset(9));
+    ring.publish(&[3]);
+    assert_eq!(ring.read(&cursor, 100), Read::Entries(vec![3]));
+    assert_eq!(ring.publish(&[0; 5]), vec![7]);
 }
 
 #[test]
-fn stuck_reader_neither_holds_the_floor_nor_comes_back_unreset() {
-    let r = Ring::new(8, 64, 4);
-    let (_, _) = r.enter(1);
-    r.publish(&[1, 2]);
-    assert_eq!(r.floor(), 0);
-    assert!(r.drop_reader(1));
-    r.publish(&[3]);
-    assert_eq!(r.floor(), 3);
-    assert!(r.cursor(1).is_none());
+fn removed_reader_does_not_hold_back_the_low_watermark_and_has_no_cursor() {
+    let ring = Ring::new(8, 64, 4);
+    let (_, _) = ring.enter(1);
+    ring.publish(&[1, 2]);
+    assert_eq!(ring.low_watermark(), 0);
+    assert!(ring.drop_reader(1));
+    ring.publish(&[3]);
+    assert_eq!(ring.low_watermark(), 3);
+    assert!(ring.cursor(1).is_none());
 }
 
 proptest::proptest! {
     #[test]
-    fn reader_sees_a_run_of_all_or_a_reset(steps in proptest::collection::vec((0u8..3, 1usize..12), 1..60)) {
-        let r = Ring::new(16, 4, 8);
-        let (c, mut at) = r.enter(1);
-        let mut n = 0u64;
-        for (what, size) in steps {
-            if what < 2 {
-                let batch: Vec<u64> = (n..n + size as u64).collect();
-                r.publish(&batch);
-                n += size as u64;
+    fn reader_sees_consecutive_entries_or_a_reset(steps in proptest::collection::vec((0u8..3, 1usize..12), 1..60)) {
+        let ring = Ring::new(16, 4, 8);
+        let (cursor, mut position) = ring.enter(1);
+        let mut published = 0u64;
+        for (action, size) in steps {
+            if action < 2 {
+                let batch: Vec<u64> = (published..published + size as u64).collect();
+                ring.publish(&batch);
+                published += size as u64;
                 continue;
             }
-            match r.read(&c, size) {
-                Read::Nothing => proptest::prop_assert_eq!(at, n),
+            match ring.read(&cursor, size) {
+                Read::Nothing => proptest::prop_assert_eq!(position, published),
                 Read::Reset(head) => {
-                    proptest::prop_assert!(n - at > 16);
-                    proptest::prop_assert_eq!(head, n);
-                    at = head;
+                    proptest::prop_assert!(published - position > 16);
+                    proptest::prop_assert_eq!(head, published);
+                    position = head;
                 }
-                Read::Entries(e) => for x in e {
-                    proptest::prop_assert_eq!(x, at);
-                    at += 1;
+                Read::Entries(entries) => for entry in entries {
+                    proptest::prop_assert_eq!(entry, position);
+                    position += 1;
                 },
             }
         }
--- a/crates/invalidation/src/salt.rs
+++ b/crates/invalidation/src/salt.rs
@@ -1,29 +1,29 @@
-//! The salt under which a part of a prompt is kept. It names model, weights and isolation, so that one
-//! invalidation can void all that is kept under it.
+//! The salt under which a part of a prompt is cached. It names the model, its weights version and the isolation, so
+//! that one invalidation covers everything cached under it.
 
-/// A salt that was read.
+/// A parsed salt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Salt {
     /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     pub version: u64,
-    /// Generation of the shared isolation; none for a tenant that is isolated by itself.
+    /// Generation of the shared isolation; `None` for a tenant with an isolation of its own.
     pub isolation: Option<u64>,
 }
 
-/// The text of a salt.
+/// Formats a salt, which is hashed and sent in this form.
 pub fn salt_text(model: &str, version: u64, isolation: &str) -> String {
     format!("{model}|{version}|{isolation}")
 }
 
-/// How a salt names the isolation of all tenants that share.
+/// The isolation field of a salt for tenants that share their cache.
 pub fn shared_isolation(generation: u64) -> String {
     format!("#{generation}")
 }
 
-/// Reads the text of a salt; none if it is not of that form.
-pub fn read_salt(text: &str) -> Option<Salt> {
+/// Parses the text of a salt; `None` if it has another format.
+pub fn parse_salt(text: &str) -> Option<Salt> {
     let mut fields = text.splitn(3, '|');
     let (model, version, isolation) = (fields.next()?, fields.next()?, fields.next()?);
     Some(Salt {
--- a/crates/invalidation/src/sync.rs
+++ b/crates/invalidation/src/sync.rs
@@ -1,4 +1,4 @@
-//! Locks and atomics: those of the standard library, or of loom under the feature `checker`.
+//! Locks and atomics of the standard library, or of loom with the feature `checker`.
 
 #[cfg(feature = "checker")]
 pub use loom::sync::{
--- a/crates/invalidation/src/view.rs
+++ b/crates/invalidation/src/view.rs
@@ -1,105 +1,108 @@
-//! A plain cache of what holders keep, and how it unlearns; tests compare the other caches with it.
+//! A simple cache implementation, which tests use as the reference for the other implementations.
 
 use crate::cache::Cache;
 use fleet_core::wire::RingEntry;
 
-pub use crate::salt::{Salt, read_salt, salt_text, shared_isolation};
+pub use crate::salt::{Salt, parse_salt, salt_text, shared_isolation};
 
-/// Salt and part, hashed together.
-pub type Part = u64;
+/// Hash of a salt and a part id.
+pub type PartKey = u64;
 
-/// The name of a part under a salt.
-pub fn part_of(salt: &str, part: u64) -> Part {
+/// The key of a part under a salt.
+pub fn part_of(salt: &str, part: u64) -> PartKey {
     fleet_core::node::stable_hash(&[salt.as_bytes(), &part.to_be_bytes()])
 }
 
-/// A part that is kept: the number of its salt, and when it was used last.
+/// A cached part: the index of its salt, and when it was last used.
 struct CachedPart {
     salt: u32,
-    used: u64,
+    last_used: u64,
 }
 
-/// What one holder keeps.
+/// The parts that one holder has cached.
 #[derive(Default)]
-struct PrefixView {
-    parts: hashbrown::HashMap<Part, CachedPart, ahash::RandomState>,
+struct HolderParts {
+    parts: hashbrown::HashMap<PartKey, CachedPart, ahash::RandomState>,
 }
 
 type Callback = Box<dyn Fn(&RingEntry) + Send + Sync>;
 
-/// The view of one reader. Bounded: of each holder, the parts used longest ago go first.
+/// The cache of one reader. Bounded per holder, with the least recently used parts evicted first.
 pub struct View {
-    holders: hashbrown::HashMap<String, PrefixView, ahash::RandomState>,
+    holders: hashbrown::HashMap<String, HolderParts, ahash::RandomState>,
     salts: Vec<String>,
-    numbers: hashbrown::HashMap<String, u32, ahash::RandomState>,
+    salt_indexes: hashbrown::HashMap<String, u32, ahash::RandomState>,
     clock: u64,
-    most: usize,
-    derived: Vec<Callback>,
-    /// Resets so far.
+    max_parts_per_holder: usize,
+    callbacks: Vec<Callback>,
+    /// Number of resets.
     pub resets: u64,
-    /// Entries applied so far.
+    /// Number of entries applied.
     pub applied: u64,
 }
 
 impl View {
-    /// An empty view that keeps at most `most` parts of each holder.
-    pub fn new(most: usize) -> Self {
+    /// An empty view that keeps at max_parts_per_holder `max_parts_per_holder` parts per holder.
+    pub fn new(max_parts_per_holder: usize) -> Self {
         View {
             holders: hashbrown::HashMap::default(),
             salts: Vec::new(),
-            numbers: hashbrown::HashMap::default(),
+            salt_indexes: hashbrown::HashMap::default(),
             clock: 0,
-            most,
-            derived: Vec::new(),
+            max_parts_per_holder,
+            callbacks: Vec::new(),
             resets: 0,
             applied: 0,
         }
     }
 
-    /// Registers what is called after the parts of an entry have been dropped.
-    pub fn on_purge(&mut self, callback: Callback) {
-        self.derived.push(callback);
+    /// Registers a callback that runs after an entry has been applied.
+    pub fn on_invalidation(&mut self, callback: Callback) {
+        self.callbacks.push(callback);
     }
 
-    fn number(&mut self, salt: &str) -> u32 {
-        if let Some(number) = self.numbers.get(salt) {
-            return *number;
+    fn salt_index(&mut self, salt: &str) -> u32 {
+        if let Some(salt_index) = self.salt_indexes.get(salt) {
+            return *salt_index;
         }
-        let number = self.salts.len() as u32;
+        let salt_index = self.salts.len() as u32;
         self.salts.push(salt.to_owned());
-        self.numbers.insert(salt.to_owned(), number);
-        number
+        self.salt_indexes.insert(salt.to_owned(), salt_index);
+        salt_index
     }
 
-    /// Learns that a holder keeps these parts.
+    /// Records that a holder has cached these parts.
     pub fn learn(&mut self, holder: &str, salt: &str, parts: impl Iterator<Item = u64>) {
-        let number = self.number(salt);
+        let salt_index = self.salt_index(salt);
         self.clock += 1;
-        let used = self.clock;
-        let prefix_view = self.holders.entry_ref(holder).or_default();
+        let last_used = self.clock;
+        let holder_parts = self.holders.entry_ref(holder).or_default();
         for part in parts {
-            prefix_view.parts.insert(part_of(salt, part), CachedPart { salt: number, used });
+            holder_parts
+                .parts
+                .insert(part_of(salt, part), CachedPart { salt: salt_index, last_used });
         }
-        if prefix_view.parts.len() > self.most {
-            let mut ages: Vec<u64> = prefix_view.parts.values().map(|cached| cached.used).collect();
-            let oldest = ages.len() / 4;
-            let (_, edge, _) = ages.select_nth_unstable(oldest);
-            let edge = *edge;
-            prefix_view.parts.retain(|_, cached| cached.used > edge);
+        if holder_parts.parts.len() > self.max_parts_per_holder {
+            let mut ages: Vec<u64> =
+                holder_parts.parts.values().map(|cached| cached.last_used).collect();
+            let quarter = ages.len() / 4;
+            let (_, newest_evicted, _) = ages.select_nth_unstable(quarter);
+            let newest_evicted = *newest_evicted;
+            holder_parts.parts.retain(|_, cached| cached.last_used > newest_evicted);
         }
     }
 
-    /// Whether the holder is known to answer, whatever it keeps.
+    /// Whether the holder is known to answer, even if it has cached nothing.
     pub fn knows(&self, holder: &str) -> bool {
         self.holders.contains_key(holder)
     }
 
-    /// Whether the holder keeps a part, as far as is known.
-    pub fn holds(&self, holder: &str, part: Part) -> bool {
+    /// Whether the holder is recorded as having cached a part.
+    pub fn holds(&self, holder: &str, part: PartKey) -> bool {
         self.holders.get(holder).is_some_and(|view| view.parts.contains_key(&part))
     }
 
-    /// Applies one entry, unless it is out of scope.
+    /// Applies one entry unless it is out of scope; counts it in `applied` if it was applied.
     pub fn apply(&mut self, entry: &RingEntry, in_scope: impl Fn(u64) -> bool) {
         if crate::cache::apply(self, entry, in_scope) {
             self.applied += 1;
@@ -117,8 +120,8 @@
     }
 
     fn evict(&mut self, holder: &str, salt: &str, part: u64, _: u64) {
-        if let Some(prefix_view) = self.holders.get_mut(holder) {
-            prefix_view.parts.remove(&part_of(salt, part));
+        if let Some(holder_parts) = self.holders.get_mut(holder) {
+            holder_parts.parts.remove(&part_of(salt, part));
         }
     }
 
@@ -127,25 +130,25 @@
     }
 
     fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool) {
-        let dead: Vec<bool> = self.salts.iter().map(|salt| void(salt)).collect();
-        if !dead.contains(&true) {
+        let is_void: Vec<bool> = self.salts.iter().map(|salt| void(salt)).collect();
+        if !is_void.contains(&true) {
             return;
         }
-        for prefix_view in self.holders.values_mut() {
-            prefix_view.parts.retain(|_, cached| !dead[cached.salt as usize]);
+        for holder_parts in self.holders.values_mut() {
+            holder_parts.parts.retain(|_, cached| !is_void[cached.salt as usize]);
         }
     }
 
-    /// An overrun reader, or one that sees another incarnation of the ring, starts from nothing.
+    /// Clears all holders and salts; callbacks stay registered.
     fn reset(&mut self) {
         self.holders.clear();
         self.salts.clear();
-        self.numbers.clear();
+        self.salt_indexes.clear();
         self.resets += 1;
     }
 
     fn derive(&mut self, entry: &RingEntry) {
-        for callback in &self.derived {
+        for callback in &self.callbacks {
             callback(entry);
         }
     }
--- a/crates/prompt-index/src/bitmap.rs
+++ b/crates/prompt-index/src/bitmap.rs
@@ -1,8 +1,8 @@
-//! A set of holders of one cell: a flat array of words, no heap.
+//! A set of holders of one cell, stored inline as an array of words.
 
-/// Words of a bitmap.
+/// Number of 64-bit words in a bitmap.
 pub const WORDS: usize = 4;
-/// Holders of one cell.
+/// Maximum number of holders in one cell.
 pub const HOLDERS: usize = WORDS * 64;
 
 /// A set of holders of one cell.
@@ -11,12 +11,12 @@
 pub struct HolderBitmap(pub [u64; WORDS]);
 
 impl HolderBitmap {
-    /// No holder.
+    /// The empty set.
     pub const EMPTY: HolderBitmap = HolderBitmap([0; WORDS]);
-    /// All holders.
+    /// The set of all holder indexes, whether in use or not.
     pub const ALL: HolderBitmap = HolderBitmap([u64::MAX; WORDS]);
 
-    /// This holder alone.
+    /// A set of one holder.
     pub fn one(holder: u8) -> Self {
         let mut bitmap = Self::EMPTY;
         bitmap.set(holder);
@@ -28,42 +28,42 @@
         self.0[usize::from(holder) / 64] |= 1 << (holder % 64);
     }
 
-    /// Takes a holder out.
+    /// Removes a holder.
     pub fn clear(&mut self, holder: u8) {
         self.0[usize::from(holder) / 64] &= !(1 << (holder % 64));
     }
 
-    /// Whether a holder is in it.
+    /// Whether the set contains a holder.
     pub fn has(&self, holder: u8) -> bool {
         self.0[usize::from(holder) / 64] >> (holder % 64) & 1 == 1
     }
 
-    /// Holders in both.
+    /// The intersection of two sets.
     pub fn and(&self, other: &Self) -> Self {
         Self(std::array::from_fn(|i| self.0[i] & other.0[i]))
     }
 
-    /// Holders in this one only.
+    /// The holders of this set that are not in `other`.
     pub fn minus(&self, other: &Self) -> Self {
         Self(std::array::from_fn(|i| self.0[i] & !other.0[i]))
     }
 
-    /// Holders in either.
+    /// The union of two sets.
     pub fn or(&self, other: &Self) -> Self {
         Self(std::array::from_fn(|i| self.0[i] | other.0[i]))
     }
 
-    /// Whether no holder is in it.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0 == [0; WORDS]
     }
 
-    /// Holders in it.
+    /// The number of holders in the set.
     pub fn count(&self) -> u32 {
         self.0.iter().map(|word| word.count_ones()).sum()
     }
 
-    /// Its holders, lowest first.
+    /// The holders in the set, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u8> + '_ {
         self.0.iter().enumerate().flat_map(|(index, word)| {
             let mut remaining = *word;
--- a/crates/prompt-index/src/cell/entry.rs
+++ b/crates/prompt-index/src/cell/entry.rs
@@ -1,27 +1,27 @@
-//! What the shards of a cell hold.
+//! The entries in the shards of a cell.
 
 use crate::bitmap::HolderBitmap;
 use crate::shard::Map;
 use smallvec::SmallVec;
 
-/// The block at the end of a chain, as cached together with all before it.
+/// A chain: a block together with its whole prefix.
 pub(super) struct ChainEntry {
-    /// Who has the whole chain up to here: the parent's holders that have this block too.
-    pub bits: HolderBitmap,
-    /// The chain hash before it; none for a first block.
+    /// Holders that have cached the whole chain: those of the parent that have also cached the last block.
+    pub holders: HolderBitmap,
+    /// Hash of the parent chain, which is one block shorter; `None` for a chain of one block.
     pub parent: Option<u64>,
-    /// The block by itself.
+    /// Hash of the last block without its prefix.
     pub block: u64,
-    /// Chains that go on from here.
+    /// Hashes of the chains that extend this one by one block.
     pub children: SmallVec<[u64; 2]>,
-    /// When it was asked for last, by the cell's clock.
+    /// Time of the last use, by the cell's logical clock.
     pub last_used: u64,
 }
 
 impl ChainEntry {
     pub fn new(parent: Option<u64>, block: u64, last_used: u64) -> ChainEntry {
         ChainEntry {
-            bits: HolderBitmap::EMPTY,
+            holders: HolderBitmap::EMPTY,
             parent,
             block,
             children: SmallVec::new(),
@@ -29,30 +29,30 @@
         }
     }
 
-    /// Whether nobody has it and nothing goes on from it.
+    /// Whether the chain has neither holders nor children.
     pub fn is_unused(&self) -> bool {
-        self.bits.is_empty() && self.children.is_empty()
+        self.holders.is_empty() && self.children.is_empty()
     }
 }
 
-/// A block by itself, as events name it.
+/// A block without its prefix, as events identify it.
 pub(super) struct BlockEntry {
-    /// Who has it, or nearly all of it.
-    pub bits: HolderBitmap,
-    /// The chains that end with it.
+    /// Holders that have cached the block, or nearly all of it (see [`is_whole`](Self::is_whole)).
+    pub holders: HolderBitmap,
+    /// Hashes of the chains that end with this block.
     pub chains: SmallVec<[u64; 2]>,
-    /// Its size; 0 until a prompt has shown it.
+    /// Number of tokens in the block; 0 until a prompt with this block has been inserted.
     pub tokens: u64,
-    /// The salt that it was cached under.
+    /// Seed of the salt under which the block is cached.
     pub seed: u64,
-    /// When it was asked for last, by the cell's clock.
+    /// Time of the last use, by the cell's logical clock.
     pub last_used: u64,
 }
 
 impl BlockEntry {
     pub fn new(seed: u64, last_used: u64) -> BlockEntry {
         BlockEntry {
-            bits: HolderBitmap::EMPTY,
+            holders: HolderBitmap::EMPTY,
             chains: SmallVec::new(),
             tokens: 0,
             seed,
@@ -60,18 +60,18 @@
         }
     }
 
-    /// Whether nobody has it and no chain ends with it.
+    /// Whether the block has no holders and no chain ends with it.
     pub fn is_unused(&self) -> bool {
-        self.bits.is_empty() && self.chains.is_empty()
+        self.holders.is_empty() && self.chains.is_empty()
     }
 
-    /// Whether so many cached tokens count as the whole block.
+    /// Whether so many cached tokens count as the whole block: at least 90 % of it.
     pub fn is_whole(&self, cached: u64) -> bool {
         cached * 10 >= self.tokens * 9
     }
 }
 
-/// Makes room where a shard is over its capacity: the quarter least recently used goes.
+/// If a shard exceeds its capacity, evicts the least recently used quarter and returns it.
 pub(super) fn evict_oldest<V>(
     map: &mut Map<V>,
     capacity: usize,
--- a/crates/prompt-index/src/cell/mod.rs
+++ b/crates/prompt-index/src/cell/mod.rs
@@ -1,54 +1,56 @@
-//! One cell of at most 256 holders: its shards, who is alive, and the generations of holders' numbers.
+//! One cell of at most 256 holders: its shards, its live holders, and the generations of its slots.
 //!
-//! Events are idempotent: sent twice, or by several senders, they leave the same state. `chains` is what prompts show
-//! and what follows for each chain's holders, `scrub` clears what removed holders have left, `entry` is what shards hold.
+//! Events are idempotent: repeated, or from several senders, they leave the same state. `chains` inserts the chains of
+//! prompts and derives their holders, `scrub` clears what removed holders have left behind, and `entry` defines the
+//! entries of the shards.
 //!
-//! Locks: of two shards never both; the scrub's before a shard's; the others are leaves.
+//! Lock order: never two shards at once, and the lock of the scrub before any other. No lock is taken while one of the
+//! other locks is held.
 
 mod chains;
 mod entry;
 mod scrub;
 
-use crate::alive::Alive;
+use crate::alive::LiveHolders;
 use crate::bitmap::{HOLDERS, HolderBitmap};
 use crate::chain::Chain;
-use crate::query::{Depths, depths};
+use crate::query::{Depths, find_depths};
 use crate::shard::{SHARDS, Shards};
 use crate::sync::{AtomicU32, AtomicU64, Mutex, Ordering, lock};
-use crate::tier::Tiers;
+use crate::tier::PartialBlocks;
 use entry::{BlockEntry, ChainEntry, evict_oldest};
 use scrub::Scrub;
 use smallvec::SmallVec;
 
-/// Entries that a shard may hold at the least.
+/// Lower bound of the capacity of a shard, in entries.
 const MIN_SHARD_CAPACITY: usize = 4;
 
-/// A holder's number in one of its generations: late events of a former one fit no more.
+/// A holder's slot in a cell, with the slot's generation: late events of an earlier holder of the slot don't match.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct HolderNo {
-    /// The number within the cell, as bitmaps have it.
+pub struct HolderSlot {
+    /// Index of the slot in the cell, and of the holder's bit in bitmaps.
     pub index: u8,
-    /// Odd while the number is in use.
+    /// Odd while the slot is in use.
     generation: u32,
 }
 
 /// The index of up to 256 holders.
 pub struct Cell {
-    alive: Alive,
-    /// The generation of each holder's number.
+    live_holders: LiveHolders,
+    /// The current generation of each slot.
     generations: Box<[AtomicU32]>,
-    /// Numbers that no shard has a bit of.
+    /// Free slots; no shard has a bit set for them.
     free: Mutex<Vec<u8>>,
-    /// By chain hash.
+    /// Chains by prefix hash.
     chains: Shards<ChainEntry>,
-    /// By the block's own id.
+    /// Blocks by block hash.
     blocks: Shards<BlockEntry>,
-    /// Blocks that holders have in part only.
-    pub tiers: Tiers,
+    /// Blocks that holders have cached only partially.
+    pub partial_blocks: PartialBlocks,
     scrub: Mutex<Scrub>,
-    /// Orders uses of entries.
+    /// Logical clock that orders entries by their last use.
     clock: AtomicU64,
-    /// Entries of one shard.
+    /// Maximum number of entries in one shard.
     shard_capacity: usize,
 }
 
@@ -56,64 +58,71 @@
     generation % 2 == 1
 }
 
-/// Tokens as tiers count them.
-fn tier_tokens(tokens: u64) -> u32 {
+/// Converts a token count to that of [`PartialBlocks`], saturating at its maximum.
+fn saturating_tokens(tokens: u64) -> u32 {
     tokens.min(u64::from(u32::MAX)) as u32
 }
 
 impl Cell {
-    /// `capacity` bounds the entries, of chains and of blocks alike.
+    /// An empty cell. `capacity` bounds the number of chain entries, and separately that of block entries.
     pub fn new(capacity: usize) -> Cell {
         Cell {
-            alive: Alive::default(),
+            live_holders: LiveHolders::default(),
             generations: (0..HOLDERS).map(|_| AtomicU32::new(0)).collect(),
             free: Mutex::new((0..=u8::MAX).rev().collect()),
             chains: Shards::default(),
             blocks: Shards::default(),
-            tiers: Tiers::default(),
+            partial_blocks: PartialBlocks::default(),
             scrub: Mutex::default(),
             clock: AtomicU64::new(1),
             shard_capacity: (capacity / SHARDS).max(MIN_SHARD_CAPACITY),
         }
     }
 
-    /// The holders that are there.
-    pub fn alive(&self) -> HolderBitmap {
-        self.alive.load()
+    /// The live holders.
+    pub fn live_holders(&self) -> HolderBitmap {
+        self.live_holders.load()
     }
 
-    /// A number for a new holder, if one is free.
-    pub fn admit(&self) -> Option<HolderNo> {
+    /// Assigns a free slot to a new holder; `None` if there is none.
+    pub fn admit(&self) -> Option<HolderSlot> {
         let index = lock(&self.free).pop()?;
         let generation = self.generations[usize::from(index)].fetch_add(1, Ordering::AcqRel) + 1;
-        self.alive.raise(index);
-        Some(HolderNo { index, generation })
+        self.live_holders.set(index);
+        Some(HolderSlot { index, generation })
     }
 
-    /// Numbers that are free.
-    pub fn free_numbers(&self) -> usize {
+    /// Number of free slots.
+    pub fn free_slots(&self) -> usize {
         lock(&self.free).len()
     }
 
-    fn is_current(&self, holder: HolderNo) -> bool {
+    fn is_current(&self, holder: HolderSlot) -> bool {
         self.generations[usize::from(holder.index)].load(Ordering::Acquire) == holder.generation
     }
 
-    /// Registered: the holder has so many tokens of the block, all of it if none is given. False if
-    /// the holder's number is out of date.
-    pub fn registered(&self, holder: HolderNo, seed: u64, block: u64, cached: Option<u64>) -> bool {
+    /// Records that the holder has cached `cached` tokens of a block; `None` means the whole block. Returns false if
+    /// the holder's slot is of an earlier generation.
+    pub fn register_block(
+        &self,
+        holder: HolderSlot,
+        seed: u64,
+        block: u64,
+        cached: Option<u64>,
+    ) -> bool {
         let now = self.clock.load(Ordering::Relaxed);
-        let changed = self.blocks.with(block, |map| {
-            // Under the lock that the scrub takes too: a bit of a former generation would outlive it.
+        let changed = self.blocks.with_shard_of(block, |map| {
+            // Checked under the shard lock, which the scrub takes too. Otherwise a bit of an earlier generation could be
+            // set after the scrub has passed.
             if !self.is_current(holder) {
                 return None;
             }
             let entry = map.entry(block).or_insert_with(|| BlockEntry::new(seed, now));
             let is_whole = cached.is_none_or(|tokens| entry.is_whole(tokens));
             if is_whole {
-                entry.bits.set(holder.index);
+                entry.holders.set(holder.index);
             } else {
-                entry.bits.clear(holder.index);
+                entry.holders.clear(holder.index);
             }
             let chains = entry.chains.clone();
             let evicted = evict_oldest(map, self.shard_capacity, |entry| entry.last_used);
@@ -122,66 +131,66 @@
         let Some((is_whole, chains, evicted)) = changed else { return false };
         self.refresh_all(evicted.into_iter().flat_map(|(_, entry)| entry.chains));
         let partial_tokens = if is_whole { 0 } else { cached.unwrap_or(0) };
-        self.tiers.put(holder.index, block, tier_tokens(partial_tokens));
+        self.partial_blocks.set(holder.index, block, saturating_tokens(partial_tokens));
         self.refresh_all(chains);
         true
     }
 
-    /// Evicted: the holder has at most so many tokens of the block now. False if the holder's number is
-    /// out of date.
-    pub fn evicted(&self, holder: HolderNo, block: u64, cached: u64) -> bool {
-        let chains = self.blocks.with(block, |map| {
+    /// Records that the holder has at most `cached` tokens of a block left. Returns false if the holder's slot is of
+    /// an earlier generation.
+    pub fn evict_block(&self, holder: HolderSlot, block: u64, cached: u64) -> bool {
+        let chains = self.blocks.with_shard_of(block, |map| {
             if !self.is_current(holder) {
                 return None;
             }
             let Some(entry) = map.get_mut(&block) else { return Some(SmallVec::new()) };
-            entry.bits.clear(holder.index);
+            entry.holders.clear(holder.index);
             Some(entry.chains.clone())
         });
         let Some(chains) = chains else { return false };
-        self.tiers.put(holder.index, block, tier_tokens(cached));
+        self.partial_blocks.set(holder.index, block, saturating_tokens(cached));
         self.refresh_all(chains);
         true
     }
 
-    /// Holder gone: excluded at once; its bits in the shards are scrubbed later. False if its number is
-    /// out of date.
-    pub fn remove(&self, holder: HolderNo) -> bool {
+    /// Removes a holder: it is excluded from queries at once, and its bits in the shards are scrubbed later. Returns
+    /// false if its slot is of an earlier generation.
+    pub fn remove(&self, holder: HolderSlot) -> bool {
         if !is_in_use(holder.generation) {
             return false;
         }
-        let ended = self.generations[usize::from(holder.index)].compare_exchange(
+        let retired = self.generations[usize::from(holder.index)].compare_exchange(
             holder.generation,
             holder.generation.wrapping_add(1),
             Ordering::AcqRel,
             Ordering::Acquire,
         );
-        if ended.is_err() {
+        if retired.is_err() {
             return false;
         }
-        self.alive.clear(holder.index);
-        lock(&self.scrub).next_holders.set(holder.index);
+        self.live_holders.clear(holder.index);
+        lock(&self.scrub).queued_holders.set(holder.index);
         true
     }
 
-    /// All cached under a seed is void: its blocks go with the next scrub.
-    pub fn void(&self, seed: u64) {
-        lock(&self.scrub).next_seeds.insert(seed);
+    /// Invalidates everything cached under a seed; its blocks are removed by the next pass of the scrub.
+    pub fn invalidate_seed(&self, seed: u64) {
+        lock(&self.scrub).queued_seeds.insert(seed);
     }
 
-    /// Depth of each live holder among those asked for.
+    /// The depth to which each live holder in `among` has cached the chain.
     pub fn query(&self, chain: &Chain, among: &HolderBitmap) -> Depths {
-        depths(chain.len(), |depth| {
-            self.bits(chain.0[depth].hash).and(&self.alive.load()).and(among)
+        find_depths(chain.len(), |depth| {
+            self.chain_holders(chain.0[depth].hash).and(&self.live_holders.load()).and(among)
         })
     }
 
-    /// Entries of chains.
+    /// Number of chain entries.
     pub fn entries(&self) -> usize {
         self.chains.len()
     }
 
-    /// Blocks by themselves.
+    /// Number of block entries.
     pub fn blocks(&self) -> usize {
         self.blocks.len()
     }
--- a/crates/prompt-index/src/cell/scrub.rs
+++ b/crates/prompt-index/src/cell/scrub.rs
@@ -1,4 +1,4 @@
-//! Clearing what removed holders and void seeds have left, a bounded number of entries a turn.
+//! Clears what removed holders and invalidated seeds have left behind, in steps over a bounded number of entries.
 
 use super::Cell;
 use super::entry::ChainEntry;
@@ -8,74 +8,74 @@
 use hashbrown::HashSet;
 use smallvec::SmallVec;
 
-/// How far a pass over the shards has come.
+/// Progress of a pass over the shards, and the work queued for the next pass.
 #[derive(Default)]
 pub(super) struct Scrub {
-    /// The next shard of this pass.
+    /// Index of the next shard of this pass.
     shard: usize,
     /// Holders that this pass clears.
     holders: HolderBitmap,
     /// Seeds that this pass clears.
     seeds: HashSet<u64>,
     /// Holders for the next pass.
-    pub next_holders: HolderBitmap,
+    pub queued_holders: HolderBitmap,
     /// Seeds for the next pass.
-    pub next_seeds: HashSet<u64>,
+    pub queued_seeds: HashSet<u64>,
 }
 
 impl Scrub {
-    /// Goes on with the pass under way, or begins one; false if there is nothing to do.
-    fn begin(&mut self) -> bool {
+    /// Continues the current pass, or starts one; returns false if there is nothing to do.
+    fn continue_or_start(&mut self) -> bool {
         if !self.holders.is_empty() || !self.seeds.is_empty() {
             return true;
         }
-        if !self.has_next() {
+        if !self.has_queued() {
             return false;
         }
-        self.holders = std::mem::take(&mut self.next_holders);
-        self.seeds = std::mem::take(&mut self.next_seeds);
+        self.holders = std::mem::take(&mut self.queued_holders);
+        self.seeds = std::mem::take(&mut self.queued_seeds);
         self.shard = 0;
         true
     }
 
-    fn has_next(&self) -> bool {
-        !self.next_holders.is_empty() || !self.next_seeds.is_empty()
+    fn has_queued(&self) -> bool {
+        !self.queued_holders.is_empty() || !self.queued_seeds.is_empty()
     }
 }
 
 impl Cell {
-    /// One turn of the scrub over about `limit` entries; true when nothing is left to do.
+    /// Runs one step of the scrub over about `limit` entries; returns true if nothing is left to do.
     pub fn scrub(&self, limit: usize) -> bool {
         let mut scrub = lock(&self.scrub);
-        if !scrub.begin() {
+        if !scrub.continue_or_start() {
             return true;
         }
-        let mut looked_at = 0;
-        while scrub.shard < SHARDS && looked_at < limit {
-            looked_at += 1 + self.scrub_shard(&scrub);
+        let mut visited = 0;
+        while scrub.shard < SHARDS && visited < limit {
+            visited += 1 + self.scrub_shard(&scrub);
             scrub.shard += 1;
         }
         if scrub.shard < SHARDS {
             return false;
         }
-        // Only now may a number be given to another holder: no shard has a bit of the former one.
+        // Only now may a slot be assigned to another holder: no shard has a bit of the previous one any more.
         let freed = std::mem::take(&mut scrub.holders);
         scrub.seeds.clear();
         for index in freed.iter() {
-            self.tiers.forget(index);
+            self.partial_blocks.remove_holder(index);
         }
         lock(&self.free).extend(freed.iter());
-        !scrub.has_next()
+        !scrub.has_queued()
     }
 
-    /// Clears one shard of blocks and one of chains; gives the number of entries it looked at.
+    /// Clears one shard of blocks and one of chains; returns the number of entries visited.
     fn scrub_shard(&self, scrub: &Scrub) -> usize {
-        let mut looked_at = 0;
+        let mut visited = 0;
         let mut void_chains: SmallVec<[u64; 16]> = SmallVec::new();
-        self.blocks.at(scrub.shard, |map| {
-            looked_at += map.len();
+        self.blocks.with_shard(scrub.shard, |map| {
+            visited += map.len();
             map.retain(|_, block| {
-                block.bits = block.bits.minus(&scrub.holders);
+                block.holders = block.holders.minus(&scrub.holders);
                 if scrub.seeds.contains(&block.seed) {
                     void_chains.extend(block.chains.iter().copied());
                     return false;
@@ -83,47 +83,47 @@
                 !block.is_unused()
             });
         });
-        let remove = |hash: u64| self.chains.with(hash, |map| map.remove_entry(&hash));
+        let remove = |hash: u64| self.chains.with_shard_of(hash, |map| map.remove_entry(&hash));
         self.unlink(void_chains.into_iter().filter_map(remove).collect());
-        let orphans: Vec<(u64, ChainEntry)> = self.chains.at(scrub.shard, |map| {
-            looked_at += map.len();
+        let orphans: Vec<(u64, ChainEntry)> = self.chains.with_shard(scrub.shard, |map| {
+            visited += map.len();
             map.extract_if(|_, entry| {
-                let had_holders = !entry.bits.is_empty();
-                entry.bits = entry.bits.minus(&scrub.holders);
+                let had_holders = !entry.holders.is_empty();
+                entry.holders = entry.holders.minus(&scrub.holders);
                 had_holders && entry.is_unused()
             })
             .collect()
         });
         self.unlink(orphans);
-        looked_at
+        visited
     }
 
-    /// Dropped chains are no longer named by their blocks and parents, and what hangs below them goes too.
+    /// Removes dropped chains from the entries of their blocks and parents, and drops their descendants too.
     pub(super) fn unlink(&self, mut dropped: Vec<(u64, ChainEntry)>) {
         while let Some((hash, entry)) = dropped.pop() {
             self.unlink_block(entry.block, hash);
             for child in entry.children {
-                dropped.extend(self.chains.with(child, |map| map.remove_entry(&child)));
+                dropped.extend(self.chains.with_shard_of(child, |map| map.remove_entry(&child)));
             }
             let Some(parent) = entry.parent else { continue };
             dropped.extend(self.unlink_child(parent, hash));
         }
     }
 
-    /// A block no longer ends this chain; it goes where nobody has it and no other chain ends with it.
-    fn unlink_block(&self, id: u64, chain: u64) {
-        self.blocks.with(id, |map| {
-            let Some(block) = map.get_mut(&id) else { return };
+    /// Removes a chain from the entry of its last block, and the entry itself if it is unused then.
+    fn unlink_block(&self, block_hash: u64, chain: u64) {
+        self.blocks.with_shard_of(block_hash, |map| {
+            let Some(block) = map.get_mut(&block_hash) else { return };
             block.chains.retain(|other| *other != chain);
             if block.is_unused() {
-                map.remove(&id);
+                map.remove(&block_hash);
             }
         });
     }
 
-    /// A chain no longer goes on with this child; given back where nothing needs it any more.
+    /// Removes a child from a chain; if the chain is unused then, removes and returns it.
     fn unlink_child(&self, parent: u64, child: u64) -> Option<(u64, ChainEntry)> {
-        self.chains.with(parent, |map| {
+        self.chains.with_shard_of(parent, |map| {
             let entry = map.get_mut(&parent)?;
             entry.children.retain(|other| *other != child);
             if entry.is_unused() { map.remove_entry(&parent) } else { None }
--- a/crates/prompt-index/src/index.rs
+++ b/crates/prompt-index/src/index.rs
@@ -1,36 +1,36 @@
-//! All cells of a router: who has which number where, and what the ring of invalidations does to them.
+//! The prompt index of a router: its cells, the location of each holder, and the events that change them.
 
-use crate::cell::{Cell, HolderNo};
+use crate::cell::{Cell, HolderSlot};
 use crate::chain::{self, Chain};
 use fleet_core::constants;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
-/// Where a holder stands in the index.
+/// The location of a holder in the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct At {
-    /// Number of its cell.
+    /// Index of the cell.
     pub cell: usize,
-    /// Its number within the cell.
-    pub no: HolderNo,
+    /// The holder's slot within the cell.
+    pub no: HolderSlot,
 }
 
-type Names = hashbrown::HashMap<String, At, ahash::RandomState>;
+type Locations = hashbrown::HashMap<String, At, ahash::RandomState>;
 type Seeds = hashbrown::HashMap<String, u64, ahash::RandomState>;
 
-/// All cells of a router. Lock order: names, then cells, then seeds.
+/// All cells of a router. Lock order: `locations`, then `cells`, then `seeds`.
 pub struct Index {
-    names: RwLock<Names>,
+    locations: RwLock<Locations>,
     cells: RwLock<Vec<Arc<Cell>>>,
     seeds: RwLock<Seeds>,
-    most: usize,
+    cell_capacity: usize,
     moves: AtomicU64,
-    /// Events taken in that a holder keeps a part.
-    pub registered: AtomicU64,
-    /// Events taken in that a holder keeps a part no more.
-    pub evicted: AtomicU64,
-    /// Events dropped because their holder had gone.
-    pub dropped: AtomicU64,
+    /// Number of applied events that registered a part at a holder.
+    pub registrations: AtomicU64,
+    /// Number of applied events that evicted a part from a holder.
+    pub evictions: AtomicU64,
+    /// Number of events dropped because their holder had been removed.
+    pub dropped_events: AtomicU64,
 }
 
 fn read<T>(lock: &RwLock<T>) -> RwLockReadGuard<'_, T> {
@@ -42,71 +42,71 @@
 }
 
 impl Index {
-    /// An empty index, each cell bounded to `most` entries.
-    pub fn new(most: usize) -> Index {
+    /// An empty index whose cells are bounded to `cell_capacity` entries each.
+    pub fn new(cell_capacity: usize) -> Index {
         Index {
-            names: RwLock::default(),
-            cells: RwLock::new(vec![Arc::new(Cell::new(most))]),
+            locations: RwLock::default(),
+            cells: RwLock::new(vec![Arc::new(Cell::new(cell_capacity))]),
             seeds: RwLock::default(),
-            most,
+            cell_capacity,
             moves: AtomicU64::new(1),
-            registered: AtomicU64::new(0),
-            evicted: AtomicU64::new(0),
-            dropped: AtomicU64::new(0),
+            registrations: AtomicU64::new(0),
+            evictions: AtomicU64::new(0),
+            dropped_events: AtomicU64::new(0),
         }
     }
 
-    /// Rises whenever a holder's number is given or taken.
+    /// A counter that increases whenever a holder gets or loses its location.
     pub fn moves(&self) -> u64 {
         self.moves.load(Ordering::Acquire)
     }
 
-    /// Where a holder stands, if it is known.
+    /// The location of a holder; `None` if it is not in the index.
     pub fn at(&self, holder: &str) -> Option<At> {
-        read(&self.names).get(holder).copied()
+        read(&self.locations).get(holder).copied()
     }
 
-    /// A cell by its number.
+    /// The cell with this index.
     pub fn cell(&self, number: usize) -> Option<Arc<Cell>> {
         read(&self.cells).get(number).cloned()
     }
 
-    /// All cells.
+    /// All cells, by index.
     pub fn cells(&self) -> Vec<Arc<Cell>> {
         read(&self.cells).clone()
     }
 
-    /// The holder's number; a new one where it has none, in a new cell where all are full.
+    /// The location of a holder. A holder that has none is admitted, to a new cell if all cells are full.
     pub fn admit(&self, holder: &str) -> At {
         if let Some(at) = self.at(holder) {
             return at;
         }
-        let mut names = write(&self.names);
-        if let Some(at) = names.get(holder) {
+        let mut locations = write(&self.locations);
+        if let Some(at) = locations.get(holder) {
             return *at;
         }
         let mut cells = write(&self.cells);
-        let at = Self::admit_to_one_of(&cells, holder).unwrap_or_else(|| {
-            cells.push(Arc::new(Cell::new(self.most)));
+        let at = Self::admit_to_existing_cell(&cells, holder).unwrap_or_else(|| {
+            cells.push(Arc::new(Cell::new(self.cell_capacity)));
             let cell = cells.len() - 1;
             match cells[cell].admit() {
                 Some(no) => At { cell, no },
                 None => unreachable!("an empty cell has room"),
             }
         });
-        names.insert(holder.to_owned(), at);
+        locations.insert(holder.to_owned(), at);
         self.moves.fetch_add(1, Ordering::Release);
         at
     }
 
-    /// By rendezvous among the cells with room.
-    fn admit_to_one_of(cells: &[Arc<Cell>], holder: &str) -> Option<At> {
-        let rank =
+    /// Selects among the cells with free slots by rendezvous hashing; `None` if all are full.
+    fn admit_to_existing_cell(cells: &[Arc<Cell>], holder: &str) -> Option<At> {
+        let score =
             |cell: usize| fleet_core::node::stable_hash(&[holder.as_bytes(), &cell.to_be_bytes()]);
-        let mut order: Vec<usize> =
-            (0..cells.len()).filter(|n| cells[*n].free_numbers() > 0).collect();
-        order.sort_by_key(|cell| rank(*cell));
-        order.into_iter().find_map(|cell| Some(At { cell, no: cells[cell].admit()? }))
+        let mut candidates: Vec<usize> =
+            (0..cells.len()).filter(|n| cells[*n].free_slots() > 0).collect();
+        candidates.sort_by_key(|cell| score(*cell));
+        candidates.into_iter().find_map(|cell| Some(At { cell, no: cells[cell].admit()? }))
     }
 
     fn seed(&self, salt: &str) -> u64 {
@@ -122,85 +122,87 @@
         seed
     }
 
-    /// Parts of a prompt as a chain under a salt.
+    /// Builds the chain of a prompt under a salt, from pairs of part id and token count.
     pub fn chain(&self, salt: &str, parts: impl IntoIterator<Item = (u64, u64)>) -> Chain {
         Chain::new(self.seed(salt), parts)
     }
 
-    /// Makes a chain known to all cells, unless its last block is already.
+    /// Inserts a chain into each cell that does not have its last block yet.
     pub fn learn(&self, salt: &str, chain: &Chain) {
         let Some(last) = chain.0.last() else { return };
         let seed = self.seed(salt);
         for cell in read(&self.cells).iter() {
-            if !cell.knows(last.hash) {
-                cell.learn(seed, chain);
+            if !cell.touch_chain(last.hash) {
+                cell.insert_chain(seed, chain);
             }
         }
     }
 
-    /// Takes in that a holder keeps `cached` tokens of a part, or all of it where none are given.
+    /// Records that a holder has cached `cached` tokens of a part; `None` means the whole part. Admits the holder if
+    /// it is not in the index.
     pub fn registered(&self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
         let at = self.admit(holder);
         let seed = self.seed(salt);
         let Some(cell) = self.cell(at.cell) else { return };
-        let counter = if cell.registered(at.no, seed, chain::raw(seed, part), cached) {
-            &self.registered
+        let counter = if cell.register_block(at.no, seed, chain::block_hash(seed, part), cached) {
+            &self.registrations
         } else {
-            &self.dropped
+            &self.dropped_events
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes in that a holder keeps at most `cached` tokens of a part.
+    /// Records that a holder has at most `cached` tokens of a part left.
     pub fn evicted(&self, holder: &str, salt: &str, part: u64, cached: u64) {
         let Some(at) = self.at(holder) else { return };
         let seed = self.seed(salt);
         let Some(cell) = self.cell(at.cell) else { return };
-        let counter = if cell.evicted(at.no, chain::raw(seed, part), cached) {
-            &self.evicted
+        let counter = if cell.evict_block(at.no, chain::block_hash(seed, part), cached) {
+            &self.evictions
         } else {
-            &self.dropped
+            &self.dropped_events
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Holder gone: what it cached no longer counts. It comes back under another number.
+    /// Removes a holder and everything it has cached; returns whether it was in the index. If it is admitted again,
+    /// it gets another slot or generation.
     pub fn remove(&self, holder: &str) -> bool {
-        let Some(at) = write(&self.names).remove(holder) else { return false };
+        let Some(at) = write(&self.locations).remove(holder) else { return false };
         self.moves.fetch_add(1, Ordering::Release);
         self.cell(at.cell).is_some_and(|cell| cell.remove(at.no))
     }
 
-    /// All cached under the salts that `dead` names.
-    pub fn void(&self, dead: impl Fn(&str) -> bool) {
-        let remove: Vec<u64> = {
+    /// Invalidates everything cached under the salts for which `is_void` returns true.
+    pub fn void(&self, is_void: impl Fn(&str) -> bool) {
+        let removed_seeds: Vec<u64> = {
             let mut seeds = write(&self.seeds);
-            seeds.extract_if(|salt, _| dead(salt)).map(|(_, seed)| seed).collect()
+            seeds.extract_if(|salt, _| is_void(salt)).map(|(_, seed)| seed).collect()
         };
         for cell in read(&self.cells).iter() {
-            for seed in &remove {
-                cell.void(*seed);
+            for seed in &removed_seeds {
+                cell.invalidate_seed(*seed);
             }
         }
     }
 
-    /// Nothing known of anyone.
+    /// Removes all holders.
     pub fn reset(&self) {
-        let all: Vec<(String, At)> = write(&self.names).drain().collect();
+        let removed: Vec<(String, At)> = write(&self.locations).drain().collect();
         self.moves.fetch_add(1, Ordering::Release);
-        for (_, at) in all {
+        for (_, at) in removed {
             if let Some(cell) = self.cell(at.cell) {
                 cell.remove(at.no);
             }
         }
     }
 
-    /// One bounded turn of each cell's scrub; true when nothing is left.
-    pub fn scrub(&self, most: usize) -> bool {
-        self.cells().iter().filter(|cell| !cell.scrub(most)).count() == 0
+    /// Runs one bounded step of each cell's scrub; returns true if no cell has anything left to scrub.
+    pub fn scrub(&self, limit: usize) -> bool {
+        self.cells().iter().filter(|cell| !cell.scrub(limit)).count() == 0
     }
 
-    /// Entries of all cells.
+    /// Number of chain and block entries in all cells.
     pub fn entries(&self) -> usize {
         self.cells().iter().map(|cell| cell.entries() + cell.blocks()).sum()
     }
--- a/crates/prompt-index/src/lib.rs
+++ b/crates/prompt-index/src/lib.rs
@@ -1,11 +1,11 @@
 //! The prompt index: which holders have cached which blocks of a prompt, and how deep (docs/prompt-index.md).
 //!
-//! An [`Index`] has cells of 256 holders each ([`cell`]). A prompt is a [`Chain`] of blocks; each chain has a bitmap of the
-//! holders that have all of it, and a query finds each holder's depth by binary search ([`query`]). Holders are excluded at
-//! once when they go ([`alive`]) and scrubbed from the shards later. It has no I/O and no clock; locks are of one shard at a
-//! time.
+//! An [`Index`] is split into cells of 256 holders each ([`cell`]). A prompt is a [`Chain`] of blocks. Each chain has a
+//! bitmap of the holders that have cached all of it, and a query finds each holder's depth by binary search ([`query`]).
+//! A removed holder is excluded from queries immediately ([`alive`]) and scrubbed from the shards later. The crate does
+//! no I/O and reads no clock; it locks one shard at a time.
 
-// A process that carries traffic does not panic for a value that is not there; tests may.
+// A process that carries traffic must not panic on a missing value; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
 
 pub mod alive;
@@ -19,7 +19,7 @@
 pub mod tier;
 
 pub use bitmap::HolderBitmap;
-pub use cell::{Cell, HolderNo};
+pub use cell::{Cell, HolderSlot};
 pub use chain::Chain;
 pub use index::{At, Index};
 pub use query::Depths;
--- a/crates/prompt-index/src/query.rs
+++ b/crates/prompt-index/src/query.rs
@@ -1,49 +1,50 @@
-//! How deep each holder keeps a chain: a binary search of the points where holders drop off.
+//! Finds how many leading blocks of a chain each holder has cached, by binary search over the chain.
 
 use crate::bitmap::HolderBitmap;
 use smallvec::SmallVec;
 
-/// How deep holders keep a chain: those of equal depth together, deepest first. Those that keep nothing
-/// are not named.
+/// The depth to which holders have cached a chain. Holders of equal depth form one group, deepest first; holders
+/// that have cached nothing are in no group.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Depths {
-    /// Depth in blocks, and the holders that keep the chain so far and no further.
+    /// Depth in blocks, and the holders that have cached exactly that many leading blocks.
     pub groups: SmallVec<[(usize, HolderBitmap); 8]>,
-    /// Look-ups that the query took.
+    /// Number of look-ups that the query took.
     pub lookups: u32,
 }
 
 impl Depths {
-    /// Depth of one holder; 0 if it keeps nothing.
+    /// Depth of one holder; 0 if it has cached nothing.
     pub fn of(&self, holder: u8) -> usize {
-        self.groups.iter().find(|(_, who)| who.has(holder)).map_or(0, |(depth, _)| *depth)
+        self.groups.iter().find(|(_, holders)| holders.has(holder)).map_or(0, |(depth, _)| *depth)
     }
 }
 
-/// `probe` gives the holders of the block at a place of the chain, the dead left out already.
-pub fn depths(blocks: usize, mut probe: impl FnMut(usize) -> HolderBitmap) -> Depths {
-    let mut out = Depths::default();
+/// Computes the depths for a chain of so many `blocks`. `probe` returns the live holders that have cached the chain
+/// up to and including the block at an index.
+pub fn find_depths(blocks: usize, mut probe: impl FnMut(usize) -> HolderBitmap) -> Depths {
+    let mut result = Depths::default();
     if blocks == 0 {
-        return out;
+        return result;
     }
-    out.lookups = 1;
+    result.lookups = 1;
     let first = probe(0);
-    // each span: survivors keep at least `lo` blocks and at most `hi`
-    let mut open: SmallVec<[(usize, usize, HolderBitmap); 16]> = SmallVec::new();
-    open.push((1, blocks, first));
-    while let Some((lo, hi, who)) = open.pop() {
-        if who.is_empty() {
+    // Holders of a span (lo, hi, holders) have at least `lo` and at most `hi` leading blocks.
+    let mut spans: SmallVec<[(usize, usize, HolderBitmap); 16]> = SmallVec::new();
+    spans.push((1, blocks, first));
+    while let Some((lo, hi, holders)) = spans.pop() {
+        if holders.is_empty() {
             continue;
         }
         if lo == hi {
-            out.groups.push((lo, who));
+            result.groups.push((lo, holders));
             continue;
         }
         let mid = (lo + hi).div_ceil(2);
-        out.lookups += 1;
-        let deep = probe(mid - 1).and(&who);
-        open.push((lo, mid - 1, who.minus(&deep)));
-        open.push((mid, hi, deep));
+        result.lookups += 1;
+        let deeper = probe(mid - 1).and(&holders);
+        spans.push((lo, mid - 1, holders.minus(&deeper)));
+        spans.push((mid, hi, deeper));
     }
-    out
+    result
 }
--- a/crates/prompt-index/src/sync.rs
+++ b/crates/prompt-index/src/sync.rs
@@ -1,4 +1,4 @@
-//! Locks and atomics: those of the standard library, or of loom under the `checker` feature.
+//! Locks and atomics of the standard library, or of loom with the feature `checker`.
 
 #[cfg(feature = "checker")]
 pub use loom::sync::{
@@ -11,7 +11,7 @@
     atomic::{AtomicU32, AtomicU64, Ordering},
 };
 
-/// Locks, also after a panic under the lock: shards hold no broken invariants.
+/// Locks a mutex and ignores poisoning: a panic under the lock leaves no invariant of a shard broken.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
--- a/crates/prompt-index/src/tier.rs
+++ b/crates/prompt-index/src/tier.rs
@@ -1,21 +1,21 @@
-//! Blocks that are kept in part: asked for the winner and its sources only.
+//! Partially cached blocks. They are looked up only for the selected holder and the sources it can copy from.
 
 use crate::shard::Map;
 use crate::sync::{Mutex, lock};
 use fleet_core::constants;
 
-/// Tokens of blocks that a holder keeps in part only; these set no bit. At most `TIER_ENTRIES` a
-/// holder.
+/// Token counts of partially cached blocks, by holder. Such blocks set no bit in the bitmaps. At most
+/// `TIER_ENTRIES` blocks per holder are recorded; when that is reached, the holder's entries are cleared.
 #[derive(Default)]
-pub struct Tiers(Mutex<hashbrown::HashMap<u8, Map<u32>, ahash::RandomState>>);
+pub struct PartialBlocks(Mutex<hashbrown::HashMap<u8, Map<u32>, ahash::RandomState>>);
 
-impl Tiers {
-    /// Remembers the tokens of a block at a holder; forgets the block where there are none.
-    pub fn put(&self, holder: u8, raw: u64, tokens: u32) {
+impl PartialBlocks {
+    /// Records how many tokens of a block a holder has cached; 0 removes the block.
+    pub fn set(&self, holder: u8, block_hash: u64, tokens: u32) {
         let mut holders = lock(&self.0);
         if tokens == 0 {
             if let Some(blocks) = holders.get_mut(&holder) {
-                blocks.remove(&raw);
+                blocks.remove(&block_hash);
             }
             return;
         }
@@ -23,25 +23,25 @@
         if blocks.len() >= constants::TIER_ENTRIES {
             blocks.clear();
         }
-        blocks.insert(raw, tokens);
+        blocks.insert(block_hash, tokens);
     }
 
-    /// Tokens of a block at a holder; 0 if nothing is known.
-    pub fn tokens(&self, holder: u8, raw: u64) -> u32 {
-        lock(&self.0).get(&holder).and_then(|blocks| blocks.get(&raw)).copied().unwrap_or(0)
+    /// Number of cached tokens of a block at a holder; 0 if the block is not recorded.
+    pub fn tokens(&self, holder: u8, block_hash: u64) -> u32 {
+        lock(&self.0).get(&holder).and_then(|blocks| blocks.get(&block_hash)).copied().unwrap_or(0)
     }
 
-    /// Forgets a holder.
-    pub fn forget(&self, holder: u8) {
+    /// Removes all blocks of a holder.
+    pub fn remove_holder(&self, holder: u8) {
         lock(&self.0).remove(&holder);
     }
 
-    /// Blocks remembered, of all holders.
+    /// Number of blocks recorded, over all holders.
     pub fn len(&self) -> usize {
         lock(&self.0).values().map(|blocks| blocks.len()).sum()
     }
 
-    /// Whether there are none.
+    /// Whether no block is recorded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/prompt-index/tests/interleavings.rs
+++ b/crates/prompt-index/tests/interleavings.rs
@@ -1,107 +1,110 @@
-//! All interleavings of a few threads: a shard, the alive bitmap, and a number's second incarnation.
+//! Explores all interleavings of a few threads with loom: writers of a shard, the set of live holders, and the reuse of
+//! a slot.
 #![cfg(feature = "checker")]
 
 use loom::sync::Arc;
-use prompt_index::alive::Alive;
+use prompt_index::alive::LiveHolders;
 use prompt_index::shard::Shards;
 use prompt_index::{Cell, Chain, HolderBitmap};
 
 #[test]
-fn alive_bits_of_one_word_are_never_lost() {
+fn concurrent_changes_of_one_word_are_never_lost() {
     loom::model(|| {
-        let a = Arc::new(Alive::default());
-        a.raise(1);
-        let t = {
-            let a = a.clone();
-            loom::thread::spawn(move || a.clear(1))
+        let live_holders = Arc::new(LiveHolders::default());
+        live_holders.set(1);
+        let thread_handle = {
+            let live_holders = live_holders.clone();
+            loom::thread::spawn(move || live_holders.clear(1))
         };
-        a.raise(2);
-        assert!(t.join().unwrap());
-        assert_eq!(a.load(), HolderBitmap::one(2));
+        live_holders.set(2);
+        assert!(thread_handle.join().unwrap());
+        assert_eq!(live_holders.load(), HolderBitmap::one(2));
     });
 }
 
 #[test]
-fn only_one_of_two_clears_it() {
+fn only_one_of_two_concurrent_calls_clears_a_holder() {
     loom::model(|| {
-        let a = Arc::new(Alive::default());
-        a.raise(5);
-        let t = {
-            let a = a.clone();
-            loom::thread::spawn(move || a.clear(5))
+        let live_holders = Arc::new(LiveHolders::default());
+        live_holders.set(5);
+        let thread_handle = {
+            let live_holders = live_holders.clone();
+            loom::thread::spawn(move || live_holders.clear(5))
         };
-        let here = a.clear(5);
-        assert!(here ^ t.join().unwrap());
+        let cleared_here = live_holders.clear(5);
+        assert!(cleared_here ^ thread_handle.join().unwrap());
     });
 }
 
 #[test]
-fn two_writers_of_a_shard_lose_nothing() {
+fn concurrent_writes_to_a_shard_are_never_lost() {
     loom::model(|| {
-        let s = Arc::new(Shards::<u32>::default());
-        let t = {
-            let s = s.clone();
-            loom::thread::spawn(move || s.with(1, |m| *m.entry(1).or_insert(0) += 1))
+        let shards = Arc::new(Shards::<u32>::default());
+        let thread_handle = {
+            let shards = shards.clone();
+            loom::thread::spawn(move || {
+                shards.with_shard_of(1, |map| *map.entry(1).or_insert(0) += 1)
+            })
         };
-        s.with(1, |m| *m.entry(1).or_insert(0) += 1);
-        t.join().unwrap();
-        assert_eq!(s.with(1, |m| m[&1]), 2);
+        shards.with_shard_of(1, |map| *map.entry(1).or_insert(0) += 1);
+        thread_handle.join().unwrap();
+        assert_eq!(shards.with_shard_of(1, |map| map[&1]), 2);
     });
 }
 
-fn bounded() -> loom::model::Builder {
-    let mut b = loom::model::Builder::new();
-    b.preemption_bound = Some(2);
-    b
+fn bounded_model() -> loom::model::Builder {
+    let mut builder = loom::model::Builder::new();
+    builder.preemption_bound = Some(2);
+    builder
 }
 
-/// An event of a holder that goes: whatever the order, its number's next incarnation keeps nothing.
+/// A late event of a removed holder sets no bit for the next holder of its slot, in any order of the two.
 #[test]
-fn late_event_never_marks_the_next_incarnation() {
-    bounded().check(|| {
+fn late_event_never_marks_the_next_holder_of_the_slot() {
+    bounded_model().check(|| {
         let cell = Arc::new(Cell::new(64));
-        let h = cell.admit().unwrap();
-        let c = Chain::new(3, [(1, 10)]);
-        cell.learn(3, &c);
-        let raw = c.0[0].raw;
-        let t = {
+        let holder = cell.admit().unwrap();
+        let chain = Chain::new(3, [(1, 10)]);
+        cell.insert_chain(3, &chain);
+        let block_hash = chain.0[0].block_hash;
+        let thread_handle = {
             let cell = cell.clone();
-            loom::thread::spawn(move || cell.registered(h, 3, raw, None))
+            loom::thread::spawn(move || cell.register_block(holder, 3, block_hash, None))
         };
-        assert!(cell.remove(h));
+        assert!(cell.remove(holder));
         while !cell.scrub(1000) {}
         let next = loop {
-            let n = cell.admit().unwrap();
-            if n.index == h.index {
-                break n;
+            let slot = cell.admit().unwrap();
+            if slot.index == holder.index {
+                break slot;
             }
         };
-        t.join().unwrap();
+        thread_handle.join().unwrap();
         assert!(
             !cell
-                .query(&c, &HolderBitmap::one(next.index))
+                .query(&chain, &HolderBitmap::one(next.index))
                 .groups
                 .iter()
-                .any(|(_, b)| b.has(next.index))
+                .any(|(_, holders)| holders.has(next.index))
         );
     });
 }
 
-/// A query beside a holder's end sees it or not, and never after the end is known.
+/// A query concurrent with the removal of a holder may or may not see it; a query after the removal never does.
 #[test]
-fn a_query_beside_the_end_of_a_holder() {
-    bounded().check(|| {
+fn query_sees_no_holder_after_its_removal() {
+    bounded_model().check(|| {
         let cell = Arc::new(Cell::new(64));
-        let h = cell.admit().unwrap();
-        let c = Chain::new(3, [(1, 10)]);
-        cell.learn(3, &c);
-        cell.registered(h, 3, c.0[0].raw, None);
-        let t = {
-            let (cell, c) = (cell.clone(), c.clone());
-            loom::thread::spawn(move || cell.query(&c, &HolderBitmap::ALL).of(h.index))
+        let holder = cell.admit().unwrap();
+        let chain = Chain::new(3, [(1, 10)]);
+        cell.insert_chain(3, &chain);
+        cell.register_block(holder, 3, chain.0[0].block_hash, None);
+        let thread_handle = {
+            let (cell, chain) = (cell.clone(), chain.clone());
+            loom::thread::spawn(move || cell.query(&chain, &HolderBitmap::ALL).of(holder.index))
         };
-        assert!(cell.remove(h));
-        assert_eq!(cell.query(&c, &HolderBitmap::ALL).of(h.index), 0);
-        assert!(t.join().unwrap() <= 1);
+        assert!(cell.remove(holder));
+        assert_eq!(cell.query(&chain, &HolderBitmap::ALL).of(holder.index), 0);
+        assert!(thread_handle.join().unwrap() <= 1);
     });
 }
