--- a/crates/prompt-index/src/lib.rs
+++ b/crates/prompt-index/src/lib.rs
@@ -13,10 +13,10 @@
 pub mod cell;
 pub mod chain;
 pub mod index;
+pub mod partial_blocks;
 pub mod query;
 pub mod shard;
 pub mod sync;
-pub mod tier;
 
 pub use bitmap::HolderBitmap;
 pub use cell::{Cell, HolderSlot};
