--- a/crates/control-plane/tests/cluster.rs
+++ b/crates/control-plane/tests/cluster.rs
@@ -1,5 +1,6 @@
-//! Three real controllers in one process: what an operator puts in force is read at each of them,
-//! also over a crash and a restart, and a seed gives the same run again.
+//! Tests of several real controllers in one process, over simulated disks and a simulated network. The tests in this
+//! file cover changes of the configuration across crashes, restarts and lost disks, and check that runs are
+//! deterministic per seed.
 
 #[path = "cluster/departures.rs"]
 mod departures;
@@ -29,10 +30,10 @@
 use harness::Cluster;
 use std::sync::Arc;
 
-/// Enough for tables of them to have more than one order.
+/// Number of engines; enough that hash tables of them iterate in different orders.
 const ENGINES: usize = 9;
 
-fn sheet(version: u64) -> Bytes {
+fn config_body(version: u64) -> Bytes {
     serde_json::json!({
         "revision": version,
         "routes": [{"name": "a", "host": "h", "pathPrefix": "/", "kind": "safe",
@@ -48,23 +49,25 @@
     let base = base.to_string();
     let call = |controller: Arc<Controller>| {
         let base = base.clone();
-        async move { configuration::replace(controller.consensus(), Some(&base), sheet(version)).await }
+        async move {
+            configuration::replace(controller.consensus(), Some(&base), config_body(version)).await
+        }
     };
     assert_eq!(cluster.retry_until_ok(node, call).await.version, version);
 }
 
-/// One read of each node, as soon as it answers, gives this version.
-async fn read_everywhere(cluster: &Cluster, nodes: &[usize], version: u64) {
+/// Asserts that the first successful read at each node returns this version.
+async fn assert_config_at(cluster: &Cluster, nodes: &[usize], version: u64) {
     for node in nodes {
         let call = |controller: Arc<Controller>| async move {
             configuration::fetch(controller.consensus()).await
         };
-        assert_eq!(cluster.retry_until_ok(*node, call).await, sheet(version), "n{node}");
+        assert_eq!(cluster.retry_until_ok(*node, call).await, config_body(version), "n{node}");
     }
 }
 
-/// Engines of one service tell a node that they are there.
-async fn heartbeats(cluster: &Cluster, node: usize) {
+/// Sends one heartbeat from each of [`ENGINES`] engines of a service to a node.
+async fn send_heartbeats(cluster: &Cluster, node: usize) {
     for engine in 1..=ENGINES {
         let heartbeat = serde_json::json!({"service": "s", "address": format!("10.0.1.{engine}:80"),
             "state": "ready", "callSeq": 1});
@@ -78,64 +81,66 @@
     }
 }
 
-async fn replace_over_a_crash(size: usize, seed: u64) -> Vec<String> {
-    let mut cluster = Cluster::found(size, seed).await;
+async fn replace_across_crash(size: usize, seed: u64) -> Vec<String> {
+    let mut cluster = Cluster::bootstrap(size, seed).await;
     let all: Vec<usize> = (1..=size).collect();
     replace(&cluster, 1, 0, 7).await;
-    read_everywhere(&cluster, &all, 7).await;
-    heartbeats(&cluster, 2).await;
+    assert_config_at(&cluster, &all, 7).await;
+    send_heartbeats(&cluster, 2).await;
     cluster.crash(1);
     replace(&cluster, 2, 7, 8).await;
-    read_everywhere(&cluster, &all[1..], 8).await;
+    assert_config_at(&cluster, &all[1..], 8).await;
     cluster.start(1).await;
-    read_everywhere(&cluster, &all, 8).await;
+    assert_config_at(&cluster, &all, 8).await;
     cluster.wait_until_settled().await;
-    let cluster_state = |node: &usize| {
+    let engine_count = |node: &usize| {
         cluster.controller(*node).cluster_state().read(|cluster_state| cluster_state.engines.len())
     };
-    assert!(all.iter().all(|node| cluster_state(node) == ENGINES));
+    assert!(all.iter().all(|node| engine_count(node) == ENGINES));
     cluster.trace.lines()
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_restarted_controller_reads_what_was_put_in_force_without_it() {
-    let trace = replace_over_a_crash(3, 1).await;
+async fn restarted_controller_reads_the_change_that_it_missed() {
+    let trace = replace_across_crash(3, 1).await;
     assert!(trace.iter().any(|line| line.ends_with("n1 crashed")));
     assert!(trace.iter().any(|line| line.contains("n3 wrote")));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_controller_that_lost_its_majority_answers_neither_reads_nor_changes() {
-    let mut cluster = Cluster::found(3, 2).await;
+async fn controller_without_a_majority_rejects_reads_and_changes() {
+    let mut cluster = Cluster::bootstrap(3, 2).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.crash(2);
     cluster.crash(3);
-    let alone = cluster.controller(1);
-    let read = configuration::fetch(alone.consensus()).await.unwrap_err();
-    let changed = configuration::replace(alone.consensus(), Some("7"), sheet(8)).await.unwrap_err();
+    let isolated = cluster.controller(1);
+    let read = configuration::fetch(isolated.consensus()).await.unwrap_err();
+    let changed =
+        configuration::replace(isolated.consensus(), Some("7"), config_body(8)).await.unwrap_err();
     assert_eq!((read.status.as_u16(), changed.status.as_u16()), (503, 503));
 }
 
-/// Each node in turn, so that the holders of the duties are among them.
+/// Crashes each node in turn, so that the lease holders are among them.
 #[tokio::test(start_paused = true)]
-async fn nothing_of_a_crashed_controller_goes_on() {
+async fn crashed_controller_leaves_no_tasks_running() {
     for node in 1..=3 {
-        let mut cluster = Cluster::found(3, 3).await;
+        let mut cluster = Cluster::bootstrap(3, 3).await;
         replace(&cluster, 1, 0, 7).await;
         cluster.wait_until_settled().await;
-        heartbeats(&cluster, node).await;
+        send_heartbeats(&cluster, node).await;
         tokio::time::sleep(std::time::Duration::from_secs(1)).await;
         let crashed = std::sync::Arc::downgrade(cluster.controller(node));
         cluster.crash(node);
         cluster.wait_until_settled().await;
-        assert_eq!(crashed.strong_count(), 0, "tasks hold n{node} still");
+        assert_eq!(crashed.strong_count(), 0, "tasks still hold references to n{node}");
     }
 }
 
-/// Who moves the membership first is the lowest address that votes, not the lowest that is linked.
+/// The member with the lowest address among the voters changes the membership first. Node 1 has a lower address but
+/// doesn't vote, so it must not be waited for.
 #[tokio::test(start_paused = true)]
-async fn a_member_that_does_not_vote_keeps_no_lost_one_in_the_membership() {
-    let mut cluster = Cluster::found(5, 3).await;
+async fn non_voting_member_does_not_delay_the_replacement_of_a_lost_one() {
+    let mut cluster = Cluster::bootstrap(5, 3).await;
     replace(&cluster, 2, 0, 7).await;
     cluster.stop_disk(1);
     cluster.crash(5);
@@ -146,29 +151,30 @@
     assert!(cluster.controller(6).consensus().votes());
     cluster.crash(4);
     replace(&cluster, 6, 7, 8).await;
-    read_everywhere(&cluster, &[2, 3, 6], 8).await;
+    assert_config_at(&cluster, &[2, 3, 6], 8).await;
 }
 
-/// Heartbeats are shared in batches: who leaves tells on what it took since the last one.
+/// Nodes share heartbeats in batches; a leaving node first sends what it has received since the last batch.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_leaves_tells_on_what_only_it_knows() {
-    let mut cluster = Cluster::found(3, 6).await;
+async fn leaving_node_passes_on_heartbeats_that_only_it_received() {
+    let mut cluster = Cluster::bootstrap(3, 6).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
-    heartbeats(&cluster, 1).await;
+    send_heartbeats(&cluster, 1).await;
     cluster.stop(1).await;
-    let cluster_state = |node| {
+    let engine_count = |node| {
         cluster.controller(node).cluster_state().read(|cluster_state| cluster_state.engines.len())
     };
-    assert_eq!((cluster_state(2), cluster_state(3)), (ENGINES, ENGINES));
+    assert_eq!((engine_count(2), engine_count(3)), (ENGINES, ENGINES));
 }
 
-/// Whoever heard nothing of an engine for long may not know of its end, and revives it nowhere.
+/// A node that has long received no heartbeat of an engine may not know that the engine has ended. What it shares must
+/// not make the engine ready at a node that restarts.
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_is_silent_at_one_node_is_not_ready_at_another_that_restarts() {
-    let mut cluster = Cluster::found(3, 7).await;
+async fn engine_with_missed_heartbeats_is_not_ready_at_a_restarted_node() {
+    let mut cluster = Cluster::bootstrap(3, 7).await;
     replace(&cluster, 1, 0, 7).await;
-    heartbeats(&cluster, 1).await;
+    send_heartbeats(&cluster, 1).await;
     cluster.wait_until_settled().await;
     assert!(
         cluster
@@ -178,7 +184,7 @@
     );
     cluster.crash(1);
     cluster.start(1).await;
-    read_everywhere(&cluster, &[1], 7).await;
+    assert_config_at(&cluster, &[1], 7).await;
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
     let ready = |cluster_state: &control_plane::cluster_state::ClusterState| {
         cluster_state.engines.values().any(|e| !e.heartbeat_missed)
@@ -186,10 +192,10 @@
     assert!(!cluster.controller(1).cluster_state().read(ready));
 }
 
-/// A former member comes back with the disk it had, while others have its place.
+/// A former member restarts with its old disk after it has been replaced in the membership.
 #[tokio::test(start_paused = true)]
-async fn a_replaced_member_comes_back_as_a_stranger() {
-    let mut cluster = Cluster::found(3, 4).await;
+async fn replaced_member_does_not_vote_until_it_is_added_again() {
+    let mut cluster = Cluster::bootstrap(3, 4).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.crash(1);
     cluster.start_empty(4).await;
@@ -204,13 +210,14 @@
     cluster.wait_until_settled().await;
     assert_eq!(cluster.members(3), [1, 3, 4]);
     cluster.crash(4);
-    read_everywhere(&cluster, &[1, 3], 8).await;
+    assert_config_at(&cluster, &[1, 3], 8).await;
 }
 
-/// The seeds in the settings may be older than the members: then only these know where the others are.
+/// The seeds in the settings may be outdated. If no other seed is left, the addresses of the members must come from
+/// the members themselves.
 #[tokio::test(start_paused = true)]
-async fn a_lost_disk_is_read_back_where_all_other_seeds_have_gone() {
-    let mut cluster = Cluster::found(3, 8).await;
+async fn lost_disk_is_recovered_when_all_other_seeds_are_gone() {
+    let mut cluster = Cluster::bootstrap(3, 8).await;
     replace(&cluster, 1, 0, 7).await;
     for (lost, successor) in [(2, 4), (3, 5)] {
         cluster.crash(lost);
@@ -222,13 +229,13 @@
     cluster.start_empty(1).await;
     cluster.wait_until_settled().await;
     cluster.crash(4);
-    read_everywhere(&cluster, &[1, 5], 7).await;
+    assert_config_at(&cluster, &[1, 5], 7).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_disk_is_read_back_with_a_configuration_of_megabytes() {
-    let mut cluster = Cluster::found(3, 5).await;
-    let mut large: serde_json::Value = serde_json::from_slice(&sheet(7)).unwrap();
+async fn lost_disk_is_recovered_with_a_configuration_of_several_megabytes() {
+    let mut cluster = Cluster::bootstrap(3, 5).await;
+    let mut large: serde_json::Value = serde_json::from_slice(&config_body(7)).unwrap();
     large["routes"][0]["pathPrefix"] = format!("/{}", "x".repeat(3_000_000)).into();
     let large = Bytes::from(large.to_string());
     let put = |controller: Arc<Controller>| {
@@ -245,19 +252,19 @@
     };
     assert!(
         cluster.retry_until_ok(3, call).await == large,
-        "read by the one that lost its disk and one other"
+        "n3 lost its disk and has one other voter to read from"
     );
 }
 
 #[test]
-fn a_seed_gives_the_same_run_again_and_another_seed_another() {
+fn runs_are_deterministic_per_seed() {
     let run = |seed| {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .start_paused(true)
             .build()
             .unwrap();
-        runtime.block_on(replace_over_a_crash(5, seed))
+        runtime.block_on(replace_across_crash(5, seed))
     };
     let first = run(1);
     for (i, (a, b)) in first.iter().zip(run(1)).enumerate() {
--- a/crates/control-plane/tests/cluster/hung_disk.rs
+++ b/crates/control-plane/tests/cluster/hung_disk.rs
@@ -1,67 +1,74 @@
-//! A disk that hangs refuses nothing: its member must find out by itself that it can't vote.
+//! A hung disk returns no error, so its node has to detect by itself that it can't vote.
 
-use super::leases::{LEASE, next_holder, others};
-use super::{Cluster, read_everywhere, replace, sheet};
+use super::leases::{LEASE, next_holder, other_nodes};
+use super::{Cluster, assert_config_at, config_body, replace};
 use control_plane::consensus::state_machine;
 use control_plane::service::configuration;
 use fleet_core::wire::PreVoteRequest;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time in which an operator hears of a change, before it goes on to another node.
-const ANSWERED: Duration = Duration::from_secs(1);
+/// Time after which an operator sends a change request to another node.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 const NODES: [usize; 3] = [1, 2, 3];
 
-/// One order and its answer; nothing is sent again.
+/// Replaces the configuration with one request, without retries, and asserts that it succeeds in time.
 async fn replace_once(cluster: &Cluster, node: usize, base: u64, version: u64) {
     let base = base.to_string();
-    let begun = Instant::now();
-    let answer =
-        configuration::replace(cluster.controller(node).consensus(), Some(&base), sheet(version))
-            .await;
-    let took = begun.elapsed();
-    assert_eq!(answer.map(|taken| taken.version).ok(), Some(version), "n{node} after {took:?}");
-    assert!(took < ANSWERED, "n{node} answered after {took:?}");
+    let started_at = Instant::now();
+    let answer = configuration::replace(
+        cluster.controller(node).consensus(),
+        Some(&base),
+        config_body(version),
+    )
+    .await;
+    let elapsed = started_at.elapsed();
+    assert_eq!(
+        answer.map(|replaced| replaced.version).ok(),
+        Some(version),
+        "n{node} after {elapsed:?}"
+    );
+    assert!(elapsed < ANSWER_TIMEOUT, "n{node} answered after {elapsed:?}");
 }
 
-async fn owner_hangs(submitted_at: usize, hangs_for: Duration) -> Cluster {
-    let cluster = Cluster::found(3, 11).await;
+async fn replace_with_hung_owner(target_node: usize, hang_duration: Duration) -> Cluster {
+    let cluster = Cluster::bootstrap(3, 11).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
     cluster.hang_disk(1, true);
-    tokio::time::sleep(hangs_for).await;
-    replace_once(&cluster, submitted_at, 7, 8).await;
-    replace_once(&cluster, submitted_at, 8, 9).await;
+    tokio::time::sleep(hang_duration).await;
+    replace_once(&cluster, target_node, 7, 8).await;
+    replace_once(&cluster, target_node, 8, 9).await;
     cluster
 }
 
-/// Also in the moment in which it begins to hang, when nobody can know of it yet.
+/// Covers requests right after the disk starts to hang, when no node can have detected it, and requests later on.
 #[tokio::test(start_paused = true)]
-async fn a_change_is_acknowledged_within_a_second_while_its_owners_disk_hangs() {
+async fn change_is_acknowledged_within_a_second_while_the_disk_of_its_owner_hangs() {
     for node in NODES {
-        for hangs_for in [0, 200, 600, 5000].map(Duration::from_millis) {
-            let cluster = owner_hangs(node, hangs_for).await;
-            read_everywhere(&cluster, &[2, 3], 9).await;
+        for hang_duration in [0, 200, 600, 5000].map(Duration::from_millis) {
+            let cluster = replace_with_hung_owner(node, hang_duration).await;
+            assert_config_at(&cluster, &[2, 3], 9).await;
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_lost_when_a_hung_disk_works_again() {
+async fn no_change_is_lost_when_a_hung_disk_recovers() {
     for node in NODES {
-        let mut cluster = owner_hangs(node, Duration::from_secs(2)).await;
+        let mut cluster = replace_with_hung_owner(node, Duration::from_secs(2)).await;
         cluster.hang_disk(1, false);
         cluster.wait_until_settled().await;
-        read_everywhere(&cluster, &NODES, 9).await;
+        assert_config_at(&cluster, &NODES, 9).await;
         cluster.crash(2);
         replace(&cluster, 1, 9, 10).await;
-        read_everywhere(&cluster, &[1, 3], 10).await;
+        assert_config_at(&cluster, &[1, 3], 10).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_hung_disk_and_its_end_are_logged_once() {
-    let cluster = owner_hangs(1, Duration::from_secs(5)).await;
+async fn hung_disk_and_its_recovery_are_logged_once() {
+    let cluster = replace_with_hung_owner(1, Duration::from_secs(5)).await;
     cluster.hang_disk(1, false);
     cluster.wait_until_settled().await;
     let lines = cluster.trace.lines();
@@ -71,28 +78,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_holder_of_a_duty_lets_it_go_while_its_disk_hangs() {
-    let cluster = Cluster::found(3, 12).await;
+async fn lease_moves_to_another_node_while_the_disk_of_its_holder_hangs() {
+    let cluster = Cluster::bootstrap(3, 12).await;
     let (first, fencing_token) = next_holder(&cluster, &NODES).await;
     cluster.hang_disk(first, true);
-    let hung = Instant::now();
-    let (second, higher) = next_holder(&cluster, &others(3, first)).await;
-    assert!(higher > fencing_token, "{first}: {fencing_token}, {second}: {higher}");
-    assert!(hung.elapsed() < LEASE * 3, "after {:?}", hung.elapsed());
+    let hung_at = Instant::now();
+    let (second, new_token) = next_holder(&cluster, &other_nodes(3, first)).await;
+    assert!(new_token > fencing_token, "{first}: {fencing_token}, {second}: {new_token}");
+    assert!(hung_at.elapsed() < LEASE * 3, "after {:?}", hung_at.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_member_takes_part_in_no_election_while_its_disk_hangs() {
-    let cluster = Cluster::found(3, 13).await;
+async fn member_grants_no_pre_vote_while_its_disk_hangs() {
+    let cluster = Cluster::bootstrap(3, 13).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
     let request = PreVoteRequest { key: state_machine::CONFIG.into(), membership: 1 };
-    let willing = || cluster.controller(2).consensus().pre_vote(&request).ok;
-    assert!(willing());
+    let grants_pre_vote = || cluster.controller(2).consensus().pre_vote(&request).ok;
+    assert!(grants_pre_vote());
     cluster.hang_disk(2, true);
     cluster.wait_until_settled().await;
-    assert!(!willing());
+    assert!(!grants_pre_vote());
     cluster.hang_disk(2, false);
     cluster.wait_until_settled().await;
-    assert!(willing());
+    assert!(grants_pre_vote());
 }
--- a/crates/control-plane/tests/cluster/membership_view.rs
+++ b/crates/control-plane/tests/cluster/membership_view.rs
@@ -1,4 +1,4 @@
-//! What the operator is shown of the control plane, with voters lost, late and cut off.
+//! Tests of the membership view for operators, with voters that are lost, behind or out of contact.
 
 use super::harness::Cluster;
 use super::replace;
@@ -15,9 +15,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn in_contact_all_voters_owners_and_one_holder_of_each_duty_are_shown() {
-    let cluster = Cluster::found(3, 51).await;
-    // all links stand before the change, so that every voter accepts it
+async fn view_in_contact_shows_all_voters_owners_and_one_holder_of_each_lease() {
+    let cluster = Cluster::bootstrap(3, 51).await;
+    // Waits until all links are up, so that every voter accepts the change.
     cluster.wait_until_settled().await;
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
@@ -39,39 +39,39 @@
         }
     }
     assert_eq!(acting.len(), 2, "{acting:?}");
-    assert!(acting.iter().all(|(_, holder, teller)| holder == teller), "{acting:?}");
+    assert!(acting.iter().all(|(_, holder, reporter)| holder == reporter), "{acting:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn out_of_contact_it_is_shown_all_the_same_with_the_age_of_the_last_answers() {
-    let mut cluster = Cluster::found(3, 52).await;
+async fn view_out_of_contact_shows_the_age_of_the_last_answers() {
+    let mut cluster = Cluster::bootstrap(3, 52).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
     cluster.crash(2);
     cluster.crash(3);
-    let away = Duration::from_secs(5);
-    tokio::time::sleep(away).await;
+    let outage = Duration::from_secs(5);
+    tokio::time::sleep(outage).await;
     let view = observe(&cluster, 1).await;
     assert!(!view.in_contact && view.voting() == 1, "{view:?}");
     for lost in [voter(&view, 2), voter(&view, 3)] {
         assert!(!lost.answered && !lost.votes, "{lost:?}");
         let age = u128::from(lost.last_answer_ms.unwrap());
-        assert!(age >= away.as_millis() && age < away.as_millis() + 2000, "{age}");
+        assert!(age >= outage.as_millis() && age < outage.as_millis() + 2000, "{age}");
     }
     assert!(voter(&view, 1).answered);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_voter_that_missed_a_change_is_behind_until_the_next_one() {
-    let mut cluster = Cluster::found(3, 53).await;
+async fn voter_that_missed_a_change_is_behind_until_the_next_one() {
+    let mut cluster = Cluster::bootstrap(3, 53).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.crash(3);
     replace(&cluster, 1, 7, 8).await;
     cluster.start(3).await;
     cluster.wait_until_settled().await;
     let view = observe(&cluster, 1).await;
-    let late = voter(&view, 3);
-    assert!(late.answered && late.behind.is_some(), "{late:?}");
+    let lagging = voter(&view, 3);
+    assert!(lagging.answered && lagging.behind.is_some(), "{lagging:?}");
     assert!(voter(&view, 1).behind.is_none() && voter(&view, 2).behind.is_none());
     replace(&cluster, 1, 8, 9).await;
     cluster.wait_until_settled().await;
@@ -80,8 +80,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_voter_whose_disk_takes_nothing_does_not_count() {
-    let cluster = Cluster::found(3, 54).await;
+async fn voter_whose_disk_stores_nothing_does_not_count_as_voting() {
+    let cluster = Cluster::bootstrap(3, 54).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.stop_disk(3);
     let view = observe(&cluster, 1).await;
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator is answered by controllers that run as in the program, but for disks and lines.
+//! Requests of operators and routers to controllers that run as in the program, except for simulated disks and links.
 
 use super::harness::Cluster;
 use control_plane::service::{Rejection, configuration};
@@ -13,21 +13,21 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-const ROUTES: u64 = 60;
+const ROUTE_COUNT: u64 = 60;
 const VOTERS: [usize; 3] = [1, 2, 3];
-/// A controller without a disk, and so without a vote.
+/// Number of a controller without a disk, which therefore doesn't vote.
 const WITHOUT_VOTE: usize = 9;
-/// Last number of a router's address.
+/// Number of the router's machine.
 const ROUTER: usize = 20;
-/// Time after which all controllers are linked.
-const LINKED: Duration = Duration::from_secs(2);
+/// Time after which all controllers have links to each other.
+const LINK_TIME: Duration = Duration::from_secs(2);
 
-/// Three voters whose disks take no time, and a controller without a vote.
-async fn start_fleet() -> Cluster {
-    let mut fleet = Cluster::found_with_instant_disks(VOTERS.len(), 1).await;
-    fleet.start_without_disk(WITHOUT_VOTE).await;
-    tokio::time::sleep(LINKED).await;
-    fleet
+/// Three voters whose disks write instantly, and a controller that doesn't vote.
+async fn start_cluster() -> Cluster {
+    let mut cluster = Cluster::bootstrap_with_instant_disks(VOTERS.len(), 1).await;
+    cluster.start_without_disk(WITHOUT_VOTE).await;
+    tokio::time::sleep(LINK_TIME).await;
+    cluster
 }
 
 fn route(number: u64, timeout: u64) -> serde_json::Value {
@@ -35,80 +35,90 @@
         "pathPrefix": format!("/{number}/"), "timeoutMs": timeout, "service": "s"})
 }
 
-fn sheet(revision: u64, timeout: u64) -> serde_json::Value {
+fn config_body(revision: u64, timeout: u64) -> serde_json::Value {
     serde_json::json!({
         "revision": revision,
-        "routes": (0..ROUTES).map(|n| route(n, if n == 7 { timeout } else { 50 })).collect::<Vec<_>>(),
+        "routes": (0..ROUTE_COUNT).map(|n| route(n, if n == 7 { timeout } else { 50 })).collect::<Vec<_>>(),
         "services": [{"name": "s"}],
         "tenants": [{"name": "t", "apiKeys": ["k1"]}, {"name": "u", "apiKeys": ["k2"]}],
     })
 }
 
 async fn replace(
-    fleet: &Cluster,
+    cluster: &Cluster,
     at: usize,
     base: &str,
     body: impl ToString,
 ) -> Result<u64, Rejection> {
     let body = body.to_string().into();
     let replaced =
-        configuration::replace(fleet.controller(at).consensus(), Some(base), body).await?;
+        configuration::replace(cluster.controller(at).consensus(), Some(base), body).await?;
     Ok(replaced.version)
 }
 
-/// Sends an order until it is taken, as operators do after 503.
-async fn taken(fleet: &Cluster, at: usize, base: u64, body: &serde_json::Value) -> u64 {
+/// Sends a configuration until it is accepted, as operators do after status 503.
+async fn replace_until_accepted(
+    cluster: &Cluster,
+    at: usize,
+    base: u64,
+    body: &serde_json::Value,
+) -> u64 {
     for _ in 0..20 {
-        match replace(fleet, at, &base.to_string(), body).await {
+        match replace(cluster, at, &base.to_string(), body).await {
             Ok(version) => return version,
             Err(rejection) => assert_eq!(rejection.status, 503, "{}", rejection.message),
         }
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    panic!("not taken in 20 tries");
+    panic!("not accepted in 20 attempts");
 }
 
-/// An order that may not be taken while version 5 is in force.
-struct BadOrder {
-    what: &'static str,
+/// A request that must be rejected while version 5 is the current configuration.
+struct InvalidRequest {
+    description: &'static str,
     base: &'static str,
     body: String,
     status: u16,
     code: &'static str,
 }
 
-/// A change of 5 with another value at one place of its body.
-fn patched(
-    what: &'static str,
-    place: &str,
+/// A change of version 5 with an invalid value at a JSON pointer into its body.
+fn invalid_value(
+    description: &'static str,
+    pointer: &str,
     value: serde_json::Value,
     code: &'static str,
-) -> BadOrder {
-    let mut body = sheet(9, 10);
-    *body.pointer_mut(place).expect("a place of the sheet") = value;
-    BadOrder { what, base: "5", body: body.to_string(), status: 400, code }
+) -> InvalidRequest {
+    let mut body = config_body(9, 10);
+    *body.pointer_mut(pointer).expect("a pointer into the configuration") = value;
+    InvalidRequest { description, base: "5", body: body.to_string(), status: 400, code }
 }
 
-fn invalid_bodies() -> Vec<BadOrder> {
+fn requests_with_invalid_bodies() -> Vec<InvalidRequest> {
     let no_weight = serde_json::json!([{"service": "s", "weight": 0}]);
-    let mut split = sheet(9, 10);
+    let mut split = config_body(9, 10);
     split["routes"][3]["split"] = no_weight;
-    let complete = sheet(9, 10).to_string();
-    let unreadable =
-        |what, body| BadOrder { what, base: "5", body, status: 400, code: "unreadable" };
+    let complete = config_body(9, 10).to_string();
+    let unreadable = |description, body| InvalidRequest {
+        description,
+        base: "5",
+        body,
+        status: 400,
+        code: "unreadable",
+    };
     vec![
-        unreadable("cut short", complete[..complete.len() - 1].to_owned()),
+        unreadable("truncated", complete[..complete.len() - 1].to_owned()),
         unreadable("empty", String::new()),
-        unreadable("more behind it", format!("{complete}x")),
-        patched("no number", "/revision", serde_json::Value::Null, "unreadable"),
-        patched("negative number", "/revision", (-9).into(), "unreadable"),
-        patched("broken number", "/revision", 9.5.into(), "unreadable"),
-        patched("unknown service", "/routes/3/service", "x".into(), "unknown_service"),
-        patched("same place", "/routes/3/pathPrefix", "/4/".into(), "same_place"),
-        patched("no time", "/routes/3/timeoutMs", 0.into(), "out_of_bounds"),
-        patched("shared key", "/tenants/1/apiKeys/0", "k1".into(), "shared_key"),
-        BadOrder {
-            what: "no weight",
+        unreadable("trailing data", format!("{complete}x")),
+        invalid_value("null version", "/revision", serde_json::Value::Null, "unreadable"),
+        invalid_value("negative version", "/revision", (-9).into(), "unreadable"),
+        invalid_value("fractional version", "/revision", 9.5.into(), "unreadable"),
+        invalid_value("unknown service", "/routes/3/service", "x".into(), "unknown_service"),
+        invalid_value("duplicate path", "/routes/3/pathPrefix", "/4/".into(), "same_place"),
+        invalid_value("zero time-out", "/routes/3/timeoutMs", 0.into(), "out_of_bounds"),
+        invalid_value("shared key", "/tenants/1/apiKeys/0", "k1".into(), "shared_key"),
+        InvalidRequest {
+            description: "zero weights",
             base: "5",
             body: split.to_string(),
             status: 400,
@@ -117,41 +127,44 @@
     ]
 }
 
-fn wrong_numbers() -> Vec<BadOrder> {
-    let order = |what, base, body: serde_json::Value, status, code| BadOrder {
-        what,
+fn requests_with_invalid_versions() -> Vec<InvalidRequest> {
+    let request = |description, base, body: serde_json::Value, status, code| InvalidRequest {
+        description,
         base,
         body: body.to_string(),
         status,
         code,
     };
     vec![
-        order("other body under the number", "5", sheet(5, 11), 400, "version_not_above"),
-        order("number below", "5", sheet(4, 10), 400, "version_not_above"),
-        order("followed base", "0", sheet(9, 10), 412, "stale_base"),
-        order("followed base, number in use", "0", sheet(5, 11), 412, "stale_base"),
-        order("base ahead of all", "7", sheet(9, 10), 503, "unknown"),
+        request("same version, other body", "5", config_body(5, 11), 400, "version_not_above"),
+        request("lower version", "5", config_body(4, 10), 400, "version_not_above"),
+        request("outdated base", "0", config_body(9, 10), 412, "stale_base"),
+        request("outdated base, version in use", "0", config_body(5, 11), 412, "stale_base"),
+        request("base above the current version", "7", config_body(9, 10), 503, "unknown"),
     ]
 }
 
 #[tokio::test(start_paused = true)]
-async fn bad_orders_are_never_acknowledged_and_change_nothing() {
-    let fleet = start_fleet().await;
-    assert_eq!(taken(&fleet, 1, 0, &sheet(5, 10)).await, 5);
-    for order in invalid_bodies().into_iter().chain(wrong_numbers()) {
+async fn invalid_requests_are_never_acknowledged_and_change_nothing() {
+    let cluster = start_cluster().await;
+    assert_eq!(replace_until_accepted(&cluster, 1, 0, &config_body(5, 10)).await, 5);
+    for request in
+        requests_with_invalid_bodies().into_iter().chain(requests_with_invalid_versions())
+    {
         for at in [1, 2, WITHOUT_VOTE] {
-            let what = format!("{} at {at}", order.what);
-            let rejection = replace(&fleet, at, order.base, &order.body).await.expect_err(&what);
+            let context = format!("{} at {at}", request.description);
+            let rejection =
+                replace(&cluster, at, request.base, &request.body).await.expect_err(&context);
             let got = (rejection.status.as_u16(), rejection.code);
-            assert_eq!(got, (order.status, order.code), "{what}");
+            assert_eq!(got, (request.status, request.code), "{context}");
         }
     }
-    let body = configuration::fetch(fleet.controller(2).consensus()).await.unwrap_or_default();
-    assert_eq!(body, sheet(5, 10).to_string());
+    let body = configuration::fetch(cluster.controller(2).consensus()).await.unwrap_or_default();
+    assert_eq!(body, config_body(5, 10).to_string());
 }
 
 #[test]
-fn a_base_is_a_whole_number_without_a_sign() {
+fn base_version_is_an_integer_without_a_sign() {
     let bad = [
         None,
         Some(""),
@@ -171,97 +184,108 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_order_sent_again_anywhere_after_100_others_is_acknowledged() {
-    let fleet = start_fleet().await;
+async fn request_repeated_at_any_node_after_100_others_is_acknowledged() {
+    let cluster = start_cluster().await;
     for version in 1..=101 {
-        taken(&fleet, VOTERS[version as usize % 3], version - 1, &sheet(version, version)).await;
+        replace_until_accepted(
+            &cluster,
+            VOTERS[version as usize % 3],
+            version - 1,
+            &config_body(version, version),
+        )
+        .await;
     }
     for at in [1, 2, 3, WITHOUT_VOTE] {
-        assert_eq!(taken(&fleet, at, 0, &sheet(1, 1)).await, 1);
-        let other = replace(&fleet, at, "0", sheet(1, 2)).await.expect_err("another body");
-        assert_eq!(other.status, 412);
+        assert_eq!(replace_until_accepted(&cluster, at, 0, &config_body(1, 1)).await, 1);
+        let rejection =
+            replace(&cluster, at, "0", config_body(1, 2)).await.expect_err("another body");
+        assert_eq!(rejection.status, 412);
     }
 }
 
-/// A router's link; what is pushed to it goes to `pushed`.
-fn link(fleet: &Cluster, to: usize, pushed: Option<mpsc::Sender<Body>>) -> Arc<Link> {
-    fleet.router_link(ROUTER, to, pushed)
+/// A router's link to a controller; messages that the controller pushes go to `pushed`.
+fn link(cluster: &Cluster, to: usize, pushed: Option<mpsc::Sender<Body>>) -> Arc<Link> {
+    cluster.router_link(ROUTER, to, pushed)
 }
 
 async fn request_config(link: &Link, digest: &bytes::Bytes) -> ConfigResponse {
     link.watch().wait_for(|up| *up).await.unwrap();
-    let request_config = Body::ConfigRequest(ConfigRequest { digest: digest.clone() });
-    match link.call(request_config, Duration::from_secs(2)).await.unwrap() {
+    let config_request = Body::ConfigRequest(ConfigRequest { digest: digest.clone() });
+    match link.call(config_request, Duration::from_secs(2)).await.unwrap() {
         Body::ConfigResponse(response) => response,
         other => panic!("{other:?}"),
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn any_controller_gives_a_router_the_confirmed_configuration_and_then_a_delta() {
-    let fleet = start_fleet().await;
-    taken(&fleet, 1, 0, &sheet(5, 10)).await;
+async fn any_controller_sends_a_router_the_full_configuration_and_then_a_delta() {
+    let cluster = start_cluster().await;
+    replace_until_accepted(&cluster, 1, 0, &config_body(5, 10)).await;
     let mut links = Vec::new();
     for to in VOTERS.into_iter().chain([WITHOUT_VOTE]) {
-        let link = link(&fleet, to, None);
+        let link = link(&cluster, to, None);
         let response = request_config(&link, &bytes::Bytes::new()).await;
-        let Some(ConfigForm::Full(packed)) = response.form else { panic!("it has none as yet") };
+        let Some(ConfigForm::Full(packed)) = response.form else {
+            panic!("expected a full configuration")
+        };
         let body = packing::unpack(&packed, 1 << 20).unwrap();
-        assert_eq!((response.version, body), (5, sheet(5, 10).to_string().into()));
+        assert_eq!((response.version, body), (5, config_body(5, 10).to_string().into()));
         links.push((to, link, response.digest));
     }
-    taken(&fleet, 2, 5, &sheet(6, 11)).await;
-    let (former, new) = (sheet(5, 10).to_string(), sheet(6, 11).to_string());
+    replace_until_accepted(&cluster, 2, 5, &config_body(6, 11)).await;
+    let (old, new) = (config_body(5, 10).to_string(), config_body(6, 11).to_string());
     for (to, link, digest) in links {
         let response = request_config(&link, &digest).await;
         let Some(ConfigForm::Delta(packed)) = response.form else {
-            panic!("{to} gave {response:?}")
+            panic!("expected a delta from {to}: {response:?}")
         };
         let plain = packing::unpack(&packed, 1 << 20).unwrap();
         let delta = ConfigDelta::decode(plain).unwrap();
-        assert_eq!(delta::apply(&delta, former.as_bytes(), 1 << 20).unwrap(), new);
+        assert_eq!(delta::apply(&delta, old.as_bytes(), 1 << 20).unwrap(), new);
         assert_eq!(response.digest, BodyDigest::of(new.as_bytes()).as_bytes());
     }
 }
 
-/// Time stands still here unless all wait for it: what sleeps before the answer would show.
+/// The clock advances only while all tasks wait, so any sleep before the answer would be measured.
 #[tokio::test(start_paused = true)]
-async fn an_operator_is_answered_when_the_change_is_chosen_also_beside_a_router_that_hangs() {
-    let fleet = start_fleet().await;
-    taken(&fleet, 1, 0, &sheet(5, 10)).await;
-    // nobody receives from these, so the links stop reading with the second push
-    let (pushed, _never_received) = mpsc::channel(1);
-    let hung = VOTERS.map(|to| link(&fleet, to, Some(pushed.clone())));
+async fn change_is_answered_as_soon_as_it_is_chosen_although_a_router_hangs() {
+    let cluster = start_cluster().await;
+    replace_until_accepted(&cluster, 1, 0, &config_body(5, 10)).await;
+    // The channel is never received from, so the links stop reading after the second push.
+    let (pushed, _never_read) = mpsc::channel(1);
+    let hung = VOTERS.map(|to| link(&cluster, to, Some(pushed.clone())));
     for link in &hung {
         link.watch().wait_for(|up| *up).await.unwrap();
     }
     for at in VOTERS {
         let base = 4 + at as u64;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(
-            replace(&fleet, at, &base.to_string(), sheet(base + 1, 10)).await.ok(),
+            replace(&cluster, at, &base.to_string(), config_body(base + 1, 10)).await.ok(),
             Some(base + 1)
         );
-        assert_eq!(begun.elapsed(), Duration::ZERO, "at {at}");
+        assert_eq!(started_at.elapsed(), Duration::ZERO, "at {at}");
     }
-    assert!(hung.iter().all(|link| link.is_up()), "they hang and aren't gone");
+    assert!(hung.iter().all(|link| link.is_up()), "the hung links are still up");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_controller_without_a_majority_hands_out_and_takes_nothing() {
-    let mut fleet = start_fleet().await;
-    taken(&fleet, 1, 0, &sheet(5, 10)).await;
-    let link = link(&fleet, 1, None);
+async fn controller_without_a_majority_serves_and_accepts_no_configuration() {
+    let mut cluster = start_cluster().await;
+    replace_until_accepted(&cluster, 1, 0, &config_body(5, 10)).await;
+    let link = link(&cluster, 1, None);
     assert_eq!(request_config(&link, &bytes::Bytes::new()).await.version, 5);
-    fleet.crash(2);
-    fleet.crash(3);
+    cluster.crash(2);
+    cluster.crash(3);
     assert_eq!(request_config(&link, &bytes::Bytes::new()).await, ConfigResponse::default());
     assert_eq!(
-        configuration::fetch(fleet.controller(1).consensus()).await.map_err(|r| r.status.as_u16()),
+        configuration::fetch(cluster.controller(1).consensus())
+            .await
+            .map_err(|r| r.status.as_u16()),
         Err(503)
     );
-    for body in [sheet(6, 10), sheet(5, 10)] {
-        let rejection = replace(&fleet, 1, "5", body).await.expect_err("no majority");
+    for body in [config_body(6, 10), config_body(5, 10)] {
+        let rejection = replace(&cluster, 1, "5", body).await.expect_err("no majority");
         assert_eq!(rejection.status, 503);
     }
 }
--- a/crates/control-plane/tests/cluster/resignation.rs
+++ b/crates/control-plane/tests/cluster/resignation.rs
@@ -1,29 +1,36 @@
-//! A controller that is told to stop owns nothing any more when it ends.
+//! A controller that shuts down gives up ownership of its keys before it ends.
 
-use super::{Cluster, read_everywhere, replace, sheet};
+use super::{Cluster, assert_config_at, config_body, replace};
 use control_plane::service::configuration;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Leaving, or an election and a round, each with the syncs of two disks: far less than the quiet that voters keep
-/// after an owner's last round.
+/// Enough for leaving, or for an election and a round, each with disk syncs at two nodes. Far shorter than the time
+/// after an owner's last round during which voters elect no other owner.
 const SOON: Duration = Duration::from_millis(100);
 
-/// One order and its answer; nothing is sent again.
-async fn replaced_soon(cluster: &Cluster, node: usize, base: u64) {
-    let (version, begun) = (base + 1, Instant::now());
+/// Replaces the configuration with one request, without retries, and asserts that it succeeds within [`SOON`].
+async fn assert_replaced_soon(cluster: &Cluster, node: usize, base: u64) {
+    let (version, started_at) = (base + 1, Instant::now());
     let base = base.to_string();
-    let answer =
-        configuration::replace(cluster.controller(node).consensus(), Some(&base), sheet(version))
-            .await;
-    let took = begun.elapsed();
-    assert_eq!(answer.map(|taken| taken.version).ok(), Some(version), "n{node} after {took:?}");
-    assert!(took < SOON, "n{node} answered after {took:?}");
+    let answer = configuration::replace(
+        cluster.controller(node).consensus(),
+        Some(&base),
+        config_body(version),
+    )
+    .await;
+    let elapsed = started_at.elapsed();
+    assert_eq!(
+        answer.map(|replaced| replaced.version).ok(),
+        Some(version),
+        "n{node} after {elapsed:?}"
+    );
+    assert!(elapsed < SOON, "n{node} answered after {elapsed:?}");
 }
 
 /// A cluster whose first node owns the configuration and has just changed it.
 async fn owned_by_first(seed: u64) -> Cluster {
-    let cluster = Cluster::found(3, seed).await;
+    let cluster = Cluster::bootstrap(3, seed).await;
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
     replace(&cluster, 1, 7, 8).await;
@@ -31,25 +38,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_after_its_owner_left_waits_for_no_silence() {
+async fn change_after_the_owner_left_does_not_wait_for_its_timeout() {
     for node in [2, 3] {
         let mut cluster = owned_by_first(51).await;
         let stop_requested = Instant::now();
         cluster.stop(1).await;
-        assert!(stop_requested.elapsed() < SOON, "it ended after {:?}", stop_requested.elapsed());
-        replaced_soon(&cluster, node, 8).await;
+        assert!(
+            stop_requested.elapsed() < SOON,
+            "node 1 ended after {:?}",
+            stop_requested.elapsed()
+        );
+        assert_replaced_soon(&cluster, node, 8).await;
         cluster.start(1).await;
-        read_everywhere(&cluster, &[1, 2, 3], 9).await;
+        assert_config_at(&cluster, &[1, 2, 3], 9).await;
         replace(&cluster, 1, 9, 10).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_controller_that_leaves_passes_changes_on_and_owns_nothing() {
+async fn leaving_controller_forwards_changes_and_owns_no_key() {
     for node in [1, 2, 3] {
         let cluster = owned_by_first(52).await;
         cluster.leave(1).await;
-        replaced_soon(&cluster, node, 8).await;
+        assert_replaced_soon(&cluster, node, 8).await;
         let owner =
             cluster.controller(2).consensus().with_acceptor(|acceptor| acceptor.owner("config"));
         let former_owner = cluster.controller(1).node().id();
@@ -57,20 +68,20 @@
     }
 }
 
-/// What its owner is deciding when it leaves is decided, or decided by another.
+/// A change that is in progress when its owner leaves is completed by the owner or by its successor.
 #[tokio::test(start_paused = true)]
-async fn a_change_under_way_while_its_owner_leaves_is_acknowledged() {
+async fn change_in_progress_while_its_owner_leaves_is_acknowledged() {
     for node in [1, 2, 3] {
-        for begun_before in 0..6 {
+        for lead_ms in 0..6 {
             let cluster = owned_by_first(53).await;
             let controller = cluster.controller(node).clone();
-            let order = tokio::spawn(async move {
-                configuration::replace(controller.consensus(), Some("8"), sheet(9)).await
+            let request = tokio::spawn(async move {
+                configuration::replace(controller.consensus(), Some("8"), config_body(9)).await
             });
-            tokio::time::sleep(Duration::from_millis(begun_before)).await;
+            tokio::time::sleep(Duration::from_millis(lead_ms)).await;
             cluster.leave(1).await;
-            let taken = order.await.unwrap().map(|taken| taken.version).ok();
-            assert_eq!(taken, Some(9), "n{node}, {begun_before} ms before");
+            let version = request.await.unwrap().map(|replaced| replaced.version).ok();
+            assert_eq!(version, Some(9), "n{node}, {lead_ms} ms before");
         }
     }
 }
--- a/crates/control-plane/tests/cluster/rollout.rs
+++ b/crates/control-plane/tests/cluster/rollout.rs
@@ -1,4 +1,5 @@
-//! An order to an engine whose runs last longer than routers heed a mark.
+//! Update orders to engines: requests in flight that outlast the routers' time-out for an update in progress, and
+//! fencing tokens that an engine refuses.
 
 use super::{Cluster, instances};
 use control_plane::service::weights;
@@ -11,27 +12,27 @@
 use tokio::time::Instant;
 
 const ADDRESS: &str = "10.0.1.1:80";
-/// How long the engine's runs last after an order: longer than an order that shows no progress may take.
-const RUNS: Duration = Duration::from_secs(9);
-/// A heartbeat of the engine, and the interval of this test's looks.
+/// Time for which the engine's requests in flight last after an order; longer than an order without progress may take.
+const IN_FLIGHT_DURATION: Duration = Duration::from_secs(9);
+/// Interval of the engine's heartbeats, after each of which the test checks its state.
 const INTERVAL: Duration = Duration::from_millis(20);
-/// More than the order needs once the runs have ended.
+/// Maximum duration of a test; more than an order needs after the requests in flight have ended.
 const LIMIT: Duration = Duration::from_secs(30);
 
-/// An engine with version 1 that loads version 2 once its runs have ended.
+/// An engine with version 1 that loads version 2 as soon as its requests in flight have ended.
 #[derive(Default)]
 struct StubEngine {
     orders: Mutex<Vec<Instant>>,
-    /// A fencing token that it has seen: orders that bear a lower one are refused.
-    highest_fence: Mutex<u64>,
-    /// Fencing tokens of the orders that it refused, and when.
+    /// The highest fencing token seen; orders with a lower one are refused.
+    highest_fencing_token: Mutex<u64>,
+    /// Fencing tokens of refused orders, with the time of the refusal.
     refused: Mutex<Vec<(u64, Instant)>>,
 }
 
 /// The fencing token in an order.
-fn fence_of(request: &str) -> u64 {
-    let (_, fence) = request.split_once(r#""fence":"#).expect("an order bears a fencing token");
-    let digits: String = fence.chars().take_while(char::is_ascii_digit).collect();
+fn fencing_token_of(request: &str) -> u64 {
+    let (_, rest) = request.split_once(r#""fence":"#).expect("an order has a fencing token");
+    let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().expect("a number")
 }
 
@@ -41,32 +42,32 @@
     }
 
     fn revision(&self) -> u64 {
-        if self.ordered_at().is_some_and(|at| at.elapsed() >= RUNS) { 2 } else { 1 }
+        if self.ordered_at().is_some_and(|at| at.elapsed() >= IN_FLIGHT_DURATION) { 2 } else { 1 }
     }
 
     fn report(&self) -> String {
-        let busy = self.ordered_at().is_some() && self.revision() == 1;
+        let is_busy = self.ordered_at().is_some() && self.revision() == 1;
         let orders = self.orders.lock().len();
         let models = serde_json::json!([{"name": "m", "revision": self.revision()}]);
-        let active = u32::from(busy);
-        serde_json::json!({"models": models, "busy": busy, "callSeq": orders, "active": active})
+        let active = u32::from(is_busy);
+        serde_json::json!({"models": models, "busy": is_busy, "callSeq": orders, "active": active})
             .to_string()
     }
 
-    fn take_order(&self, fence: u64) -> u16 {
-        let mut highest = self.highest_fence.lock();
-        if fence < *highest {
-            self.refused.lock().push((fence, Instant::now()));
+    fn accept_order(&self, fencing_token: u64) -> u16 {
+        let mut highest = self.highest_fencing_token.lock();
+        if fencing_token < *highest {
+            self.refused.lock().push((fencing_token, Instant::now()));
             return 412;
         }
-        *highest = fence;
+        *highest = fencing_token;
         self.orders.lock().push(Instant::now());
         202
     }
 
     fn answer(&self, request: &str) -> String {
         let (status, body) = if request.starts_with("POST /anisedyke/order") {
-            (self.take_order(fence_of(request)), String::new())
+            (self.accept_order(fencing_token_of(request)), String::new())
         } else if request.starts_with("GET /anisedyke/report") {
             (200, self.report())
         } else {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Answers each request by its first bytes: what the controller sends fits one read.
+    /// Answers each request by its first bytes; the requests of the controller fit into one read.
     async fn serve(self: Arc<Self>, mut stream: BoxedStream) {
         let mut buffer = [0; 4096];
         while let Ok(read @ 1..) = stream.read(&mut buffer).await {
@@ -94,20 +95,20 @@
     }
 }
 
-async fn heartbeat(cluster: &Cluster, engine: &StubEngine, call: u64) {
+async fn heartbeat(cluster: &Cluster, engine: &StubEngine, call_seq: u64) {
     let body = serde_json::json!({"service": "s", "address": ADDRESS, "zone": "z1", "slots": 4,
-        "state": "ready", "callSeq": call, "models": [{"name": "m", "revision": engine.revision()}]});
+        "state": "ready", "callSeq": call_seq, "models": [{"name": "m", "revision": engine.revision()}]});
     let registry = cluster.controller(1).registry();
     instances::heartbeat(registry, "e1".into(), body.to_string().into()).await.unwrap();
 }
 
-fn mark(cluster: &Cluster) -> u64 {
+fn update_seq(cluster: &Cluster) -> u64 {
     cluster.controller(2).registry().get("e1").map_or(0, |engine| engine.update_seq)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_mark_is_renewed_and_the_order_goes_on_while_the_engine_ends_its_runs() {
-    let cluster = Cluster::found(3, 71).await;
+async fn update_sequence_is_renewed_while_the_engine_completes_its_requests() {
+    let cluster = Cluster::bootstrap(3, 71).await;
     cluster.wait_until_settled().await;
     let engine = Arc::new(StubEngine::default());
     let listener = cluster.listen(ADDRESS.parse().unwrap());
@@ -119,35 +120,41 @@
     cluster.retry_until_ok(1, target).await;
 
     let (start, mut renewals) = (Instant::now(), Vec::new());
-    for call in 2.. {
+    for call_seq in 2.. {
         tokio::time::sleep(INTERVAL).await;
-        heartbeat(&cluster, &engine, call).await;
-        let known = renewals.last().map_or(0, |(mark, _)| *mark);
-        if mark(&cluster) != known {
-            renewals.push((mark(&cluster), Instant::now()));
+        heartbeat(&cluster, &engine, call_seq).await;
+        let known = renewals.last().map_or(0, |(update_seq, _)| *update_seq);
+        if update_seq(&cluster) != known {
+            renewals.push((update_seq(&cluster), Instant::now()));
         }
-        if engine.revision() == 2 && mark(&cluster).is_multiple_of(2) {
+        if engine.revision() == 2 && update_seq(&cluster).is_multiple_of(2) {
             break;
         }
         assert!(start.elapsed() < LIMIT, "{renewals:?}");
     }
-    assert_eq!(engine.orders.lock().len(), 1, "it is not given up and begun again");
-    let (last, set) = renewals.split_last().unwrap();
-    assert!(set.iter().all(|(mark, _)| mark % 2 == 1), "set until it is done: {renewals:?}");
-    let times: Vec<Instant> = set.iter().chain([last]).map(|(_, at)| *at).collect();
-    let lapsed = |pair: &[Instant]| pair[1] - pair[0] >= constants::ROLLOUT_STATE_TIMEOUT;
-    assert!(!times.windows(2).any(lapsed), "routers heed it all the time: {times:?}");
-    assert!(times.last().unwrap().duration_since(times[0]) >= RUNS);
+    assert_eq!(engine.orders.lock().len(), 1, "the order is not abandoned and repeated");
+    let (last, in_progress) = renewals.split_last().unwrap();
+    assert!(
+        in_progress.iter().all(|(update_seq, _)| update_seq % 2 == 1),
+        "odd until the update is done: {renewals:?}"
+    );
+    let times: Vec<Instant> = in_progress.iter().chain([last]).map(|(_, at)| *at).collect();
+    let timed_out = |pair: &[Instant]| pair[1] - pair[0] >= constants::ROLLOUT_STATE_TIMEOUT;
+    assert!(
+        !times.windows(2).any(timed_out),
+        "each value is renewed before it times out at routers: {times:?}"
+    );
+    assert!(times.last().unwrap().duration_since(times[0]) >= IN_FLIGHT_DURATION);
 }
 
-/// The engine has seen a higher fencing token than the holder's, as if another node had held the lease in between.
+/// The engine has seen a higher fencing token than that of the holder, as if another node had held the lease meanwhile.
 #[tokio::test(start_paused = true)]
-async fn a_refused_fencing_token_is_not_used_again() {
-    let cluster = Cluster::found(3, 72).await;
+async fn refused_fencing_token_is_not_used_again() {
+    let cluster = Cluster::bootstrap(3, 72).await;
     cluster.wait_until_settled().await;
-    let (_, token) = super::leases::next_holder(&cluster, &[1, 2, 3]).await;
+    let (_, fencing_token) = super::leases::next_holder(&cluster, &[1, 2, 3]).await;
     let engine = Arc::new(StubEngine::default());
-    *engine.highest_fence.lock() = token + 2;
+    *engine.highest_fencing_token.lock() = fencing_token + 2;
     tokio::spawn(engine.clone().run(cluster.listen(ADDRESS.parse().unwrap())));
     heartbeat(&cluster, &engine, 1).await;
     let target = |controller: Arc<control_plane::Controller>| async move {
@@ -156,9 +163,9 @@
     cluster.retry_until_ok(1, target).await;
 
     let start = Instant::now();
-    for call in 2.. {
+    for call_seq in 2.. {
         tokio::time::sleep(INTERVAL).await;
-        heartbeat(&cluster, &engine, call).await;
+        heartbeat(&cluster, &engine, call_seq).await;
         if engine.revision() == 2 {
             break;
         }
@@ -166,6 +173,6 @@
     }
     let refused = engine.refused.lock().clone();
     assert!(refused.len() >= 2, "each higher token was tried: {refused:?}");
-    assert!(refused.is_sorted_by(|a, b| a.0 < b.0), "no token twice: {refused:?}");
+    assert!(refused.is_sorted_by(|a, b| a.0 < b.0), "no token is used twice: {refused:?}");
     assert_eq!(engine.orders.lock().len(), 1);
 }
--- a/crates/control-plane/tests/harness/disk.rs
+++ b/crates/control-plane/tests/harness/disk.rs
@@ -1,4 +1,4 @@
-//! A disk of memory: it takes a moment for each record, and keeps what it took.
+//! An in-memory disk that takes some time for each record and can hang.
 
 use super::Trace;
 use control_plane::storage::format::{Record, State};
@@ -10,67 +10,72 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Time that a record takes to be durable, unless the disk takes none.
-pub const WRITE: Duration = Duration::from_millis(2);
+/// Time until a record is durable, for disks that don't write instantly.
+pub const WRITE_TIME: Duration = Duration::from_millis(2);
 
-struct Job {
+struct WriteRequest {
     record: Record,
     done: oneshot::Sender<()>,
 }
 
 pub struct MemoryDisk {
-    jobs: mpsc::UnboundedSender<Job>,
-    image: Arc<Mutex<State>>,
-    hangs: watch::Sender<bool>,
+    requests: mpsc::UnboundedSender<WriteRequest>,
+    durable_state: Arc<Mutex<State>>,
+    is_hung: watch::Sender<bool>,
     task: tokio::task::AbortHandle,
 }
 
 impl MemoryDisk {
     pub fn start(node: usize, state: State, write_time: Duration, trace: Trace) -> MemoryDisk {
-        let (jobs, queue) = mpsc::unbounded_channel();
-        let image = Arc::new(Mutex::new(state));
-        let hangs = watch::Sender::new(false);
-        let disk =
-            Writer { node, write_time, image: image.clone(), hangs: hangs.subscribe(), trace };
+        let (requests, queue) = mpsc::unbounded_channel();
+        let durable_state = Arc::new(Mutex::new(state));
+        let is_hung = watch::Sender::new(false);
+        let disk = Writer {
+            node,
+            write_time,
+            durable_state: durable_state.clone(),
+            is_hung: is_hung.subscribe(),
+            trace,
+        };
         let writing = disk.run(queue);
         let task = tokio::spawn(writing).abort_handle();
-        MemoryDisk { jobs, image, hangs, task }
+        MemoryDisk { requests, durable_state, is_hung, task }
     }
 
-    /// From now on records are queued and not written, or written again.
-    pub fn hang(&self, hangs: bool) {
-        self.hangs.send_replace(hangs);
+    /// Sets whether the disk hangs. While it hangs, records are queued and not written.
+    pub fn hang(&self, is_hung: bool) {
+        self.is_hung.send_replace(is_hung);
     }
 
-    /// Takes no more; gives what is on it.
-    pub fn end(&self) -> State {
+    /// Stops writing and returns the durable state.
+    pub fn stop(&self) -> State {
         self.task.abort();
-        self.image.lock().clone()
+        self.durable_state.lock().clone()
     }
 }
 
-/// Writes what is queued, one record after the other.
+/// The task that writes queued records one by one.
 struct Writer {
     node: usize,
     write_time: Duration,
-    image: Arc<Mutex<State>>,
-    hangs: watch::Receiver<bool>,
+    durable_state: Arc<Mutex<State>>,
+    is_hung: watch::Receiver<bool>,
     trace: Trace,
 }
 
 impl Writer {
-    async fn run(mut self, mut queue: mpsc::UnboundedReceiver<Job>) {
-        while let Some(Job { record, done }) = queue.recv().await {
-            if self.hangs.wait_for(|hangs| !*hangs).await.is_err() {
+    async fn run(mut self, mut queue: mpsc::UnboundedReceiver<WriteRequest>) {
+        while let Some(WriteRequest { record, done }) = queue.recv().await {
+            if self.is_hung.wait_for(|is_hung| !*is_hung).await.is_err() {
                 return;
             }
             if !self.write_time.is_zero() {
                 tokio::time::sleep(self.write_time).await;
             }
-            self.image.lock().apply(&record);
+            self.durable_state.lock().apply(&record);
             let hash = fleet_core::node::stable_hash(&[&record.encode_to_vec()]);
             self.trace.add(self.node, &format!("wrote {hash:016x}"));
-            // who asked may have given up
+            // The caller may have stopped waiting.
             let _ = done.send(());
         }
     }
@@ -79,7 +84,7 @@
 impl RecordQueue for MemoryDisk {
     fn append(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
         let (done, written) = oneshot::channel();
-        let queued = self.jobs.send(Job { record, done });
+        let queued = self.requests.send(WriteRequest { record, done });
         Box::pin(async move {
             queued.map_err(|_| DiskError::Ended)?;
             written.await.map_err(|_| DiskError::Ended)
--- a/crates/control-plane/tests/harness/mod.rs
+++ b/crates/control-plane/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! Real controllers in one process: a network of memory, disks of memory, and a clock that tokio
-//! moves when all wait.
+//! Runs real controllers in one process, with an in-memory network, in-memory disks, and tokio's paused clock, which
+//! advances when all tasks wait.
 
 mod disk;
 mod network;
@@ -21,12 +21,12 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Longest time of the clock that anything here may take.
+/// Maximum time for a call to succeed.
 const LIMIT: Duration = Duration::from_secs(30);
-/// Time after which all nodes know what one was told, and duties have their holders.
-const SETTLED: Duration = Duration::from_secs(10);
+/// Time after which a change at one node has reached all nodes, and all leases are held.
+const SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// What happened, in its order: events, records written and bytes sent, each with time and node.
+/// The history of a run, in order: log events, records written and bytes sent, each with its time and node.
 #[derive(Clone)]
 pub struct Trace {
     start: Instant,
@@ -38,8 +38,8 @@
         Trace { start: Instant::now(), lines: Arc::default() }
     }
 
-    fn add(&self, node: usize, what: &str) {
-        let line = format!("{:?} n{node} {what}", self.start.elapsed());
+    fn add(&self, node: usize, text: &str) {
+        let line = format!("{:?} n{node} {text}", self.start.elapsed());
         self.lines.lock().unwrap().push(line);
     }
 
@@ -48,13 +48,13 @@
     }
 }
 
-/// Puts the log's events into the trace.
-struct Events {
+/// Adds log events to the trace.
+struct TraceDrain {
     node: usize,
     trace: Trace,
 }
 
-impl slog::Drain for Events {
+impl slog::Drain for TraceDrain {
     type Ok = ();
     type Err = slog::Never;
 
@@ -64,25 +64,25 @@
     }
 }
 
-struct Started {
+struct RunningNode {
     running: RunningController,
     machine: Machine,
-    /// none on a machine without a disk
+    /// `None` on a machine without a disk.
     disk: Option<Arc<MemoryDisk>>,
 }
 
-impl Started {
+impl RunningNode {
     fn disk(&self) -> &MemoryDisk {
-        self.disk.as_ref().expect("it has a disk")
+        self.disk.as_ref().expect("the node has a disk")
     }
 }
 
 pub struct Cluster {
     size: usize,
     network: Arc<Network>,
-    started: BTreeMap<usize, Started>,
-    images: BTreeMap<usize, State>,
-    seeds_used: u64,
+    nodes: BTreeMap<usize, RunningNode>,
+    disk_states: BTreeMap<usize, State>,
+    last_seed: u64,
     write_time: Duration,
     pub trace: Trace,
 }
@@ -98,23 +98,23 @@
 }
 
 impl Cluster {
-    /// Machines 1 to `size`; the seed is all that runs differ by.
-    pub async fn found(size: usize, seed: u64) -> Cluster {
-        Cluster::found_with_disks(size, seed, disk::WRITE).await
+    /// Bootstraps a cluster of nodes 1 to `size`. Runs with the same seed are identical.
+    pub async fn bootstrap(size: usize, seed: u64) -> Cluster {
+        Cluster::bootstrap_with_disks(size, seed, disk::WRITE_TIME).await
     }
 
-    /// The same with disks that take no time, so that what waits for anything else shows.
-    pub async fn found_with_instant_disks(size: usize, seed: u64) -> Cluster {
-        Cluster::found_with_disks(size, seed, Duration::ZERO).await
+    /// Like [`bootstrap`](Self::bootstrap), with disks that write instantly, so that any other wait can be measured.
+    pub async fn bootstrap_with_instant_disks(size: usize, seed: u64) -> Cluster {
+        Cluster::bootstrap_with_disks(size, seed, Duration::ZERO).await
     }
 
-    async fn found_with_disks(size: usize, seed: u64, write_time: Duration) -> Cluster {
+    async fn bootstrap_with_disks(size: usize, seed: u64, write_time: Duration) -> Cluster {
         let mut cluster = Cluster {
             size,
             network: Arc::default(),
-            started: BTreeMap::new(),
-            images: BTreeMap::new(),
-            seeds_used: seed * 1000,
+            nodes: BTreeMap::new(),
+            disk_states: BTreeMap::new(),
+            last_seed: seed * 1000,
             write_time,
             trace: Trace::new(),
         };
@@ -124,21 +124,21 @@
         cluster
     }
 
-    /// Starts a node with what its disk holds; with none, it is the first start of all.
+    /// Starts a node with the state on its disk. A node that has no disk image yet is in its first start.
     pub async fn start(&mut self, node: usize) {
-        let image = self.images.get(&node).cloned();
+        let image = self.disk_states.get(&node).cloned();
         let first_start = image.is_none();
         let state = image.unwrap_or_default();
         let disk = MemoryDisk::start(node, state.clone(), self.write_time, self.trace.clone());
-        self.start_with(node, state, first_start, Some(Arc::new(disk))).await;
+        self.start_node(node, state, first_start, Some(Arc::new(disk))).await;
     }
 
-    /// Starts a node on a machine without a disk: it serves, and never votes.
+    /// Starts a node on a machine without a disk. It serves requests but never votes.
     pub async fn start_without_disk(&mut self, node: usize) {
-        self.start_with(node, State::default(), false, None).await;
+        self.start_node(node, State::default(), false, None).await;
     }
 
-    async fn start_with(
+    async fn start_node(
         &mut self,
         node: usize,
         state: State,
@@ -150,72 +150,72 @@
             None => Arc::new(Disk::absent()),
         };
         let machine = Machine::new(node, self.network.clone(), self.trace.clone());
-        self.seeds_used += 1;
+        self.last_seed += 1;
         let environment = Environment {
             transport: Arc::new(machine.clone()),
             disk: queue,
             state,
             first_start,
-            seed: self.seeds_used,
+            seed: self.last_seed,
         };
-        let log = slog::Logger::root(Events { node, trace: self.trace.clone() }, slog::o!());
+        let log = slog::Logger::root(TraceDrain { node, trace: self.trace.clone() }, slog::o!());
         let started = Controller::start(settings(node, self.size), log, environment).await;
         let running = started.unwrap();
-        self.started.insert(node, Started { running, machine, disk });
+        self.nodes.insert(node, RunningNode { running, machine, disk });
     }
 
-    /// Ends a node at once; its disk keeps what was written.
+    /// Stops a node abruptly; its disk keeps what was durable.
     pub fn crash(&mut self, node: usize) {
-        let dead = self.started.remove(&node).unwrap();
-        dead.machine.end();
-        dead.running.abort();
-        if let Some(disk) = &dead.disk {
-            self.images.insert(node, disk.end());
+        let crashed = self.nodes.remove(&node).unwrap();
+        crashed.machine.stop();
+        crashed.running.abort();
+        if let Some(disk) = &crashed.disk {
+            self.disk_states.insert(node, disk.stop());
         }
         self.trace.add(node, "crashed");
     }
 
-    /// A node hands back what it holds, up to where the program would stop its tasks.
+    /// Makes a node give up its leases and keys, up to the point at which the program would stop its tasks.
     pub async fn leave(&self, node: usize) {
-        self.started[&node].running.leave().await;
+        self.nodes[&node].running.leave().await;
     }
 
-    /// Ends a node in good order, as SIGTERM does.
+    /// Stops a node gracefully, as SIGTERM does.
     pub async fn stop(&mut self, node: usize) {
         self.leave(node).await;
         self.crash(node);
     }
 
-    /// The node comes back, or comes at all, with an empty disk and no right to found anything.
+    /// Starts a node with an empty disk, as a restart or as a new node; it may not bootstrap a cluster.
     pub async fn start_empty(&mut self, node: usize) {
-        self.images.insert(node, State::default());
+        self.disk_states.insert(node, State::default());
         self.start(node).await;
     }
 
-    /// The node runs and is linked, but nothing more is kept, so that it answers no vote.
+    /// Stops the node's disk. The node keeps running with its links up, but stores nothing, so it answers no vote.
     pub fn stop_disk(&self, node: usize) {
-        self.started[&node].disk().end();
+        self.nodes[&node].disk().stop();
         self.trace.add(node, "disk stopped");
     }
 
-    /// The node's disk hangs: records wait, and none is refused. Or it works again.
-    pub fn hang_disk(&self, node: usize, hangs: bool) {
-        self.started[&node].disk().hang(hangs);
-        self.trace.add(node, if hangs { "disk hangs" } else { "disk works" });
+    /// Sets whether the node's disk hangs. While it hangs, records wait and none is refused.
+    pub fn hang_disk(&self, node: usize, is_hung: bool) {
+        self.nodes[&node].disk().hang(is_hung);
+        self.trace.add(node, if is_hung { "disk hangs" } else { "disk works" });
     }
 
-    /// Nodes in the membership as this one knows it.
+    /// The members of the cluster in the view of this node.
     pub fn members(&self, node: usize) -> Vec<usize> {
         let membership = self.controller(node).consensus().membership();
-        let last = |ip: &str| ip.rsplit('.').next().and_then(|n| n.parse().ok());
-        membership.members.iter().filter_map(|m| last(&m.ip)).collect()
+        let node_number = |ip: &str| ip.rsplit('.').next().and_then(|n| n.parse().ok());
+        membership.members.iter().filter_map(|member| node_number(&member.ip)).collect()
     }
 
     pub fn controller(&self, node: usize) -> &Arc<Controller> {
-        self.started[&node].running.controller()
+        self.nodes[&node].running.controller()
     }
 
-    /// A router's link to a node; what is pushed to it goes to `pushed`.
+    /// A router's link to a node; messages that the node pushes go to `pushed`.
     pub fn router_link(
         &self,
         router: usize,
@@ -229,18 +229,18 @@
         Link::keep_over(Arc::new(machine), &node, peer_service, pushed)
     }
 
-    /// Listens at an address that is no controller's.
+    /// Listens at an address that belongs to no controller.
     pub fn listen(&self, at: SocketAddr) -> Box<dyn Listener> {
         let machine = Machine::new(0, self.network.clone(), self.trace.clone());
         machine.listen(at).unwrap()
     }
 
-    /// Lets all that goes on in turns go on for a while.
+    /// Waits until periodic exchanges have reached all nodes.
     pub async fn wait_until_settled(&self) {
-        tokio::time::sleep(SETTLED).await;
+        tokio::time::sleep(SETTLE_TIME).await;
     }
 
-    /// Asks again until the answer is a good one, as an operator does.
+    /// Repeats a call until it succeeds, as an operator does; panics if that takes too long.
     pub async fn retry_until_ok<T, E: std::fmt::Debug, F: Future<Output = Result<T, E>>>(
         &self,
         node: usize,
@@ -250,7 +250,7 @@
         loop {
             let answer = call(self.controller(node).clone()).await;
             match answer {
-                Ok(good) => return good,
+                Ok(value) => return value,
                 Err(error) => assert!(Instant::now() < end, "n{node}: {error:?}"),
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
--- a/crates/control-plane/tests/harness/network.rs
+++ b/crates/control-plane/tests/harness/network.rs
@@ -1,4 +1,4 @@
-//! A network of memory: connections are pipes, and what goes into them is in the trace.
+//! An in-memory network: connections are pipes, and all bytes written to them are recorded in the trace.
 
 use super::Trace;
 use fleet_core::transport::{
@@ -16,44 +16,44 @@
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf};
 use tokio::sync::mpsc;
 
-/// Time that a connection takes to come up.
+/// Time to establish a connection.
 const LATENCY: Duration = Duration::from_millis(1);
-/// Bytes under way in one direction.
+/// Capacity of a connection in one direction.
 const PIPE_BYTES: usize = 64 << 10;
 
-/// Who listens where.
+/// The listeners by their addresses.
 #[derive(Default)]
 pub struct Network {
     listeners: Mutex<BTreeMap<SocketAddr, mpsc::UnboundedSender<Pipe>>>,
 }
 
-/// One start of a machine: after its end it connects to nobody.
+/// One run of a machine. After it has stopped, it can't connect any more.
 #[derive(Clone)]
 pub struct Machine {
     node: usize,
     network: Arc<Network>,
-    ended: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     trace: Trace,
 }
 
 impl Machine {
     pub fn new(node: usize, network: Arc<Network>, trace: Trace) -> Machine {
-        Machine { node, network, ended: Arc::default(), trace }
+        Machine { node, network, stopped: Arc::default(), trace }
     }
 
-    pub fn end(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
     fn pipe(&self, to: SocketAddr) -> (Pipe, Pipe) {
         let (near, far) = tokio::io::duplex(PIPE_BYTES);
-        let end = |stream, direction| Pipe {
+        let endpoint = |stream, direction| Pipe {
             stream,
             node: self.node,
             direction: format!("{direction} {to}"),
             trace: self.trace.clone(),
         };
-        (end(near, "to"), end(far, "from"))
+        (endpoint(near, "to"), endpoint(far, "from"))
     }
 }
 
@@ -114,8 +114,8 @@
             tokio::time::sleep(LATENCY).await;
             let listener = self.network.listeners.lock().get(&to).cloned();
             let (near, far) = self.pipe(to);
-            let taken = listener.is_some_and(|listener| listener.send(far).is_ok());
-            if self.ended.load(Ordering::Relaxed) || !taken {
+            let accepted = listener.is_some_and(|listener| listener.send(far).is_ok());
+            if self.stopped.load(Ordering::Relaxed) || !accepted {
                 return Err(TransportError::Socket(ErrorKind::ConnectionRefused));
             }
             Ok(Box::new(near) as BoxedStream)
@@ -135,7 +135,7 @@
     fn accept(&mut self) -> BoxFuture<'_, std::io::Result<BoxedStream>> {
         Box::pin(async move {
             let stream = self.0.recv().await;
-            stream.map(|s| Box::new(s) as BoxedStream).ok_or(ErrorKind::BrokenPipe.into())
+            stream.map(|pipe| Box::new(pipe) as BoxedStream).ok_or(ErrorKind::BrokenPipe.into())
         })
     }
 }
--- a/crates/control-plane/tests/http_api.rs
+++ b/crates/control-plane/tests/http_api.rs
@@ -1,5 +1,5 @@
-//! What engines, operators and `fleetctl` see of a controller over HTTP: paths, statuses, headers, and the
-//! names of all fields. None of it changes with the names in the sources.
+//! The HTTP interface of a controller for engines, operators and `fleetctl`: paths, statuses, headers, and the names of
+//! all fields. It must not change when names in the sources change.
 
 mod program;
 
@@ -13,15 +13,15 @@
     "state":"ready","coldLeftMs":0,"models":[{"name":"m","revision":4}],"callSeq":1}"#;
 const CONFIGURATION: &str = r#"{"revision":1,"routes":[],"services":[],"limits":{}}"#;
 
-/// A controller on this machine that is the only member.
-struct Running(Program);
+/// A controller on this machine that is the only member of its cluster.
+struct TestController(Program);
 
-impl Running {
-    fn start(net: u8) -> Running {
-        Running(Program::start(net, 1))
+impl TestController {
+    fn start(net: u8) -> TestController {
+        TestController(Program::start(net, 1))
     }
 
-    /// Calls with a base version; status and body of the answer.
+    /// Sends a request with a base version; returns the status and the body of the response.
     async fn call(&self, method: &str, path: &str, base: &str, body: &str) -> (u16, String) {
         self.0.call(method.parse().unwrap(), path, base, body).await
     }
@@ -32,12 +32,12 @@
         serde_json::from_str(&body).unwrap()
     }
 
-    /// Until this controller is in contact with the majority, which is itself.
+    /// Waits until the controller is in contact with a majority, which is itself.
     async fn wait_for_contact(&self) {
         while self.call("POST", "Instances.Heartbeat/e1", "0", HEARTBEAT).await.0 != 200 {}
     }
 
-    /// Until the models of the roll-out are there.
+    /// Waits until the roll-out view lists models, and returns it.
     async fn rollout_with_models(&self) -> Value {
         loop {
             let rollout = self.get("Rollout.Look").await;
@@ -48,38 +48,39 @@
     }
 }
 
-/// Names of an object's fields, sorted.
-fn names(value: &Value) -> Vec<&str> {
+/// The sorted names of an object's fields.
+fn field_names(value: &Value) -> Vec<&str> {
     let mut names: Vec<&str> = value.as_object().unwrap().keys().map(String::as_str).collect();
     names.sort_unstable();
     names
 }
 
 #[tokio::test]
-async fn calls_of_engines_and_operators_have_their_paths_and_statuses() {
-    let node = Running::start(21);
-    node.wait_for_contact().await;
+async fn requests_of_engines_and_operators_have_the_expected_statuses() {
+    let controller = TestController::start(21);
+    controller.wait_for_contact().await;
     let ok = |body: &str| (200, body.to_owned());
-    assert_eq!(node.call("POST", "Instances.Heartbeat/e1", "0", HEARTBEAT).await, ok("{}"));
-    let replaced = node.call("POST", "Config.Replace", "0", CONFIGURATION).await;
+    assert_eq!(controller.call("POST", "Instances.Heartbeat/e1", "0", HEARTBEAT).await, ok("{}"));
+    let replaced = controller.call("POST", "Config.Replace", "0", CONFIGURATION).await;
     assert_eq!(replaced, ok(r#"{"revision":1}"#));
-    let resent = node.call("POST", "Config.Replace", "0", CONFIGURATION).await;
+    let resent = controller.call("POST", "Config.Replace", "0", CONFIGURATION).await;
     assert_eq!(resent, ok(r#"{"revision":1}"#));
-    assert_eq!(node.call("GET", "Config.Fetch", "", "").await, ok(CONFIGURATION));
-    let put = node.call("POST", "version-put", "", r#"{"model":"m","revision":5}"#).await;
+    assert_eq!(controller.call("GET", "Config.Fetch", "", "").await, ok(CONFIGURATION));
+    let put = controller.call("POST", "version-put", "", r#"{"model":"m","revision":5}"#).await;
     assert_eq!(put, ok("{}"));
-    let deregistered = node.call("POST", "Instances.Deregister/e1", "", r#"{"callSeq":9}"#).await;
+    let deregistered =
+        controller.call("POST", "Instances.Deregister/e1", "", r#"{"callSeq":9}"#).await;
     assert_eq!(deregistered, ok("{}"));
-    assert_eq!(node.call("GET", "No.Such", "", "").await.0, 404);
+    assert_eq!(controller.call("GET", "No.Such", "", "").await.0, 404);
 }
 
 #[tokio::test]
-async fn rejections_have_their_statuses_and_codes() {
-    let node = Running::start(22);
-    node.wait_for_contact().await;
-    assert_eq!(node.call("POST", "Config.Replace", "0", CONFIGURATION).await.0, 200);
+async fn rejections_have_the_expected_statuses_and_codes() {
+    let controller = TestController::start(22);
+    controller.wait_for_contact().await;
+    assert_eq!(controller.call("POST", "Config.Replace", "0", CONFIGURATION).await.0, 200);
     let other = CONFIGURATION.replace("\"revision\":1", "\"revision\":2");
-    let table = [
+    let cases = [
         ("Config.Replace", "7", "x", 400, "unreadable"),
         ("Config.Replace", "none", CONFIGURATION, 400, "no_base"),
         ("Config.Replace", "0", other.as_str(), 412, "stale_base"),
@@ -87,37 +88,40 @@
         ("Instances.Heartbeat/e1", "", "{", 400, "malformed"),
         ("Instances.Deregister/e1", "", "{", 400, "malformed"),
     ];
-    for (path, base, body, status, code) in table {
-        let answer = node.call("POST", path, base, body).await;
-        assert_eq!(answer.0, status, "{path}: {answer:?}");
-        let error: Value = serde_json::from_str(&answer.1).unwrap();
-        assert_eq!(names(&error), ["error_code", "message", "request_id"]);
+    for (path, base, body, status, code) in cases {
+        let response = controller.call("POST", path, base, body).await;
+        assert_eq!(response.0, status, "{path}: {response:?}");
+        let error: Value = serde_json::from_str(&response.1).unwrap();
+        assert_eq!(field_names(&error), ["error_code", "message", "request_id"]);
         assert_eq!(error["error_code"], code, "{path}");
     }
 }
 
 #[tokio::test]
-async fn views_for_operators_have_their_fields() {
-    let node = Running::start(23);
-    node.wait_for_contact().await;
-    assert_eq!(node.call("POST", "version-put", "", r#"{"model":"m","revision":5}"#).await.0, 200);
-    let fleet = node.get("Fleet.Look").await;
-    assert_eq!(names(&fleet), ["engines", "revision", "routers"]);
+async fn views_for_operators_have_the_expected_fields() {
+    let controller = TestController::start(23);
+    controller.wait_for_contact().await;
+    assert_eq!(
+        controller.call("POST", "version-put", "", r#"{"model":"m","revision":5}"#).await.0,
+        200
+    );
+    let fleet = controller.get("Fleet.Look").await;
+    assert_eq!(field_names(&fleet), ["engines", "revision", "routers"]);
     let engine = json!({"id": "e1", "service": "s", "address": "10.0.0.9:80", "zone": "z", "slots": 3,
         "standing": "ready", "silent": false, "models": [{"name": "m", "revision": 4}]});
     assert_eq!(fleet["engines"], json!([engine]));
-    let rollout = node.rollout_with_models().await;
-    assert_eq!(names(&rollout), ["holds", "models", "width"]);
+    let rollout = controller.rollout_with_models().await;
+    assert_eq!(field_names(&rollout), ["holds", "models", "width"]);
     let model = &rollout["models"][0];
-    assert_eq!(names(model), ["ageMs", "engines", "leftMs", "model", "revision"]);
-    assert_eq!(names(&model["engines"][0]), ["id", "revision", "state", "stuck", "zone"]);
-    let members = node.get("Members.Look").await;
+    assert_eq!(field_names(model), ["ageMs", "engines", "leftMs", "model", "revision"]);
+    assert_eq!(field_names(&model["engines"][0]), ["id", "revision", "state", "stuck", "zone"]);
+    let members = controller.get("Members.Look").await;
     assert_eq!(members["name"], "a");
     assert_eq!(members["disk"], "works");
 }
 
 #[test]
-fn the_view_of_members_is_written_as_it_always_was() {
+fn members_view_keeps_its_serialized_form() {
     let ballot = || Some(BallotView { epoch: 1, owner: "10.0.0.1".into(), round: 2 });
     let voter = VoterView {
         ip: "10.0.0.1".into(),
@@ -167,6 +171,6 @@
             "granted": {"node": "n1", "leftMs": 10}}],
     });
     assert_eq!(serde_json::to_value(&view).unwrap(), expected);
-    let disks = [DiskState::Works, DiskState::Refused, DiskState::Absent];
-    assert_eq!(serde_json::to_value(disks).unwrap(), json!(["works", "refused", "absent"]));
+    let disk_states = [DiskState::Works, DiskState::Refused, DiskState::Absent];
+    assert_eq!(serde_json::to_value(disk_states).unwrap(), json!(["works", "refused", "absent"]));
 }
--- a/crates/control-plane/tests/peers.rs
+++ b/crates/control-plane/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Whose messages still count after a disk was lost.
+//! Messages of earlier incarnations of a controller are ignored after it has lost its disk.
 
 use control_plane::membership::peer_links::PeerLinks;
 use control_plane::process::Process;
@@ -12,7 +12,7 @@
     Handshake { ip: "10.0.0.7".into(), role: role as u32, incarnation, ..Default::default() }
 }
 
-fn links() -> PeerLinks {
+fn peer_links() -> PeerLinks {
     let text = "nodeName=a\nip=10.0.0.1\nzone=z\nportRange=1,9\n";
     let settings = Settings::parse(text).unwrap();
     let node = Node::seeded(&settings, Role::Controller, 1);
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn a_lost_disk_ends_former_incarnations_of_its_controller_and_not_the_router_beside_it() {
-    let m = links();
+fn lost_disk_retires_earlier_incarnations_of_the_controller_but_not_the_router_at_its_address() {
+    let links = peer_links();
     let (old, new) = (handshake(Role::Controller, 1), handshake(Role::Controller, 2));
     let router = handshake(Role::Router, 3);
-    for h in [&old, &new, &router] {
-        m.register(h);
+    for handshake in [&old, &new, &router] {
+        links.register(handshake);
     }
-    m.retire_incarnations("10.0.0.7", 2);
-    assert!(m.is_retired(&old));
-    assert!(!m.is_retired(&new) && !m.is_retired(&router));
+    links.retire_incarnations("10.0.0.7", 2);
+    assert!(links.is_retired(&old));
+    assert!(!links.is_retired(&new) && !links.is_retired(&router));
 }
--- a/crates/control-plane/tests/program/mod.rs
+++ b/crates/control-plane/tests/program/mod.rs
@@ -1,4 +1,4 @@
-//! A controller as its program runs it: over TCP, with files, on this machine.
+//! Runs a controller as its program does, over TCP and with files, on this machine.
 
 use control_plane::engines::client::EngineClient;
 use fleet_core::program::Start;
@@ -8,24 +8,24 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// For a busy machine; nothing is measured by it.
+/// Time-out of a call, generous for busy machines.
 const LIMIT: Duration = Duration::from_secs(20);
 
 fn free_port(ip: Ipv4Addr) -> u16 {
     TcpListener::bind((ip, 0)).unwrap().local_addr().unwrap().port()
 }
 
-/// A controller, ended when dropped.
+/// A running controller, which is stopped when dropped.
 pub struct Program {
     control: SocketAddr,
     dir: std::path::PathBuf,
     task: JoinHandle<()>,
-    _ends: (watch::Sender<bool>, mpsc::Sender<Settings>),
+    _channels: (watch::Sender<bool>, mpsc::Sender<Settings>),
 }
 
 impl Program {
-    /// Starts the first of so many seeds; the others don't run. Each test of the workspace has a network of its own,
-    /// so that no port is given to two.
+    /// Starts the first of `seeds` seed nodes; the others don't run. Each test of the workspace uses a loopback network
+    /// of its own (127.0.`net`), so that no port is assigned twice.
     pub fn start(net: u8, seeds: u8) -> Program {
         let ip = Ipv4Addr::new(127, 0, net, 1);
         let (control, peers) = (free_port(ip), free_port(ip));
@@ -41,17 +41,17 @@
         );
         let settings = Settings::parse(&text).unwrap();
         let (stop, stopped) = watch::channel(false);
-        let (reread, rereads) = mpsc::channel(1);
+        let (reload, reloads) = mpsc::channel(1);
         let log = fleet_core::log::root(slog::Level::Error, "a", "controller");
         let task = tokio::spawn(async move {
-            let start = Start { settings, log, stop: stopped, reread: rereads, metrics: None };
+            let start = Start { settings, log, stop: stopped, reread: reloads, metrics: None };
             control_plane::run(start).await.unwrap();
         });
         let control = SocketAddr::new(ip.into(), control);
-        Program { control, dir, task, _ends: (stop, reread) }
+        Program { control, dir, task, _channels: (stop, reload) }
     }
 
-    /// Calls it, again until it listens; status and body of the answer.
+    /// Sends a request, once the controller accepts a connection; returns the status and the body of the response.
     pub async fn call(
         &self,
         method: http::Method,
@@ -62,16 +62,16 @@
         loop {
             let mut client = EngineClient::new(Ipv4Addr::LOCALHOST, self.control);
             if client.open().await.is_err() {
-                assert!(!self.task.is_finished(), "the controller ended");
+                assert!(!self.task.is_finished(), "the controller stopped");
                 tokio::task::yield_now().await;
                 continue;
             }
             let path = format!("/anisedyke/{path}");
             let headers = [("X-Base-Revision", base)];
             let body = body.as_bytes().to_vec();
-            let answer = client.send(method, &path, &headers, body, LIMIT).await.unwrap();
-            let text = String::from_utf8_lossy(&answer.body).into_owned();
-            return (answer.status.as_u16(), text);
+            let response = client.send(method, &path, &headers, body, LIMIT).await.unwrap();
+            let text = String::from_utf8_lossy(&response.body).into_owned();
+            return (response.status.as_u16(), text);
         }
     }
 }
--- a/crates/control-plane/tests/rollout_plan.rs
+++ b/crates/control-plane/tests/rollout_plan.rs
@@ -1,4 +1,4 @@
-//! The order, width and steps of a roll-out, on a clock of the test's own.
+//! The order, concurrency and steps of a roll-out, at times set by the tests.
 
 use control_plane::rollout::concurrency::Concurrency;
 use control_plane::rollout::plan::{Action, OutdatedEngine, Plan, Step};
@@ -21,167 +21,169 @@
     }
 }
 
-/// The same engines, which should be done in so much time.
+/// The same engines, with this much time left to the goal.
 fn with_goal(engines: &[OutdatedEngine], goal: Duration) -> Vec<OutdatedEngine> {
     engines.iter().map(|engine| OutdatedEngine { goal, ..engine.clone() }).collect()
 }
 
-/// The same engines with so much time left.
+/// The same engines, with this much time left to the deadline.
 fn with_remaining(engines: &[OutdatedEngine], remaining: Duration) -> Vec<OutdatedEngine> {
     engines.iter().map(|engine| OutdatedEngine { remaining, ..engine.clone() }).collect()
 }
 
-/// `people` engines that serve people who wait, then batch-like ones.
-fn fleet(people: usize, batch: usize, interactive_runs: u32) -> Vec<OutdatedEngine> {
-    (0..people)
+/// `interactive` engines that serve interactive requests, then `batch` engines that serve batch requests.
+fn fleet(interactive: usize, batch: usize, interactive_runs: u32) -> Vec<OutdatedEngine> {
+    (0..interactive)
         .map(|i| outdated(i, 0.9, interactive_runs))
-        .chain((people..people + batch).map(|i| outdated(i, 0.0, 0)))
+        .chain((interactive..interactive + batch).map(|i| outdated(i, 0.0, 0)))
         .collect()
 }
 
 fn updated(actions: &[Action]) -> Vec<&str> {
-    let is_update = |a: &'_ Action| matches!(a, Action::Update(_));
+    let is_update = |action: &'_ Action| matches!(action, Action::Update(_));
     actions
         .iter()
-        .filter(|a| is_update(a))
-        .map(|a| match a {
+        .filter(|action| is_update(action))
+        .map(|action| match action {
             Action::Update(id) | Action::DrainStreams(id) => id.as_str(),
         })
         .collect()
 }
 
 #[test]
-fn engines_of_people_who_wait_are_ready_before_any_batch_like_one() {
+fn interactive_engines_are_updated_before_batch_engines() {
     let (mut plan, mut now) = (Plan::default(), Instant::now());
     let mut remaining = fleet(6, 14, 0);
     let mut order: Vec<String> = Vec::new();
     while !remaining.is_empty() {
-        let out = plan.next(now, 20, &remaining);
+        let actions = plan.next(now, 20, &remaining);
         now += constants::UPDATE_INITIAL_ESTIMATE;
-        for id in updated(&out) {
+        for id in updated(&actions) {
             order.push(id.to_owned());
             plan.ended(id, now, Some(Duration::from_millis(400)));
-            remaining.retain(|o| o.id != id);
+            remaining.retain(|engine| engine.id != id);
         }
         assert!(order.len() < 30);
     }
     let last = order.iter().rposition(|id| id.as_str() < "e006").unwrap();
     assert_eq!(last, 5, "{order:?}");
-    assert_eq!(order.len(), 20, "each once");
+    assert_eq!(order.len(), 20, "each engine is updated once");
 }
 
 #[test]
-fn an_engine_with_streams_fades_first_and_turns_when_they_end_or_time_is_up() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let mut all = fleet(2, 0, 3);
-    let out = plan.next(t, 2, &all);
-    assert!(updated(&out).is_empty() && out.len() == 1, "{out:?}");
-    assert_eq!(plan.step("e000"), Some(Step::DrainingStreams(t)));
-    assert!(plan.next(t + constants::ROLLOUT_INTERVAL, 2, &all).is_empty());
-    all[0].interactive_runs = 0;
-    let out = plan.next(t + constants::ROLLOUT_INTERVAL * 2, 2, &all);
-    assert_eq!(updated(&out), ["e000"]);
-    plan.ended("e000", t + constants::UPDATE_INITIAL_ESTIMATE, Some(Duration::from_millis(400)));
-    let remaining = [all[1].clone()];
-    let t = t + constants::UPDATE_INITIAL_ESTIMATE;
-    assert_eq!(plan.next(t, 2, &remaining), [Action::DrainStreams("e001".into())]);
-    assert_eq!(updated(&plan.next(t + constants::STREAM_DRAIN_TIMEOUT, 2, &remaining)), ["e001"]);
+fn engine_with_streams_drains_them_and_is_updated_when_they_end_or_time_out() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let mut engines = fleet(2, 0, 3);
+    let actions = plan.next(now, 2, &engines);
+    assert!(updated(&actions).is_empty() && actions.len() == 1, "{actions:?}");
+    assert_eq!(plan.step("e000"), Some(Step::DrainingStreams(now)));
+    assert!(plan.next(now + constants::ROLLOUT_INTERVAL, 2, &engines).is_empty());
+    engines[0].interactive_runs = 0;
+    let actions = plan.next(now + constants::ROLLOUT_INTERVAL * 2, 2, &engines);
+    assert_eq!(updated(&actions), ["e000"]);
+    plan.ended("e000", now + constants::UPDATE_INITIAL_ESTIMATE, Some(Duration::from_millis(400)));
+    let remaining = [engines[1].clone()];
+    let now = now + constants::UPDATE_INITIAL_ESTIMATE;
+    assert_eq!(plan.next(now, 2, &remaining), [Action::DrainStreams("e001".into())]);
+    assert_eq!(updated(&plan.next(now + constants::STREAM_DRAIN_TIMEOUT, 2, &remaining)), ["e001"]);
 }
 
 #[test]
-fn no_more_turn_together_than_traffic_can_spare_unless_the_bound_is_near() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = fleet(0, 100, 0);
-    let out = plan.next(t, 100, &all);
-    assert_eq!(updated(&out).len(), (100.0 * constants::ROLLOUT_INITIAL_SHARE) as usize);
-    assert!(plan.next(t, 100, &all).is_empty(), "these turn already");
-    let late = plan.next(t, 100, &with_remaining(&all, constants::UPDATE_INITIAL_ESTIMATE * 2));
+fn concurrent_updates_are_limited_unless_the_deadline_is_near() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = fleet(0, 100, 0);
+    let actions = plan.next(now, 100, &engines);
+    assert_eq!(updated(&actions).len(), (100.0 * constants::ROLLOUT_INITIAL_SHARE) as usize);
+    assert!(plan.next(now, 100, &engines).is_empty(), "the first ones are still being updated");
+    let late =
+        plan.next(now, 100, &with_remaining(&engines, constants::UPDATE_INITIAL_ESTIMATE * 2));
     assert_eq!(
-        updated(&late).len() + out.len(),
+        updated(&late).len() + actions.len(),
         (100.0 * constants::ROLLOUT_MAX_SHARE_LATE) as usize
     );
 }
 
 #[test]
-fn batch_like_ones_do_not_wait_when_time_is_short() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = fleet(10, 10, 5);
-    assert!(updated(&plan.next(t, 20, &all)).is_empty());
-    let out = plan.next(t, 20, &with_remaining(&all, constants::UPDATE_INITIAL_ESTIMATE * 3));
-    assert!(updated(&out).iter().all(|id| *id >= "e010") && !updated(&out).is_empty());
+fn batch_engines_do_not_wait_for_interactive_ones_when_time_is_short() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = fleet(10, 10, 5);
+    assert!(updated(&plan.next(now, 20, &engines)).is_empty());
+    let actions =
+        plan.next(now, 20, &with_remaining(&engines, constants::UPDATE_INITIAL_ESTIMATE * 3));
+    assert!(updated(&actions).iter().all(|id| *id >= "e010") && !updated(&actions).is_empty());
 }
 
 #[test]
-fn width_grows_with_quick_loads_and_falls_once_with_slow_ones() {
-    let (mut w, t) = (Concurrency::new(100), Instant::now());
+fn concurrency_grows_with_fast_loads_and_decreases_once_per_wave_of_slow_ones() {
+    let (mut concurrency, now) = (Concurrency::new(100), Instant::now());
     let ms = Duration::from_millis;
-    let first = w.limit();
+    let initial = concurrency.limit();
     for _ in 0..10 {
-        w.record_load(t, ms(400));
+        concurrency.record_load(now, ms(400));
     }
-    assert_eq!(w.limit(), first + 10);
+    assert_eq!(concurrency.limit(), initial + 10);
     for _ in 0..5 {
-        w.record_load(t, ms(1200));
+        concurrency.record_load(now, ms(1200));
     }
     assert_eq!(
-        w.limit(),
-        ((first + 10) as f64 * constants::CONCURRENCY_DECREASE) as usize,
-        "one cut for one wave"
+        concurrency.limit(),
+        ((initial + 10) as f64 * constants::CONCURRENCY_DECREASE) as usize,
+        "one decrease per wave"
     );
-    w.record_load(t + constants::CONCURRENCY_DECREASE_INTERVAL, ms(1200));
-    assert!(w.limit() < first + 10 - 5);
+    concurrency.record_load(now + constants::CONCURRENCY_DECREASE_INTERVAL, ms(1200));
+    assert!(concurrency.limit() < initial + 10 - 5);
     for i in 0..50 {
-        w.record_load(t + constants::CONCURRENCY_DECREASE_INTERVAL * (i + 2), ms(5000));
+        concurrency.record_load(now + constants::CONCURRENCY_DECREASE_INTERVAL * (i + 2), ms(5000));
     }
-    assert_eq!(w.limit(), 1);
+    assert_eq!(concurrency.limit(), 1);
 }
 
 #[test]
-fn a_failed_turn_is_begun_again_and_teaches_nothing() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = fleet(0, 1, 0);
-    assert_eq!(updated(&plan.next(t, 1, &all)), ["e000"]);
+fn failed_update_is_retried_and_does_not_change_the_concurrency() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = fleet(0, 1, 0);
+    assert_eq!(updated(&plan.next(now, 1, &engines)), ["e000"]);
     let concurrency = plan.concurrency();
-    plan.ended("e000", t + LONG, None);
+    plan.ended("e000", now + LONG, None);
     assert_eq!(plan.concurrency(), concurrency);
-    assert_eq!(updated(&plan.next(t + LONG, 1, &all)), ["e000"]);
+    assert_eq!(updated(&plan.next(now + LONG, 1, &engines)), ["e000"]);
 }
 
 #[test]
-fn a_new_holder_takes_up_what_faded_under_the_former_one() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = fleet(1, 0, 0);
-    plan.adopt("e000", t);
-    assert_eq!(plan.next(t, 1, &all), [Action::Update("e000".into())]);
-    plan.adopt("e000", t);
-    assert_eq!(plan.step("e000"), Some(Step::Updating(t)), "a turn is not taken back");
+fn new_holder_continues_draining_started_by_the_previous_one() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = fleet(1, 0, 0);
+    plan.adopt("e000", now);
+    assert_eq!(plan.next(now, 1, &engines), [Action::Update("e000".into())]);
+    plan.adopt("e000", now);
+    assert_eq!(plan.step("e000"), Some(Step::Updating(now)), "adopting does not reset an update");
 }
 
 #[test]
-fn an_engine_that_is_gone_midway_holds_nothing_up() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = fleet(2, 0, 4);
-    plan.next(t, 2, &all);
-    let out = plan.next(t, 2, &all[1..]);
-    assert_eq!(out, [Action::DrainStreams("e001".into())], "its place is free");
+fn removed_engine_does_not_block_the_roll_out() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = fleet(2, 0, 4);
+    plan.next(now, 2, &engines);
+    let actions = plan.next(now, 2, &engines[1..]);
+    assert_eq!(actions, [Action::DrainStreams("e001".into())], "its place in the roll-out is free");
     assert_eq!(plan.step("e000"), None);
 }
 
 #[test]
-fn the_oldest_weights_go_first_however_busy_their_engines_are() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let mut all = fleet(0, 10, 0);
-    for engine in &mut all[7..] {
+fn engines_with_the_least_time_left_are_updated_first_however_busy() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let mut engines = fleet(0, 10, 0);
+    for engine in &mut engines[7..] {
         engine.runs = 40;
         engine.remaining = Duration::from_secs(3);
     }
     let mut order: Vec<String> = Vec::new();
     while order.len() < 10 {
-        let begun = plan.next(t, 10, &all);
+        let begun = plan.next(now, 10, &engines);
         for id in updated(&begun) {
             order.push(id.to_owned());
-            plan.ended(id, t, Some(Duration::from_millis(400)));
-            all.retain(|engine| engine.id != id);
+            plan.ended(id, now, Some(Duration::from_millis(400)));
+            engines.retain(|engine| engine.id != id);
         }
         assert!(!begun.is_empty(), "{order:?}");
     }
@@ -191,57 +193,61 @@
 }
 
 #[test]
-fn interactive_engines_with_the_oldest_weights_are_drained_first() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let mut all = fleet(3, 0, 2);
-    all[2].interactive_runs = 40;
-    all[2].remaining = Duration::from_secs(3);
-    assert_eq!(plan.next(t, 3, &all).first(), Some(&Action::DrainStreams("e002".into())));
+fn interactive_engines_with_the_least_time_left_are_drained_first() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let mut engines = fleet(3, 0, 2);
+    engines[2].interactive_runs = 40;
+    engines[2].remaining = Duration::from_secs(3);
+    assert_eq!(plan.next(now, 3, &engines).first(), Some(&Action::DrainStreams("e002".into())));
 }
 
 #[test]
-fn few_engines_with_little_time_widen_the_roll_out_as_far_as_they_need() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let mut all = fleet(0, 20, 0);
-    for engine in &mut all[..8] {
+fn few_engines_with_little_time_raise_the_concurrency_only_as_needed() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let mut engines = fleet(0, 20, 0);
+    for engine in &mut engines[..8] {
         engine.remaining = constants::UPDATE_INITIAL_ESTIMATE;
     }
-    assert_eq!(updated(&plan.next(t, 20, &all)).len(), 8, "each is ready in time");
+    assert_eq!(updated(&plan.next(now, 20, &engines)).len(), 8, "all of them are updated at once");
 }
 
 #[test]
-fn a_goal_widens_the_roll_out_only_as_far_as_traffic_can_spare() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = with_goal(&fleet(0, 100, 0), constants::UPDATE_INITIAL_ESTIMATE * 4);
-    assert_eq!(updated(&plan.next(t, 100, &all)).len(), 25, "all within four updates");
-    let (mut plan, passed) = (Plan::default(), with_goal(&all, Duration::ZERO));
-    let most = (100.0 * constants::ROLLOUT_MAX_SHARE) as usize;
+fn goal_raises_the_concurrency_only_up_to_the_maximum_share() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = with_goal(&fleet(0, 100, 0), constants::UPDATE_INITIAL_ESTIMATE * 4);
+    assert_eq!(
+        updated(&plan.next(now, 100, &engines)).len(),
+        25,
+        "all engines within four rounds of updates"
+    );
+    let (mut plan, passed) = (Plan::default(), with_goal(&engines, Duration::ZERO));
+    let max_updates = (100.0 * constants::ROLLOUT_MAX_SHARE) as usize;
     assert_eq!(
-        updated(&plan.next(t, 100, &passed)).len(),
-        most,
-        "a goal that has passed is no bound"
+        updated(&plan.next(now, 100, &passed)).len(),
+        max_updates,
+        "a goal in the past does not exceed the maximum share"
     );
 }
 
 #[test]
-fn slow_loads_narrow_a_roll_out_whose_goal_has_passed() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = with_remaining(&with_goal(&fleet(0, 100, 0), Duration::ZERO), LONG * 1000);
-    let begun = plan.next(t, 100, &all);
+fn slow_loads_lower_the_concurrency_although_the_goal_has_passed() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = with_remaining(&with_goal(&fleet(0, 100, 0), Duration::ZERO), LONG * 1000);
+    let begun = plan.next(now, 100, &engines);
     let ms = Duration::from_millis;
     for (number, id) in updated(&begun).into_iter().enumerate() {
         let load = if number == 0 { ms(400) } else { ms(4000) };
-        let ended = t + constants::CONCURRENCY_DECREASE_INTERVAL * (number as u32 + 1);
+        let ended = now + constants::CONCURRENCY_DECREASE_INTERVAL * (number as u32 + 1);
         plan.ended(id, ended, Some(load));
     }
-    assert!(updated(&plan.next(t + LONG, 100, &all)).len() <= 2 * plan.concurrency());
+    assert!(updated(&plan.next(now + LONG, 100, &engines)).len() <= 2 * plan.concurrency());
     assert!(plan.concurrency() < 5, "{}", plan.concurrency());
 }
 
 #[test]
-fn batch_like_ones_do_not_wait_for_the_interactive_ones_where_the_goal_is_near() {
-    let (mut plan, t) = (Plan::default(), Instant::now());
-    let all = with_goal(&fleet(10, 10, 5), constants::UPDATE_INITIAL_ESTIMATE * 3);
-    let out = plan.next(t, 20, &all);
-    assert!(updated(&out).iter().all(|id| *id >= "e010") && !updated(&out).is_empty());
+fn batch_engines_do_not_wait_for_interactive_ones_when_the_goal_is_near() {
+    let (mut plan, now) = (Plan::default(), Instant::now());
+    let engines = with_goal(&fleet(10, 10, 5), constants::UPDATE_INITIAL_ESTIMATE * 3);
+    let actions = plan.next(now, 20, &engines);
+    assert!(updated(&actions).iter().all(|id| *id >= "e010") && !updated(&actions).is_empty());
 }
--- a/crates/control-plane/tests/rollout_status.rs
+++ b/crates/control-plane/tests/rollout_status.rs
@@ -1,4 +1,4 @@
-//! What the operator is shown of an engine in a roll-out.
+//! The status of engines in a roll-out, as shown to operators.
 
 use control_plane::rollout::plan::Step;
 use control_plane::rollout::status::{State, state_of, stuck};
@@ -13,8 +13,8 @@
 }
 
 #[test]
-fn states_follow_from_weights_and_marks() {
-    let table = [
+fn state_follows_from_weights_and_sequence_numbers() {
+    let cases = [
         (engine(2, 0, 0), State::Ready),
         (engine(2, 1, 1), State::Ready),
         (engine(1, 1, 1), State::Updating),
@@ -22,16 +22,20 @@
         (engine(1, 2, 2), State::Waiting),
         (Engine { heartbeat_missed: true, ..engine(2, 0, 0) }, State::HeartbeatMissed),
     ];
-    for (e, want) in table {
-        assert_eq!(state_of(&e, "m", 2), want, "{e:?}");
+    for (engine, expected) in cases {
+        assert_eq!(state_of(&engine, "m", 2), expected, "{engine:?}");
     }
 }
 
 #[test]
-fn stuck_names_what_is_wrong_and_nothing_else() {
-    let t = Instant::now();
-    let updating = |ms| Some((Step::Updating(t), t + Duration::from_millis(ms)));
-    assert_eq!(stuck(State::Updating, updating(100), Some("late")), None, "it is tried again");
+fn stuck_reports_only_problems() {
+    let started_at = Instant::now();
+    let updating = |ms| Some((Step::Updating(started_at), started_at + Duration::from_millis(ms)));
+    assert_eq!(
+        stuck(State::Updating, updating(100), Some("late")),
+        None,
+        "the update is being retried"
+    );
     let slow =
         stuck(State::Updating, updating(constants::UPDATE_SLOW.as_millis() as u64 + 1), None);
     assert_eq!(slow.as_deref(), Some("turns since 4001 ms"));
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -1,8 +1,8 @@
-//! A data folder that an earlier release left is opened with all that it held, and this release writes the
-//! same bytes for the same records.
+//! Compatibility of the data folder: one written by an earlier release is read completely, and the same records are
+//! written as the same bytes.
 //!
-//! `fixtures/data-folder` holds both slots and a log of two records with a torn third one behind them. The
-//! fixture is never changed: what a controller has on its disk has to stay readable.
+//! `fixtures/data-folder` contains both slots and a log of two records followed by a torn third one. The fixture must
+//! not be changed, because data on the disks of controllers has to stay readable.
 
 use control_plane::consensus::acceptor::Acceptor;
 use control_plane::storage::backend::Folder;
@@ -15,25 +15,25 @@
 use std::path::{Path, PathBuf};
 
 const FILES: [&str; 3] = ["slot0", "slot1", "log"];
-/// Small files, so that the fixture is small.
-const LAYOUT: Layout = Layout { slot: 4096, log: 4096 };
+/// Small sizes, to keep the fixture small.
+const SMALL_LAYOUT: Layout = Layout { slot: 4096, log: 4096 };
 /// Address of the node that the folder belongs to.
-const OWN: std::net::Ipv4Addr = std::net::Ipv4Addr::new(10, 0, 0, 2);
+const OWN_IP: std::net::Ipv4Addr = std::net::Ipv4Addr::new(10, 0, 0, 2);
 
 fn fixture() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/data-folder")
 }
 
-/// A folder of its own for a test, empty.
-fn scratch(name: &str) -> PathBuf {
+/// The path of a folder for one test, which does not exist yet.
+fn empty_folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("stored-data-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-/// A copy of the fixture, which opening may write to.
+/// Copies the fixture, since opening a folder may write to it.
 fn copy_fixture(name: &str) -> PathBuf {
-    let path = scratch(name);
+    let path = empty_folder(name);
     std::fs::create_dir_all(&path).unwrap();
     for file in FILES {
         std::fs::copy(fixture().join(file), path.join(file)).unwrap();
@@ -42,11 +42,11 @@
 }
 
 fn open(path: &Path) -> (Files<Folder>, State) {
-    Files::open_in(Folder::open(path).unwrap(), LAYOUT).unwrap()
+    Files::open_in(Folder::open(path).unwrap(), SMALL_LAYOUT).unwrap()
 }
 
-fn ballot(n: u64, seq: u64) -> Ballot {
-    Ballot { n, node: 0x0a00_0001, seq }
+fn ballot(epoch: u64, seq: u64) -> Ballot {
+    Ballot { n: epoch, node: 0x0a00_0001, seq }
 }
 
 fn register(key: &str, n: u64, value: &impl Message) -> Register {
@@ -65,8 +65,8 @@
     Membership { epoch: 4, members: (1..=3).map(member).collect() }
 }
 
-/// Of the register that holds no key of the control state.
-fn internal(key: &str, n: u64, value: Vec<u8>) -> Register {
+/// A register of the acceptor itself, whose key is no key of the control state.
+fn acceptor_register(key: &str, n: u64, value: Vec<u8>) -> Register {
     let promised = Ballot { n, ..Default::default() };
     Register { key: key.to_owned(), promised, value: value.into(), ..Default::default() }
 }
@@ -84,15 +84,15 @@
     Record { registers, voting: true, reset: false }
 }
 
-/// What the records of the fixture were, in their order; each was written by itself.
+/// The records of the fixture, in order; each was written separately.
 fn records() -> Vec<Record> {
     vec![
         record(vec![
-            internal("\u{1}membership", 0, membership().encode_to_vec()),
-            internal("\u{1}recovery_epoch", 3, Vec::new()),
+            acceptor_register("\u{1}membership", 0, membership().encode_to_vec()),
+            acceptor_register("\u{1}recovery_epoch", 3, Vec::new()),
         ]),
         record(vec![register("config", 11, &config())]),
-        // does not fit behind the others: the state goes to the next slot, and the log starts anew
+        // Doesn't fit into the log after the others: the state is written to the next slot, and the log starts anew.
         record(vec![register("filler", 12, &WeightsValue { version: 1 }), filler()]),
         record(vec![register("weights/m", 13, &WeightsValue { version: 8 })]),
         record(vec![register("duty/roll-out", 14, &lease())]),
@@ -103,12 +103,12 @@
     Register { key: "filler".into(), value: vec![0; 3800].into(), ..Default::default() }
 }
 
-/// The record that a loss of power tore.
-fn torn() -> Record {
+/// The last record, which a loss of power left incomplete.
+fn torn_record() -> Record {
     record(vec![register("config", 99, &config())])
 }
 
-/// Writes the records of the fixture to a folder, and tears the last one.
+/// Writes the records of the fixture to a folder, and corrupts the last one.
 fn write_folder(path: &Path) {
     let (mut files, _) = open(path);
     for record in records() {
@@ -116,16 +116,16 @@
     }
     let log = path.join("log");
     let before = std::fs::read(&log).unwrap();
-    files.persist([&torn()].into_iter()).unwrap();
+    files.persist([&torn_record()].into_iter()).unwrap();
     let mut after = std::fs::read(&log).unwrap();
-    let first = (0..after.len()).find(|at| before[*at] != after[*at]).unwrap();
-    after[first + 30] ^= 0xff;
+    let first_change = (0..after.len()).find(|at| before[*at] != after[*at]).unwrap();
+    after[first_change + 30] ^= 0xff;
     std::fs::write(&log, after).unwrap();
 }
 
 fn assert_state(state: State) {
     assert!(state.voting);
-    let acceptor = Acceptor::new(OWN, state);
+    let acceptor = Acceptor::new(OWN_IP, state);
     assert_eq!(acceptor.membership(), &membership());
     assert_eq!(acceptor.recovery_epoch(), 3);
     assert!(acceptor.votes());
@@ -136,15 +136,15 @@
     assert_eq!(acceptor.registers().count(), 4);
 }
 
-/// Changes the sequence number in a slot's header, so that its checksum is wrong.
-fn damage(path: &Path) {
+/// Changes the sequence number in a slot's header, so that its checksum no longer matches.
+fn corrupt(path: &Path) {
     let mut bytes = std::fs::read(path).unwrap();
     bytes[8] ^= 0x55;
     std::fs::write(path, bytes).unwrap();
 }
 
 #[test]
-fn a_folder_of_the_earlier_release_is_opened_without_its_torn_tail() {
+fn folder_of_an_earlier_release_is_opened_without_its_torn_record() {
     let path = copy_fixture("open");
     let (files, state) = open(&path);
     assert!(!files.empty && !files.damaged);
@@ -152,8 +152,8 @@
 }
 
 #[test]
-fn the_same_records_are_written_as_the_same_bytes() {
-    let path = scratch("write");
+fn same_records_are_written_as_the_same_bytes() {
+    let path = empty_folder("write");
     write_folder(&path);
     for file in FILES {
         let (new, old) = (std::fs::read(path.join(file)), std::fs::read(fixture().join(file)));
@@ -162,40 +162,40 @@
 }
 
 #[test]
-fn a_damaged_older_slot_changes_nothing() {
+fn damaged_older_slot_does_not_affect_the_state() {
     let path = copy_fixture("older");
-    damage(&path.join("slot1"));
+    corrupt(&path.join("slot1"));
     let (files, state) = open(&path);
     assert!(files.damaged && !files.empty);
     assert_state(state);
 }
 
 #[test]
-fn a_damaged_newest_slot_gives_the_state_of_the_other() {
+fn damaged_newest_slot_gives_the_state_of_the_older_one() {
     let path = copy_fixture("newest");
-    damage(&path.join("slot0"));
+    corrupt(&path.join("slot0"));
     let (files, state) = open(&path);
     assert!(files.damaged);
     assert!(state.registers.iter().all(|register| register.key != "weights/m"));
 }
 
 #[test]
-fn two_damaged_slots_make_an_empty_disk() {
+fn two_damaged_slots_are_opened_as_an_empty_state() {
     let path = copy_fixture("both");
-    damage(&path.join("slot0"));
-    damage(&path.join("slot1"));
+    corrupt(&path.join("slot0"));
+    corrupt(&path.join("slot1"));
     let (files, state) = open(&path);
     assert!(files.damaged && files.empty);
     assert_eq!(state, State::default());
 }
 
 #[test]
-fn no_cut_of_a_slot_makes_opening_fail() {
+fn truncated_slot_never_makes_opening_fail() {
     let path = copy_fixture("cut");
     let complete = std::fs::read(path.join("slot0")).unwrap();
     for length in (0..complete.len()).step_by(7) {
         std::fs::write(path.join("slot0"), &complete[..length]).unwrap();
         let (_, state) = open(&path);
-        assert!(state.registers.len() <= 6, "cut at {length}");
+        assert!(state.registers.len() <= 6, "truncated to {length} bytes");
     }
 }
