--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -1,4 +1,4 @@
-//! Requests of operators and routers to controllers that run as in the program, except for simulated disks and links.
+//! Requests of operators and routers to controllers that run as in the program, except that disks and network are simulated.
 
 use super::harness::Cluster;
 use control_plane::service::{Rejection, configuration};
@@ -16,7 +16,7 @@
 const ROUTE_COUNT: u64 = 60;
 const VOTERS: [usize; 3] = [1, 2, 3];
 /// Number of a controller without a disk, which therefore doesn't vote.
-const WITHOUT_VOTE: usize = 9;
+const NON_VOTER: usize = 9;
 /// Number of the router's machine.
 const ROUTER: usize = 20;
 /// Time after which all controllers have links to each other.
@@ -25,7 +25,7 @@
 /// Three voters whose disks write instantly, and a controller that doesn't vote.
 async fn start_cluster() -> Cluster {
     let mut cluster = Cluster::bootstrap_with_instant_disks(VOTERS.len(), 1).await;
-    cluster.start_without_disk(WITHOUT_VOTE).await;
+    cluster.start_without_disk(NON_VOTER).await;
     tokio::time::sleep(LINK_TIME).await;
     cluster
 }
@@ -151,7 +151,7 @@
     for request in
         requests_with_invalid_bodies().into_iter().chain(requests_with_invalid_versions())
     {
-        for at in [1, 2, WITHOUT_VOTE] {
+        for at in [1, 2, NON_VOTER] {
             let context = format!("{} at {at}", request.description);
             let rejection =
                 replace(&cluster, at, request.base, &request.body).await.expect_err(&context);
@@ -195,7 +195,7 @@
         )
         .await;
     }
-    for at in [1, 2, 3, WITHOUT_VOTE] {
+    for at in [1, 2, 3, NON_VOTER] {
         assert_eq!(replace_until_accepted(&cluster, at, 0, &config_body(1, 1)).await, 1);
         let rejection =
             replace(&cluster, at, "0", config_body(1, 2)).await.expect_err("another body");
@@ -222,7 +222,7 @@
     let cluster = start_cluster().await;
     replace_until_accepted(&cluster, 1, 0, &config_body(5, 10)).await;
     let mut links = Vec::new();
-    for to in VOTERS.into_iter().chain([WITHOUT_VOTE]) {
+    for to in VOTERS.into_iter().chain([NON_VOTER]) {
         let link = link(&cluster, to, None);
         let response = request_config(&link, &bytes::Bytes::new()).await;
         let Some(ConfigForm::Full(packed)) = response.form else {
--- a/crates/control-plane/tests/cluster/resignation.rs
+++ b/crates/control-plane/tests/cluster/resignation.rs
@@ -7,10 +7,10 @@
 
 /// Enough for leaving, or for an election and a round, each with disk syncs at two nodes. Far shorter than the time
 /// after an owner's last round during which voters elect no other owner.
-const SOON: Duration = Duration::from_millis(100);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Replaces the configuration with one request, without retries, and asserts that it succeeds within [`SOON`].
-async fn assert_replaced_soon(cluster: &Cluster, node: usize, base: u64) {
+/// Replaces the configuration with one request, without retries, and asserts that it succeeds within [`CHANGE_TIMEOUT`].
+async fn assert_replaced_in_time(cluster: &Cluster, node: usize, base: u64) {
     let (version, started_at) = (base + 1, Instant::now());
     let base = base.to_string();
     let answer = configuration::replace(
@@ -25,7 +25,7 @@
         Some(version),
         "n{node} after {elapsed:?}"
     );
-    assert!(elapsed < SOON, "n{node} answered after {elapsed:?}");
+    assert!(elapsed < CHANGE_TIMEOUT, "n{node} answered after {elapsed:?}");
 }
 
 /// A cluster whose first node owns the configuration and has just changed it.
@@ -44,11 +44,11 @@
         let stop_requested = Instant::now();
         cluster.stop(1).await;
         assert!(
-            stop_requested.elapsed() < SOON,
+            stop_requested.elapsed() < CHANGE_TIMEOUT,
             "node 1 ended after {:?}",
             stop_requested.elapsed()
         );
-        assert_replaced_soon(&cluster, node, 8).await;
+        assert_replaced_in_time(&cluster, node, 8).await;
         cluster.start(1).await;
         assert_config_at(&cluster, &[1, 2, 3], 9).await;
         replace(&cluster, 1, 9, 10).await;
@@ -60,7 +60,7 @@
     for node in [1, 2, 3] {
         let cluster = owned_by_first(52).await;
         cluster.leave(1).await;
-        assert_replaced_soon(&cluster, node, 8).await;
+        assert_replaced_in_time(&cluster, node, 8).await;
         let owner =
             cluster.controller(2).consensus().with_acceptor(|acceptor| acceptor.owner("config"));
         let former_owner = cluster.controller(1).node().id();
--- a/crates/control-plane/tests/cluster/shutdown.rs
+++ b/crates/control-plane/tests/cluster/shutdown.rs
@@ -8,8 +8,8 @@
 
 /// The grace period (`bounds.graceS`) in these tests.
 const GRACE: Duration = Duration::from_secs(8);
-/// Far less than a router needs to complete its streams.
-const SOON: Duration = Duration::from_millis(500);
+/// Maximum time of a shutdown that waits for no router; far less than a router needs to complete its streams.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Three controllers, and a link from the router of a machine to the first controller.
 async fn with_router(machine: usize, seed: u64) -> (Cluster, Arc<Link>) {
@@ -35,7 +35,7 @@
     assert!(cluster.controller(1).consensus().votes(), "the controller votes until then");
     drop(router);
     assert!(
-        tokio::time::timeout(SOON, leaving).await.is_ok(),
+        tokio::time::timeout(SHUTDOWN_TIMEOUT, leaving).await.is_ok(),
         "the controller ends once the router of its machine has"
     );
 }
@@ -49,5 +49,5 @@
 #[tokio::test(start_paused = true)]
 async fn routers_of_other_machines_do_not_delay_the_shutdown() {
     let (cluster, _router) = with_router(9, 63).await;
-    assert!(ends_within(&cluster, SOON).await);
+    assert!(ends_within(&cluster, SHUTDOWN_TIMEOUT).await);
 }
--- a/crates/invalidation/src/view.rs
+++ b/crates/invalidation/src/view.rs
@@ -42,7 +42,7 @@
 }
 
 impl View {
-    /// An empty view that keeps at max_parts_per_holder `max_parts_per_holder` parts per holder.
+    /// An empty view that keeps at most `max_parts_per_holder` parts per holder.
     pub fn new(max_parts_per_holder: usize) -> Self {
         View {
             holders: hashbrown::HashMap::default(),
@@ -93,7 +93,7 @@
     }
 
     /// Whether the holder is known to answer, even if it has cached nothing.
-    pub fn knows(&self, holder: &str) -> bool {
+    pub fn contains_holder(&self, holder: &str) -> bool {
         self.holders.contains_key(holder)
     }
 
