--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -109,7 +109,7 @@
     registered.map_err(|error| std::io::Error::other(error.to_string()))?;
     let settings = dropshot::ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: fleet_core::constants::CONFIG_BYTES * 2,
+        default_request_body_max_bytes: fleet_core::constants::CONFIG_MAX_BYTES * 2,
         default_handler_task_mode: dropshot::HandlerTaskMode::Detached,
         ..Default::default()
     };
--- a/crates/control-plane/src/config_distribution/bodies.rs
+++ b/crates/control-plane/src/config_distribution/bodies.rs
@@ -28,8 +28,8 @@
         }
         self.bytes += packed.len();
         self.retained.push_back((digest, packed));
-        while self.retained.len() > constants::BODIES_CAPACITY
-            || self.bytes > constants::BODIES_CAPACITY_BYTES
+        while self.retained.len() > constants::PREVIOUS_CONFIGS_CAPACITY
+            || self.bytes > constants::PREVIOUS_CONFIGS_CAPACITY_BYTES
         {
             let Some((_, oldest)) = self.retained.pop_front() else { return };
             self.bytes -= oldest.len();
@@ -41,7 +41,7 @@
     }
 
     fn body(&self, digest: BodyDigest) -> Option<bytes::Bytes> {
-        packing::unpack(self.packed(digest)?, constants::CONFIG_BYTES).ok()
+        packing::unpack(self.packed(digest)?, constants::CONFIG_MAX_BYTES).ok()
     }
 
     /// The compressed delta from one body to another; `None` unless both are still retained. Computed once for all routers.
@@ -54,7 +54,7 @@
         let delta = delta::between(&self.body(base)?, &self.body(target)?);
         let packed = packing::pack(&delta.encode_to_vec());
         self.deltas.push_back(RetainedDelta { base, target, packed: packed.clone() });
-        if self.deltas.len() > constants::DELTAS_CAPACITY {
+        if self.deltas.len() > constants::DELTA_CACHE_CAPACITY {
             self.deltas.pop_front();
         }
         Some(packed)
--- a/crates/control-plane/src/config_distribution/bodies_tests.rs
+++ b/crates/control-plane/src/config_distribution/bodies_tests.rs
@@ -10,17 +10,17 @@
 #[test]
 fn only_the_newest_bodies_are_retained_and_their_bytes_are_bounded() {
     let mut bodies = Bodies::default();
-    for number in 0..=constants::BODIES_CAPACITY {
+    for number in 0..=constants::PREVIOUS_CONFIGS_CAPACITY {
         let (digest, packed) = body(number);
         bodies.retain(digest, packed.clone());
         bodies.retain(digest, packed);
     }
     assert!(bodies.packed(body(0).0).is_none());
     assert!(bodies.packed(body(1).0).is_some());
-    let large = vec![0; constants::BODIES_CAPACITY_BYTES - 10].into();
+    let large = vec![0; constants::PREVIOUS_CONFIGS_CAPACITY_BYTES - 10].into();
     bodies.retain(BodyDigest::of(b"large"), large);
     assert_eq!(bodies.retained.len(), 1);
-    assert!(bodies.bytes <= constants::BODIES_CAPACITY_BYTES);
+    assert!(bodies.bytes <= constants::PREVIOUS_CONFIGS_CAPACITY_BYTES);
 }
 
 #[test]
--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -113,11 +113,11 @@
         self.registers.get(key).map_or(0, |register| register.promised.n.max(register.accepted.n))
     }
 
-    /// Whether the epoch of a ballot is at most [`constants::EPOCH_LEAD_MAX`] above the highest one known for
+    /// Whether the epoch of a ballot is at most [`constants::MAX_EPOCH_ADVANCE`] above the highest one known for
     /// this key. Elections don't produce larger gaps, and accepting a corrupt epoch near the maximum would leave no
     /// higher epochs for later owners.
     pub fn is_plausible(&self, key: &str, ballot: Ballot) -> bool {
-        ballot.n <= self.highest_epoch(key).saturating_add(constants::EPOCH_LEAD_MAX)
+        ballot.n <= self.highest_epoch(key).saturating_add(constants::MAX_EPOCH_ADVANCE)
     }
 
     /// Phase 1: promises a ballot unless an equal or higher epoch was promised, or the request belongs to another
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -59,7 +59,7 @@
     loop {
         let owner = believed_owner(consensus, &key).filter(|id| *id != own_id);
         if let Some(owner) =
-            owner.filter(|id| forwarded_to != Some(*id) && hops < constants::CHANGE_HOPS)
+            owner.filter(|id| forwarded_to != Some(*id) && hops < constants::MAX_CHANGE_FORWARDS)
         {
             forwarded_to = Some(owner);
             if let Some(response) = forward_to(consensus, change, owner, hops).await {
@@ -100,7 +100,7 @@
     forwarded_to: Option<u64>,
     hops: u32,
 ) -> ChangeResponse {
-    if hops >= constants::CHANGE_HOPS {
+    if hops >= constants::MAX_CHANGE_FORWARDS {
         return state_machine::unknown();
     }
     for member in &consensus.membership().members {
--- a/crates/control-plane/src/consensus/quorum_contact.rs
+++ b/crates/control-plane/src/consensus/quorum_contact.rs
@@ -46,8 +46,9 @@
 
 impl Consensus {
     fn contact_span(&self) -> Duration {
-        let bound = self.process.settings().bounds.contact.mul_f64(constants::CONTACT_SHARE);
-        bound.min(constants::CONTACT_SPAN)
+        let bound =
+            self.process.settings().bounds.contact.mul_f64(constants::CONTACT_MAX_BOUND_RATIO);
+        bound.min(constants::CONTACT_TIMEOUT)
     }
 
     fn contact_expires_at(&self) -> Option<Instant> {
@@ -82,9 +83,9 @@
         let remaining = consensus
             .contact_expires_at()
             .map(|expiry| expiry.saturating_duration_since(Instant::now()));
-        if remaining
-            .is_some_and(|left| left < consensus.contact_span().mul_f64(constants::CONTACT_RENEW))
-        {
+        if remaining.is_some_and(|left| {
+            left < consensus.contact_span().mul_f64(constants::CONTACT_RENEWAL_RATIO)
+        }) {
             consensus.renew_contact().await;
         }
         let is_in_contact = consensus.in_contact();
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -71,7 +71,7 @@
     /// value.
     pub async fn read(self: &Arc<Self>, key: &str) -> Option<ChosenValue> {
         let mut backoff_ms = constants::READ_BACKOFF_MS;
-        for _ in 0..constants::READ_ATTEMPTS {
+        for _ in 0..constants::MAX_READ_ATTEMPTS {
             if let Some(found) = self.read_once(key).await {
                 return Some(found);
             }
--- a/crates/control-plane/src/consensus/schedules_tests.rs
+++ b/crates/control-plane/src/consensus/schedules_tests.rs
@@ -501,7 +501,7 @@
         recovery_epoch: 0,
         own_accepted: Ballot::default(),
     };
-    for implausible in [u64::MAX, fleet_core::constants::EPOCH_LEAD_MAX + 1] {
+    for implausible in [u64::MAX, fleet_core::constants::MAX_EPOCH_ADVANCE + 1] {
         assert!(!node.acceptor.prepare(&request(implausible)).answer.ok);
         let accept = Accept {
             key: KEY.into(),
--- a/crates/control-plane/src/consensus/state_machine.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -126,7 +126,7 @@
 /// may still be committed, and then a late copy of this request can succeed.
 fn replace_config(request: &ReplaceConfig, current: &[u8]) -> Decision {
     let current = ConfigValue::decode(current).unwrap_or_default();
-    let Ok(body) = unpack(&request.packed, constants::CONFIG_BYTES) else {
+    let Ok(body) = unpack(&request.packed, constants::CONFIG_MAX_BYTES) else {
         return Decision::Answer(answer(Outcome::Invalid, current.version));
     };
     let proposed = CommittedConfig { version: request.version, digest: BodyDigest::of(&body) };
--- a/crates/control-plane/src/engines/client.rs
+++ b/crates/control-plane/src/engines/client.rs
@@ -91,7 +91,7 @@
             local,
             remote,
             connection: None,
-            max_response_bytes: constants::FRAME_MAX,
+            max_response_bytes: constants::FRAME_MAX_BYTES,
         }
     }
 
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -122,7 +122,7 @@
         let body =
             Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine], request_all: false });
         let is_confirmed = |answer| matches!(answer, Body::EngineHeartbeats(_));
-        let timeout = constants::HEARTBEAT_SHARE_TIMEOUT;
+        let timeout = constants::DRAIN_REPLICATION_TIMEOUT;
         self.consensus.majority_agrees(&membership, timeout, body, is_voter, is_confirmed).await
     }
 
@@ -149,7 +149,8 @@
     /// Marks engines that missed their heartbeats, and removes engines whose deregistration has passed its retention
     /// period.
     fn check_heartbeats(&self) {
-        let timeout = self.process.settings().heartbeat.mul_f64(constants::MISSED_HEARTBEATS);
+        let timeout =
+            self.process.settings().heartbeat.mul_f64(constants::MISSED_HEARTBEAT_PERIODS);
         let now = Instant::now();
         let engines: Vec<Engine> =
             self.cluster_state.read(|state| state.engines.values().cloned().collect());
@@ -186,7 +187,7 @@
 /// Sends engines to another controller; returns its response, or `None` if it did not confirm in time.
 async fn share(link: &Link, heartbeats: EngineHeartbeats) -> Option<EngineHeartbeats> {
     let body = Body::EngineHeartbeats(heartbeats);
-    match link.call(body, constants::HEARTBEAT_SHARE_TIMEOUT).await {
+    match link.call(body, constants::DRAIN_REPLICATION_TIMEOUT).await {
         Ok(Body::EngineHeartbeats(answer)) => Some(answer),
         _ => None,
     }
@@ -197,7 +198,7 @@
 pub async fn run_heartbeat_sharing(registry: Arc<EngineRegistry>) {
     let mut connected = HashSet::new();
     loop {
-        tokio::time::sleep(constants::HEARTBEAT_SHARE_INTERVAL).await;
+        tokio::time::sleep(constants::HEARTBEAT_REPLICATION_INTERVAL).await;
         let outbox = std::mem::take(&mut *registry.outbox.lock());
         let engines: Vec<Engine> = outbox.into_values().collect();
         let links = registry.links.all();
--- a/crates/control-plane/src/index_owner/feed.rs
+++ b/crates/control-plane/src/index_owner/feed.rs
@@ -34,7 +34,7 @@
         let cursor =
             self.ring.cursor(request.reader).filter(|cursor| cursor.next() == request.cursor)?;
         let snapshot = self.index.lock().findings_since(request.found);
-        let entries = match self.ring.read(&cursor, constants::RING_LAG as usize) {
+        let entries = match self.ring.read(&cursor, constants::RING_LAG_THRESHOLD as usize) {
             Read::Nothing => Vec::new(),
             Read::Entries(entries) => entries,
             Read::Reset(_) => return None,
--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -68,7 +68,7 @@
 /// Follows one holder until the task is aborted.
 pub async fn follow(index_owner: Arc<IndexOwner>, holder: String, endpoint: HolderEndpoint) {
     let Ok(address) = endpoint.address.parse::<SocketAddr>() else { return };
-    let mut client = index_owner.client(address).with_most(constants::EVENTS_BYTES);
+    let mut client = index_owner.client(address).with_most(constants::EVENTS_MAX_BYTES);
     let mut position: Option<Position> = None;
     let invalidate_holder = || {
         fleet_core::log_event!(index_owner.process.log, Event::HolderReset, "holder" => &holder);
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -198,7 +198,7 @@
             transport: parts.transport,
             fencing_token,
             published: Arc::new(published),
-            first_reads: tokio::sync::Semaphore::new(constants::FIRST_READS),
+            first_reads: tokio::sync::Semaphore::new(constants::INITIAL_READ_CONCURRENCY),
             holder_count: AtomicUsize::new(0),
         }
     }
@@ -216,7 +216,7 @@
 /// Delay between two calls to the same holder. It grows with the number of holders, so that processing all of their
 /// responses stays within the owner's CPU budget.
 fn events_interval(holders: usize) -> Duration {
-    let scale = holders as f64 / constants::EVENTS_HOLDERS as f64;
+    let scale = holders as f64 / constants::EVENTS_FULL_RATE_HOLDERS as f64;
     constants::EVENTS_INTERVAL.mul_f64(scale.max(1.0))
 }
 
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -46,7 +46,11 @@
             serves_from,
             fencing_token,
             incarnation,
-            ring: Ring::new(constants::RING_SLOTS, constants::RING_BATCH, constants::RING_LAG),
+            ring: Ring::new(
+                constants::RING_SLOTS,
+                constants::RING_BATCH,
+                constants::RING_LAG_THRESHOLD,
+            ),
             index: Mutex::default(),
             readers: Mutex::default(),
             throttle: Mutex::default(),
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -31,7 +31,7 @@
 
 /// Whether there are enough routers for relays to be worth the memory that they use.
 pub fn are_relays_needed(cluster_state: &ClusterStateStore) -> bool {
-    cluster_state.read(|state| state.routers) as usize >= constants::RELAY_ROUTERS
+    cluster_state.read(|state| state.routers) as usize >= constants::RELAY_MIN_ROUTERS
 }
 
 /// The copy of the ring that this controller relays, and the newest known head of the owner's ring. No other lock is taken
@@ -148,7 +148,7 @@
     async fn read(&mut self, ownership: &IndexOwnership, link: &Link) -> bool {
         let request = self.position.request(ownership.parts.process.node.incarnation);
         let timeout =
-            if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
+            if request.refill { constants::SNAPSHOT_TIMEOUT } else { constants::PHASE_TIMEOUT };
         let response = link.call(Body::RingRequest(request), timeout).await;
         let Ok(Body::RingResponse(response)) = response else { return false };
         let head = response.head.as_ref().map_or(0, |head| head.head);
--- a/crates/control-plane/src/index_owner/throttle.rs
+++ b/crates/control-plane/src/index_owner/throttle.rs
@@ -4,7 +4,7 @@
 use tokio::time::Instant;
 
 /// Tracks the estimated snapshot bytes in flight, assuming that they are sent at
-/// [`constants::REFILL_BYTES_PER_MS`].
+/// [`constants::SNAPSHOT_BYTES_PER_MS`].
 #[derive(Debug, Default)]
 pub struct SnapshotThrottle {
     in_flight_bytes: usize,
@@ -20,9 +20,11 @@
             .map_or(0, |updated_at| now.saturating_duration_since(updated_at).as_millis() as usize);
         self.in_flight_bytes = self
             .in_flight_bytes
-            .saturating_sub(elapsed_ms.saturating_mul(constants::REFILL_BYTES_PER_MS));
+            .saturating_sub(elapsed_ms.saturating_mul(constants::SNAPSHOT_BYTES_PER_MS));
         self.updated_at = Some(now);
-        if self.in_flight_bytes > 0 && self.in_flight_bytes + bytes > constants::REFILL_UNDERWAY {
+        if self.in_flight_bytes > 0
+            && self.in_flight_bytes + bytes > constants::SNAPSHOT_BYTES_IN_FLIGHT
+        {
             return false;
         }
         self.in_flight_bytes += bytes;
--- a/crates/control-plane/src/index_owner/throttle_tests.rs
+++ b/crates/control-plane/src/index_owner/throttle_tests.rs
@@ -15,12 +15,15 @@
 #[test]
 fn snapshots_in_flight_of_a_new_index_owner_are_bounded_in_bytes() {
     assert_eq!(sent_at_once(1000), ROUTERS, "small snapshots are sent to all");
-    for bytes in [50_000, 500_000, constants::REFILL_UNDERWAY] {
+    for bytes in [50_000, 500_000, constants::SNAPSHOT_BYTES_IN_FLIGHT] {
         let sent = sent_at_once(bytes);
-        assert!(sent >= 1 && sent * bytes <= constants::REFILL_UNDERWAY, "{sent} of {bytes}");
+        assert!(
+            sent >= 1 && sent * bytes <= constants::SNAPSHOT_BYTES_IN_FLIGHT,
+            "{sent} of {bytes}"
+        );
     }
     assert_eq!(
-        sent_at_once(constants::REFILL_UNDERWAY * 2),
+        sent_at_once(constants::SNAPSHOT_BYTES_IN_FLIGHT * 2),
         1,
         "a snapshot above the limit is sent alone"
     );
@@ -38,7 +41,7 @@
         now += Duration::from_millis(10);
     }
     let took_ms = (now - start).as_millis() as usize;
-    let expected_ms = ROUTERS * bytes / constants::REFILL_BYTES_PER_MS;
+    let expected_ms = ROUTERS * bytes / constants::SNAPSHOT_BYTES_PER_MS;
     assert!(
         took_ms >= expected_ms / 2 && took_ms <= expected_ms + 1000,
         "{took_ms} ms, expected about {expected_ms} ms"
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -18,7 +18,7 @@
 impl LeasePolicy {
     /// Time at the end of the lease in which the holder must not act.
     pub fn margin(&self) -> Duration {
-        self.lease.mul_f64(constants::LEASE_MARGIN)
+        self.lease.mul_f64(constants::LEASE_MARGIN_RATIO)
     }
 
     /// Time in which the holder may act, measured from before it sent the request.
@@ -165,7 +165,7 @@
         if now >= current.until {
             return LeaseStep::Expired;
         }
-        if current.until - now <= policy.usable().mul_f64(1.0 - constants::LEASE_RENEW) {
+        if current.until - now <= policy.usable().mul_f64(1.0 - constants::LEASE_RENEWAL_RATIO) {
             return LeaseStep::Renew;
         }
         if !current.may_act && now >= current.usable_from {
--- a/crates/control-plane/src/membership/load_reports.rs
+++ b/crates/control-plane/src/membership/load_reports.rs
@@ -30,13 +30,13 @@
 
 impl RequestMix {
     fn decay(&mut self) {
-        self.running *= constants::MIX_DECAY;
-        self.interactive *= constants::MIX_DECAY;
+        self.running *= constants::INTERACTIVE_SHARE_DECAY;
+        self.interactive *= constants::INTERACTIVE_SHARE_DECAY;
     }
 
     fn add(&mut self, load: &Load) {
-        self.running += load.runs as f32 * (1.0 - constants::MIX_DECAY);
-        self.interactive += load.interactive as f32 * (1.0 - constants::MIX_DECAY);
+        self.running += load.runs as f32 * (1.0 - constants::INTERACTIVE_SHARE_DECAY);
+        self.interactive += load.interactive as f32 * (1.0 - constants::INTERACTIVE_SHARE_DECAY);
     }
 
     fn interactive_share(&self) -> f64 {
--- a/crates/control-plane/src/membership/peer_service.rs
+++ b/crates/control-plane/src/membership/peer_service.rs
@@ -218,7 +218,7 @@
 
     /// Answers a reader of the invalidation ring, unless too many earlier messages to it are still unsent; it asks again.
     fn ring(&self, peer: &Peer, request: &RingRequest) -> Option<Body> {
-        if peer.backlog() >= constants::SLOW_READER_BACKLOG {
+        if peer.backlog() >= constants::SLOW_READER_QUEUE_FRAMES {
             return None;
         }
         let is_relay = peer.handshake.role == Role::Controller as u32;
@@ -252,7 +252,7 @@
         let mut position = None;
         while !self.peer.is_closed() {
             changes.borrow_and_update();
-            self.wait_for_backlog_below(constants::SLOW_READER_BACKLOG).await;
+            self.wait_for_backlog_below(constants::SLOW_READER_QUEUE_FRAMES).await;
             let Some(pushed) = self.push_since(position).await else { continue };
             position = Some(pushed);
             tokio::select! {
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -72,7 +72,7 @@
         }
         let is_observer = manager.consensus.is_disk_absent() && epoch > 0;
         tokio::time::sleep(if is_observer {
-            constants::OBSERVE_INTERVAL
+            constants::OBSERVER_POLL_INTERVAL
         } else {
             constants::JOIN_INTERVAL
         })
--- a/crates/control-plane/src/membership/replacement.rs
+++ b/crates/control-plane/src/membership/replacement.rs
@@ -43,7 +43,9 @@
 /// for the successor to vote by the time the lost member stops counting, but not shorter than for a candidate from the
 /// member's own zone, since members may be restarting.
 pub fn successor_wait(catch_up: Duration) -> Duration {
-    catch_up.saturating_sub(constants::REPLACEMENT_TIME).max(constants::MEMBER_TIMEOUT_SAME_ZONE)
+    catch_up
+        .saturating_sub(constants::REPLACEMENT_DURATION)
+        .max(constants::MEMBER_TIMEOUT_SAME_ZONE)
 }
 
 /// Chooses the next membership, from everything that it depends on.
--- a/crates/control-plane/src/membership/routers.rs
+++ b/crates/control-plane/src/membership/routers.rs
@@ -84,7 +84,7 @@
     pub fn push_to_prompt_readers(&self, incarnations: &[u64], body: &Body) {
         let links = self.links.lock();
         for peer in incarnations.iter().filter_map(|incarnation| links.get(incarnation)) {
-            if peer.backlog() < constants::SLOW_READER_BACKLOG {
+            if peer.backlog() < constants::SLOW_READER_QUEUE_FRAMES {
                 let _ = peer.push(body.clone());
             }
         }
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -101,7 +101,7 @@
 
     /// Time in which the engine should load the target weights, although it may serve older ones for longer.
     fn goal(&self, engine: &Engine, now: Instant) -> Duration {
-        constants::ROLLOUT_GOAL.saturating_sub(self.outdated_for(engine, now))
+        constants::ROLLOUT_TARGET_DURATION.saturating_sub(self.outdated_for(engine, now))
     }
 
     /// How long the weights of the engine have been outdated.
@@ -254,7 +254,7 @@
     let transport = rollout.transport.clone();
     let mut client = EngineClient::over(transport, rollout.process.node.ip, address);
     publish_update_state(rollout, &engine.id, set_updating).await;
-    tokio::time::sleep(constants::ROLLOUT_NOTICE).await;
+    tokio::time::sleep(constants::UPDATE_NOTICE_DELAY).await;
     let (model, version) = (target.model.as_str(), target.version);
     let updated = {
         let pending_order = order::execute(rollout, &mut client, engine, model, version);
--- a/crates/control-plane/src/rollout/order.rs
+++ b/crates/control-plane/src/rollout/order.rs
@@ -118,8 +118,9 @@
 /// time is left to send it.
 pub fn order_timeout(lease: FencedLease, now: Instant) -> Option<Duration> {
     let remaining =
-        lease.until.saturating_duration_since(now).saturating_sub(constants::ORDER_TRAVEL);
-    (remaining >= constants::ORDER_LEAST).then(|| remaining.min(constants::ENGINE_CALL_TIMEOUT))
+        lease.until.saturating_duration_since(now).saturating_sub(constants::ORDER_DELIVERY_TIME);
+    (remaining >= constants::ORDER_MIN_LEASE_LEFT)
+        .then(|| remaining.min(constants::ENGINE_CALL_TIMEOUT))
 }
 
 /// Whether the engine is still alive at its address and no other live engine has the same address.
@@ -155,7 +156,7 @@
     model: &str,
     version: u64,
 ) -> Result<Duration, OrderError> {
-    let hard_deadline = Instant::now() + constants::ORDER_LONGEST;
+    let hard_deadline = Instant::now() + constants::ORDER_MAX_DURATION;
     let mut deadline = Instant::now() + constants::ORDER_TIMEOUT;
     let mut progress = Progress::new(model, version);
     while Instant::now() < deadline {
--- a/crates/control-plane/src/rollout/order_tests.rs
+++ b/crates/control-plane/src/rollout/order_tests.rs
@@ -83,8 +83,8 @@
     let lease = |ms| FencedLease { fencing_token: 1, until: now + Duration::from_millis(ms) };
     let timeout = |ms| order_timeout(lease(ms), now);
     assert_eq!(timeout(5000), Some(constants::ENGINE_CALL_TIMEOUT));
-    assert_eq!(timeout(500), Some(Duration::from_millis(500) - constants::ORDER_TRAVEL));
-    let minimum = constants::ORDER_TRAVEL + constants::ORDER_LEAST;
+    assert_eq!(timeout(500), Some(Duration::from_millis(500) - constants::ORDER_DELIVERY_TIME));
+    let minimum = constants::ORDER_DELIVERY_TIME + constants::ORDER_MIN_LEASE_LEFT;
     assert_eq!(timeout(minimum.as_millis() as u64 - 1), None);
     assert_eq!(timeout(0), None);
 }
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -108,7 +108,8 @@
         (State::HeartbeatMissed, _) => Some("sends no heartbeats".to_owned()),
         (_, Some((Step::Updating(since), now))) => {
             let age = now.duration_since(since);
-            (age > constants::UPDATE_SLOW).then(|| format!("turns since {} ms", age.as_millis()))
+            (age > constants::UPDATE_STUCK_THRESHOLD)
+                .then(|| format!("turns since {} ms", age.as_millis()))
         }
         _ => error.map(|error| format!("last turn failed: {error}")),
     }
--- a/crates/control-plane/tests/cluster/relay.rs
+++ b/crates/control-plane/tests/cluster/relay.rs
@@ -79,7 +79,7 @@
 
     async fn fetch(&self, node: usize, request: RingRequest) -> RingResponse {
         let link = &self.reader_links[node - 1];
-        match link.call(Body::RingRequest(request), constants::REFILL_TIMEOUT).await {
+        match link.call(Body::RingRequest(request), constants::SNAPSHOT_TIMEOUT).await {
             Ok(Body::RingResponse(response)) => response,
             other => panic!("n{node}: {other:?}"),
         }
@@ -148,7 +148,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn findings_and_invalidations_of_the_owner_are_available_at_every_controller() {
-    let fleet = Fleet::with_routers(constants::RELAY_ROUTERS, 81).await;
+    let fleet = Fleet::with_routers(constants::RELAY_MIN_ROUTERS, 81).await;
     let owner = fleet.owner(&NODES).await;
     let mut positions = Vec::new();
     for node in NODES {
@@ -179,7 +179,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn relays_follow_the_next_owner() {
-    let mut fleet = Fleet::with_routers(constants::RELAY_ROUTERS, 82).await;
+    let mut fleet = Fleet::with_routers(constants::RELAY_MIN_ROUTERS, 82).await;
     let owner = fleet.owner(&NODES).await;
     let others: Vec<usize> = NODES.into_iter().filter(|node| *node != owner).collect();
     let token_of = |head: &Option<RingHead>| head.as_ref().map_or(0, |head| head.fencing_token);
@@ -194,7 +194,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn ring_is_not_relayed_for_few_routers() {
-    let fleet = Fleet::with_routers(constants::RELAY_ROUTERS - 1, 83).await;
+    let fleet = Fleet::with_routers(constants::RELAY_MIN_ROUTERS - 1, 83).await;
     let owner = fleet.owner(&NODES).await;
     fleet.snapshot(owner, 0).await;
     fleet.cluster.wait_until_settled().await;
--- a/crates/control-plane/tests/rollout_status.rs
+++ b/crates/control-plane/tests/rollout_status.rs
@@ -36,8 +36,11 @@
         None,
         "the update is being retried"
     );
-    let slow =
-        stuck(State::Updating, updating(constants::UPDATE_SLOW.as_millis() as u64 + 1), None);
+    let slow = stuck(
+        State::Updating,
+        updating(constants::UPDATE_STUCK_THRESHOLD.as_millis() as u64 + 1),
+        None,
+    );
     assert_eq!(slow.as_deref(), Some("turns since 4001 ms"));
     let failed = stuck(State::Waiting, None, Some("a higher fence was seen"));
     assert_eq!(failed.as_deref(), Some("last turn failed: a higher fence was seen"));
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -56,7 +56,7 @@
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
 ) -> Result<ConfigBody, FetchError> {
-    const MAX_BYTES: usize = constants::CONFIG_BYTES;
+    const MAX_BYTES: usize = constants::CONFIG_MAX_BYTES;
     let body = match (&response.form, current) {
         (Some(ConfigForm::Full(packed)), _) => packing::unpack(packed, MAX_BYTES)?,
         (Some(ConfigForm::Delta(packed)), Some(current)) => {
--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -42,7 +42,7 @@
     fn distance(&self, engine: &str, same_zone: bool) -> f64 {
         let hash = fleet_core::node::stable_hash(&[self.router.as_bytes(), engine.as_bytes()]);
         let uniform = hash as f64 / u64::MAX as f64;
-        if same_zone { uniform * constants::NEAR_DISTANCE } else { uniform }
+        if same_zone { uniform * constants::SAME_ZONE_DISTANCE_SCALE } else { uniform }
     }
 }
 
@@ -61,7 +61,7 @@
 pub fn prefill_heavy_count(engines: usize, slots: u32, interactive: f64) -> usize {
     let all = engines as f64;
     let interactive_engines =
-        (interactive / (f64::from(slots.max(1)) * constants::LIGHT_FILL)).ceil();
+        (interactive / (f64::from(slots.max(1)) * constants::INTERACTIVE_SLOT_UTILIZATION)).ceil();
     (all * constants::PREFILL_HEAVY_SHARE)
         .min(all - interactive_engines)
         .max(all * constants::PREFILL_HEAVY_MIN_SHARE)
@@ -172,15 +172,16 @@
     }
 
     /// Records the number of interactive requests in flight at `engines` ready engines with `slots` slots each. The division
-    /// of the engines changes only once it is off by [`constants::DIVISION_STEP`] of them, and by at least one.
+    /// of the engines changes only once it is off by [`constants::PREFILL_HEAVY_HYSTERESIS`] of them, and by at least
+    /// one.
     pub fn record_interactive(&self, in_flight: u32, engines: usize, slots: u32) {
         let mut interactive = self.interactive.lock();
         interactive.smoothed +=
-            (f64::from(in_flight) - interactive.smoothed) * constants::DIVISION_WEIGHT;
+            (f64::from(in_flight) - interactive.smoothed) * constants::INTERACTIVE_SMOOTHING;
         let target_count = prefill_heavy_count(engines, slots, interactive.smoothed);
         let difference =
             target_count.abs_diff(prefill_heavy_count(engines, slots, interactive.applied));
-        if difference as f64 >= (engines as f64 * constants::DIVISION_STEP).max(1.0) {
+        if difference as f64 >= (engines as f64 * constants::PREFILL_HEAVY_HYSTERESIS).max(1.0) {
             interactive.applied = interactive.smoothed;
             drop(interactive);
             self.invalidate();
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -120,12 +120,12 @@
         unreported.push(finding.clone());
         let mut recent_findings = self.recent_findings.lock();
         recent_findings.push_back(finding);
-        if recent_findings.len() > constants::REPEATED_FINDINGS_CAPACITY {
+        if recent_findings.len() > constants::RECENT_FINDINGS_CAPACITY {
             recent_findings.pop_front();
         }
     }
 
-    /// The most recent findings of this router, at most [`constants::REPEATED_FINDINGS_CAPACITY`], oldest first.
+    /// The most recent findings of this router, at most [`constants::RECENT_FINDINGS_CAPACITY`], oldest first.
     pub fn recent_findings(&self) -> Vec<CachedParts> {
         self.recent_findings.lock().iter().cloned().collect()
     }
@@ -159,10 +159,10 @@
     }
 }
 
-/// Removes the entries of removed holders from the index, [`constants::SCRUB_ENTRIES`] at a time.
+/// Removes the entries of removed holders from the index, [`constants::SCRUB_BATCH`] at a time.
 pub async fn run_index_scrubber(router: Arc<Router>) {
     loop {
-        let done = router.fleet_view.prefix_view.index.scrub(constants::SCRUB_ENTRIES);
+        let done = router.fleet_view.prefix_view.index.scrub(constants::SCRUB_BATCH);
         tokio::time::sleep(if done {
             constants::ROUTER_HEARTBEAT_INTERVAL
         } else {
@@ -227,7 +227,8 @@
 /// Fetches once, and queues the entries to be applied.
 async fn fetch(router: &Router, link: &Link, position: &mut RingPosition) -> Fetch {
     let request = position.request(router.node.incarnation);
-    let timeout = if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
+    let timeout =
+        if request.refill { constants::SNAPSHOT_TIMEOUT } else { constants::PHASE_TIMEOUT };
     let Ok(Body::RingResponse(response)) = link.call(Body::RingRequest(request), timeout).await
     else {
         return Fetch::NoAnswer;
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -71,7 +71,7 @@
 /// Opens a link to the controller at an address. A task applies the updates that arrive on it, and ends when the link is
 /// dropped.
 fn open_link(router: &Arc<Router>, ip: Ipv4Addr) -> Arc<Link> {
-    let (update_sender, updates) = mpsc::channel(constants::LINK_BACKLOG);
+    let (update_sender, updates) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
     let address = router.settings().peer_addr(ip.into());
     let link = Link::keep(&router.node, address, Some(update_sender));
     tokio::spawn(receive_updates(router.clone(), ip, Arc::downgrade(&link), updates));
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -204,14 +204,14 @@
     }
 
     /// The links to controllers that are up, ordered by address. Links without a response within
-    /// [`constants::CONTROLLER_FRESH`] are left out unless there are no others.
+    /// [`constants::CONTROLLER_RESPONSE_TIMEOUT`] are left out unless there are no others.
     pub fn links_up(&self) -> Vec<Arc<fleet_core::link::Link>> {
         let links = self.links.lock();
         let mut up: Vec<_> = links.iter().filter(|(_, link)| link.is_up()).collect();
         up.sort_unstable_by_key(|(ip, _)| **ip);
         let is_responsive = |link: &fleet_core::link::Link| {
             link.time_since_received()
-                .is_some_and(|idle_time| idle_time < constants::CONTROLLER_FRESH)
+                .is_some_and(|idle_time| idle_time < constants::CONTROLLER_RESPONSE_TIMEOUT)
         };
         if up.iter().any(|(_, link)| is_responsive(link)) {
             up.retain(|(_, link)| is_responsive(link));
--- a/crates/data-plane/src/fleet_view/ring_sources.rs
+++ b/crates/data-plane/src/fleet_view/ring_sources.rs
@@ -92,7 +92,7 @@
     ) -> Option<String> {
         let owner = self.owner.lock().clone()?;
         let RingReader { zone, name, routers } = *reader;
-        if routers < constants::RELAY_ROUTERS {
+        if routers < constants::RELAY_MIN_ROUTERS {
             return Some(owner.head.owner);
         }
         let preferred_among = |is_eligible: &dyn Fn(&Member) -> bool| {
@@ -102,7 +102,7 @@
         let preferred = preferred_among(&is_up);
         let available =
             preferred_among(&|member| is_up(member) && self.can_read(member, &owner.head, now));
-        let may_wait = now.duration_since(owner.since) < constants::RELAY_PATIENCE;
+        let may_wait = now.duration_since(owner.since) < constants::RELAY_START_TIMEOUT;
         if may_wait && preferred.is_some() && available != preferred {
             return None;
         }
--- a/crates/data-plane/src/fleet_view/ring_sources_tests.rs
+++ b/crates/data-plane/src/fleet_view/ring_sources_tests.rs
@@ -28,7 +28,7 @@
     owner_since: Instant,
     is_up: impl Fn(&Member) -> bool,
 ) -> Option<String> {
-    let now = owner_since + constants::RELAY_PATIENCE;
+    let now = owner_since + constants::RELAY_START_TIMEOUT;
     sources.choose(&members(), &reader("b", 300), is_up, now)
 }
 
@@ -58,9 +58,9 @@
     sources.update_relay(&head(SAME_ZONE, 4));
     let is_up = |member: &Member| member.ip != SAME_ZONE;
     assert_ne!(choose_in_zone_b(&sources, owner_since, is_up).as_deref(), Some(SAME_ZONE));
-    sources.avoid(SAME_ZONE, owner_since + constants::RELAY_PATIENCE);
+    sources.avoid(SAME_ZONE, owner_since + constants::RELAY_START_TIMEOUT);
     assert_eq!(choose_in_zone_b(&sources, owner_since, |_| true).as_deref(), Some(OWNER));
-    let retry_at = owner_since + constants::RELAY_PATIENCE + constants::RELAY_RETRY_INTERVAL;
+    let retry_at = owner_since + constants::RELAY_START_TIMEOUT + constants::RELAY_RETRY_INTERVAL;
     let choose = || sources.choose(&members(), &reader("b", 300), |_| true, retry_at);
     assert_eq!(choose().as_deref(), Some(SAME_ZONE));
     sources.update_owner(&head(OWNER, 5), owner_since);
@@ -79,7 +79,7 @@
     assert_eq!(choose(owner_since), None);
     sources.update_relay(&head(OTHER_ZONE, 4));
     assert_eq!(choose(owner_since), None, "the relay of another zone serves the routers there");
-    assert!(choose(owner_since + constants::RELAY_PATIENCE).is_some());
+    assert!(choose(owner_since + constants::RELAY_START_TIMEOUT).is_some());
     sources.update_relay(&head(SAME_ZONE, 4));
     assert_eq!(choose(owner_since).as_deref(), Some(SAME_ZONE));
 }
--- a/crates/data-plane/src/fleet_view/version_bound.rs
+++ b/crates/data-plane/src/fleet_view/version_bound.rs
@@ -8,7 +8,7 @@
 //! that time lie the network latency and the wait in the engine's queue. A router can only estimate that wait from what
 //! engines and other routers report. It therefore stops dispatching to an outdated engine [`constants::VERSION_MARGIN`]
 //! plus the expected wait before the bound, and cancels a request that still has no response
-//! [`constants::VERSION_CUTOFF`] before the bound.
+//! [`constants::VERSION_CUTOFF_MARGIN`] before the bound.
 
 use fleet_core::constants;
 use fleet_core::target_versions::TargetVersions;
@@ -59,7 +59,7 @@
 
     /// When a dispatch under a version of the weights is cancelled if no response has begun; none for the newest version.
     pub fn cutoff_of(&self, version: u64) -> Option<Instant> {
-        self.end_of(version).map(|end| end - constants::VERSION_CUTOFF)
+        self.end_of(version).map(|end| end - constants::VERSION_CUTOFF_MARGIN)
     }
 }
 
--- a/crates/data-plane/src/fleet_view/version_bound_tests.rs
+++ b/crates/data-plane/src/fleet_view/version_bound_tests.rs
@@ -42,7 +42,7 @@
     let bound = VersionBound::new(targets.clone(), None, BOUND);
     assert_eq!(bound.end_of(1), Some(start + BOUND));
     assert_eq!(bound.end_of(2), Some(start + Duration::from_millis(4400) + BOUND));
-    assert_eq!(bound.cutoff_of(1), Some(start + BOUND - constants::VERSION_CUTOFF));
+    assert_eq!(bound.cutoff_of(1), Some(start + BOUND - constants::VERSION_CUTOFF_MARGIN));
     let controller_lost_at = start + Duration::from_secs(2);
     let bound = VersionBound::new(targets, Some(controller_lost_at), BOUND);
     assert_eq!(bound.end_of(1), Some(controller_lost_at + BOUND));
--- a/crates/data-plane/src/load_balancer/cost.rs
+++ b/crates/data-plane/src/load_balancer/cost.rs
@@ -60,7 +60,7 @@
         if self.slots == 0 || self.running < self.slots {
             return 0.0;
         }
-        f64::from(self.running - self.slots + 1) * constants::SLOT_COST_MS
+        f64::from(self.running - self.slots + 1) * constants::SLOT_OVERCOMMIT_COST_MS
     }
 }
 
@@ -78,11 +78,14 @@
     ) -> Prefill {
         let tokens = request.prompt.tokens().saturating_sub(cached.indexed);
         let beyond_indexed = cached.assumed.saturating_sub(cached.indexed);
-        let assumed = beyond_indexed as f64 * constants::RENDEZVOUS_TRUST;
-        let ms = (tokens as f64 - assumed).max(0.0) / constants::READ_RATE;
+        let assumed = beyond_indexed as f64 * constants::AFFINITY_HIT_RATE;
+        let ms = (tokens as f64 - assumed).max(0.0) / constants::PREFILL_TOKENS_PER_MS;
         let Some(transfer) = transfer else { return Prefill { tokens, ms } };
         let tokens = tokens.saturating_sub(transfer.tokens);
-        Prefill { tokens, ms: ms.min(tokens as f64 / constants::READ_RATE + transfer.ms) }
+        Prefill {
+            tokens,
+            ms: ms.min(tokens as f64 / constants::PREFILL_TOKENS_PER_MS + transfer.ms),
+        }
     }
 }
 
@@ -103,9 +106,9 @@
 pub fn expected_wait(endpoint: &Endpoint, now: Instant) -> Duration {
     let work = endpoint.engine.work();
     let occupancy = Occupancy::of(&work, endpoint, now);
-    let prefill_ms = work.all(now).unread as f64 / constants::READ_RATE;
+    let prefill_ms = work.all(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS;
     let ms = prefill_ms
-        + f64::from(occupancy.waiting) * constants::WAIT_COST_MS
+        + f64::from(occupancy.waiting) * constants::QUEUED_REQUEST_COST_MS
         + occupancy.slot_wait_ms();
     Duration::from_secs_f64(ms / 1000.0)
 }
@@ -122,9 +125,9 @@
     let occupancy = Occupancy::of(&work, endpoint, now);
     let prefill = Prefill::of(request, cached, transfer);
     let mut ms = prefill.ms
-        + work.all(now).unread as f64 / constants::READ_RATE
-        + f64::from(occupancy.running) * constants::RUN_COST_MS
-        + f64::from(occupancy.waiting) * constants::WAIT_COST_MS;
+        + work.all(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS
+        + f64::from(occupancy.running) * constants::RUNNING_REQUEST_COST_MS
+        + f64::from(occupancy.waiting) * constants::QUEUED_REQUEST_COST_MS;
     ms += occupancy.slot_wait_ms();
     if !endpoint.same_zone {
         ms += constants::ZONE_COST_MS;
--- a/crates/data-plane/src/load_balancer/kv_transfer.rs
+++ b/crates/data-plane/src/load_balancer/kv_transfer.rs
@@ -62,7 +62,7 @@
 }
 
 impl Sources {
-    /// Adds the holders found in one cell of the index, at most [`constants::SOURCES_WEIGHED`] engines per depth.
+    /// Adds the holders found in one cell of the index, at most [`constants::MAX_SOURCES_PER_DEPTH`] engines per depth.
     pub fn add_cell(
         &mut self,
         context: &SelectionContext,
@@ -118,7 +118,7 @@
         tokens: u64,
     ) {
         endpoints.sort_by_key(|endpoint| (endpoint.engine.work().transfers, !endpoint.same_zone));
-        for endpoint in endpoints.into_iter().take(constants::SOURCES_WEIGHED) {
+        for endpoint in endpoints.into_iter().take(constants::MAX_SOURCES_PER_DEPTH) {
             self.sources.push(Source {
                 address: endpoint.engine.address.to_string(),
                 engine: Some(endpoint.engine.clone()),
@@ -192,7 +192,7 @@
     let shared = request.prompt.shared();
     let unshared = request.prompt.tokens().saturating_sub(shared) as f64;
     let store = request.stores.first()?;
-    let is_worthwhile =
-        shared >= constants::SINK_TOKENS && unshared <= shared as f64 * constants::SINK_OWN_SHARE;
+    let is_worthwhile = shared >= constants::STORE_MIN_SHARED_TOKENS
+        && unshared <= shared as f64 * constants::STORE_MAX_UNSHARED_RATIO;
     (is_worthwhile && sources.stored_tokens < shared).then(|| store.address.to_owned())
 }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -214,7 +214,7 @@
             cost.ms += constants::STREAM_DRAIN_COST_MS;
         }
         if is_affinity_target && source.is_some() && endpoint.engine.is_warming(now) {
-            cost.ms -= constants::WARM_UP_BONUS_MS;
+            cost.ms -= constants::WARM_UP_AFFINITY_BONUS_MS;
         }
         BestCandidate { candidate, cost, source }
     }
--- a/crates/data-plane/src/load_balancer/request_profile.rs
+++ b/crates/data-plane/src/load_balancer/request_profile.rs
@@ -32,10 +32,11 @@
 ///
 /// Each router orders the engines differently ([`Endpoint::distance`](crate::fleet_view::endpoints::Endpoint::distance))
 /// and uses the first candidates in its order. The size of the subset is chosen so that each engine is in the subsets of
-/// about [`SUBSET_ROUTERS`](constants::SUBSET_ROUTERS) routers, whatever the numbers of routers and engines. A router then
-/// reuses its connections to the same engines, and an engine that looks idle is selected by a few routers before their
-/// load reports reach each other, not by hundreds. The subset is taken from the candidates, so an engine that can't serve
-/// is replaced by the next one. Engines with the prefix cached are considered whether they are in the subset or not.
+/// about [`SUBSET_ROUTERS_PER_ENGINE`](constants::SUBSET_ROUTERS_PER_ENGINE) routers, whatever the numbers of routers
+/// and engines. A router then reuses its connections to the same engines, and an engine that looks idle is selected by a
+/// few routers before their load reports reach each other, not by hundreds. The subset is taken from the candidates, so
+/// an engine that can't serve is replaced by the next one. Engines with the prefix cached are considered whether they
+/// are in the subset or not.
 #[derive(Debug, Clone, Copy)]
 pub struct Subset {
     routers: usize,
@@ -50,14 +51,14 @@
     /// there are, the less each of them knows about what the others have just dispatched.
     pub fn new(routers: usize, max_idle: Duration) -> Subset {
         let others = routers.saturating_sub(1) as f64;
-        let weight = others / (others + constants::SUBSET_HALF_ROUTERS);
-        Subset { routers, distance_cost_ms: constants::SUBSET_SPREAD_MS * weight, max_idle }
+        let weight = others / (others + constants::SUBSET_HALF_WEIGHT_ROUTERS);
+        Subset { routers, distance_cost_ms: constants::SUBSET_DISTANCE_COST_MS * weight, max_idle }
     }
 
     /// Number of engines in the subset, given the number of candidates.
     pub fn size(&self, candidates: usize) -> usize {
-        let share = candidates * constants::SUBSET_ROUTERS;
-        share.div_ceil(self.routers.max(1)).max(constants::SUBSET_ENGINES_LEAST).min(candidates)
+        let share = candidates * constants::SUBSET_ROUTERS_PER_ENGINE;
+        share.div_ceil(self.routers.max(1)).max(constants::SUBSET_MIN_ENGINES).min(candidates)
     }
 
     /// Distance of the last candidate in the subset, given the distances of all candidates; 0 if there are none.
@@ -154,7 +155,7 @@
 impl TransferEstimate {
     /// Time saved by the transfer compared to computing the tokens, in milliseconds; negative if the transfer is slower.
     pub fn saved_ms(&self) -> f64 {
-        self.tokens as f64 / constants::READ_RATE - self.ms
+        self.tokens as f64 / constants::PREFILL_TOKENS_PER_MS - self.ms
     }
 }
 
--- a/crates/data-plane/src/load_balancer/request_profile_tests.rs
+++ b/crates/data-plane/src/load_balancer/request_profile_tests.rs
@@ -14,7 +14,7 @@
 fn distance_cost_grows_with_the_number_of_routers_up_to_a_limit() {
     let costs = [2, 10, 80, 300, 100_000].map(|n| Subset::new(n, MAX_IDLE).cost_ms(1.0, true));
     assert!(costs.is_sorted() && costs[0] > 0.0, "{costs:?}");
-    assert!(costs.iter().all(|ms| *ms <= constants::SUBSET_SPREAD_MS), "{costs:?}");
+    assert!(costs.iter().all(|ms| *ms <= constants::SUBSET_DISTANCE_COST_MS), "{costs:?}");
 }
 
 #[test]
@@ -30,9 +30,9 @@
 fn each_engine_is_in_the_subsets_of_about_the_same_number_of_routers() {
     for (routers, engines) in [(78, 140), (300, 240), (300, 3000), (2000, 240)] {
         let size = Subset::new(routers, MAX_IDLE).size(engines);
-        let min_size = constants::SUBSET_ENGINES_LEAST;
+        let min_size = constants::SUBSET_MIN_ENGINES;
         let subsets_per_engine = (size * routers) as f64 / engines as f64;
-        let expected = constants::SUBSET_ROUTERS as f64;
+        let expected = constants::SUBSET_ROUTERS_PER_ENGINE as f64;
         assert!(
             size == min_size || (expected..expected * 1.5).contains(&subsets_per_engine),
             "{routers}, {engines}: {size}"
@@ -56,10 +56,10 @@
         let max_distance = subset.max_distance(distances.to_vec());
         distances.iter().filter(|distance| **distance <= max_distance).count()
     };
-    assert_eq!(inside(&distances), constants::SUBSET_ENGINES_LEAST);
+    assert_eq!(inside(&distances), constants::SUBSET_MIN_ENGINES);
     assert_eq!(
         inside(&distances[..50]),
-        constants::SUBSET_ENGINES_LEAST,
+        constants::SUBSET_MIN_ENGINES,
         "the nearest engines are no longer candidates"
     );
     assert_eq!(subset.max_distance(Vec::new()), 0.0);
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -183,13 +183,13 @@
             return None;
         }
         let mut work = self.work();
-        if work.warm_up_latencies.0 >= constants::WARM_UP_ANSWERS {
+        if work.warm_up_latencies.0 >= constants::WARM_UP_RESPONSES {
             return None;
         }
         work.warm_up_latencies.0 += 1;
         work.warm_up_latencies.1 += latency;
-        (work.warm_up_latencies.0 == constants::WARM_UP_ANSWERS)
-            .then(|| work.warm_up_latencies.1 / constants::WARM_UP_ANSWERS as u32)
+        (work.warm_up_latencies.0 == constants::WARM_UP_RESPONSES)
+            .then(|| work.warm_up_latencies.1 / constants::WARM_UP_RESPONSES as u32)
     }
 
     /// Its load and idle connections, locked.
@@ -261,7 +261,7 @@
 
     pub(super) fn put_idle(&self, idle: IdleConnection) {
         let mut work = self.work();
-        if work.idle.len() >= constants::IDLE_CONNECTIONS {
+        if work.idle.len() >= constants::MAX_IDLE_CONNECTIONS {
             work.idle.pop_front();
         }
         work.idle.push_back(idle);
--- a/crates/data-plane/src/pool/engine_tests.rs
+++ b/crates/data-plane/src/pool/engine_tests.rs
@@ -42,7 +42,7 @@
     tokio::time::advance(constants::WARM_UP_PERIOD).await;
     assert!(!engine.is_warming(Instant::now()));
     let ms = Duration::from_millis;
-    let means: Vec<_> = (0..constants::WARM_UP_ANSWERS * 2)
+    let means: Vec<_> = (0..constants::WARM_UP_RESPONSES * 2)
         .filter_map(|i| engine.record_warm_up_latency(ms(10 * (i % 2) + 5)))
         .collect();
     assert_eq!(means, vec![ms(10)]);
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -125,8 +125,8 @@
 fn connection_share(view: &FleetView, request: &ClientRequest) -> u32 {
     let engine_limit =
         request.routing_table.service(&request.service).map_or(0, |s| s.max_conns) as usize;
-    let routers = view.routers() + constants::BUDGET_SPARES;
-    (engine_limit / routers).max(constants::CONNECTIONS_LEAST) as u32
+    let routers = view.routers() + constants::BUDGET_SPARE_ROUTERS;
+    (engine_limit / routers).max(constants::MIN_CONNECTIONS) as u32
 }
 
 /// Sends the request, and waits for the response head.
--- a/crates/data-plane/src/proxy/relay.rs
+++ b/crates/data-plane/src/proxy/relay.rs
@@ -54,7 +54,7 @@
 
 /// Relays the body in a task of its own, which ends with the body, at the deadline or when the client disconnects.
 fn relay_body(router: Arc<Router>, responding: Responding, resumable: bool) -> ResponseBody {
-    let (chunks, body) = mpsc::channel(constants::RELAY_BACKLOG);
+    let (chunks, body) = mpsc::channel(constants::RESPONSE_QUEUE_CHUNKS);
     tokio::spawn(async move {
         if resumable {
             relay_events(&router, responding, &chunks).await;
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -26,8 +26,8 @@
         if self.uptime < self.window {
             return 0.0;
         }
-        let shares = (self.routers + constants::BUDGET_SPARES).max(1) as f64;
-        (self.slack * constants::BUDGET_SHARE / shares).floor()
+        let shares = (self.routers + constants::BUDGET_SPARE_ROUTERS).max(1) as f64;
+        (self.slack * constants::RETRY_BUDGET_USED_RATIO / shares).floor()
     }
 }
 
@@ -57,7 +57,7 @@
     /// Charges one retry. Returns false, and charges nothing, if the budget is exhausted.
     pub fn try_spend(&mut self, now: Instant, policy: &BudgetPolicy) -> bool {
         self.expire(now, policy.window);
-        let earned = self.arrivals.len() as f64 * policy.ratio * constants::BUDGET_SHARE;
+        let earned = self.arrivals.len() as f64 * policy.ratio * constants::RETRY_BUDGET_USED_RATIO;
         let allowed = earned + policy.slack_share();
         if (self.retries.len() + 1) as f64 > allowed {
             return false;
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -76,9 +76,9 @@
     let started_at = Instant::now();
     let grace = router.settings().bounds.grace;
     let exit_deadline = started_at + grace.saturating_sub(constants::GRACE_MARGIN);
-    let terminating_at = started_at + grace.saturating_sub(constants::ANSWERS_DUE_MARGIN);
+    let terminating_at = started_at + grace.saturating_sub(constants::SHUTDOWN_RESPONSE_MARGIN);
     router.shutdown.begin(exit_deadline);
-    tokio::time::sleep_until(terminating_at.min(started_at + constants::PROBES_MISSED)).await;
+    tokio::time::sleep_until(terminating_at.min(started_at + constants::PROBE_FAILURE_DELAY)).await;
     client_listener.abort();
     router.shutdown.advance(Phase::Closing);
     wait_for_connections(router, terminating_at).await;
--- a/crates/data-plane/tests/engines/outdated_weights.rs
+++ b/crates/data-plane/tests/engines/outdated_weights.rs
@@ -33,7 +33,7 @@
         let mut newest = engine_state(&updated);
         newest.weights = vec![Weights { model: "m".into(), version: 3 }];
         fleet.router.fleet_view.apply(&FleetUpdate { engines: vec![newest], ..Default::default() });
-        advance_time(BOUND - constants::VERSION_CUTOFF).await;
+        advance_time(BOUND - constants::VERSION_CUTOFF_MARGIN).await;
     };
     let (response, ()) = tokio::join!(sending, pass_bound);
     assert_eq!(silent.received_count(), 1);
--- a/crates/fleet-core/src/constants/consensus.rs
+++ b/crates/fleet-core/src/constants/consensus.rs
@@ -16,14 +16,14 @@
 pub const COMMITTED_CONFIGS_CAPACITY: usize = 2048;
 /// A controller counts as in contact for this long after it asked a majority of the voters: two anti-entropy rounds
 /// with one member unreachable, plus a margin.
-pub const CONTACT_SPAN: Duration = Duration::from_millis(1500);
+pub const CONTACT_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Largest allowed ratio of our contact time-out to the platform's bound (`bounds.contactMs`).
-pub const CONTACT_SHARE: f64 = 0.5;
+pub const CONTACT_MAX_BOUND_RATIO: f64 = 0.5;
 /// Interval between checks of whether quorum contact is still established.
 pub const CONTACT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// When less than this ratio of the contact time-out is left, the voters are asked without waiting for the next
 /// anti-entropy round.
-pub const CONTACT_RENEW: f64 = 0.34;
+pub const CONTACT_RENEWAL_RATIO: f64 = 0.34;
 /// Minimum rate, in bytes per ms, at which a value reaches all other voters. Four copies share the sender's network
 /// link of 100 Mbit/s with other traffic, and the disk has to write the value too.
 pub const VALUE_BYTES_PER_MS: u64 = 2_000;
@@ -33,11 +33,11 @@
 pub const ELECTION_BACKOFF_MS: u64 = 60;
 /// A ballot whose epoch is further ahead of the voter's than this cannot result from elections and is rejected: a key
 /// sees at most a few elections per second, and a voter is offline for days at most.
-pub const EPOCH_LEAD_MAX: u64 = 1 << 24;
+pub const MAX_EPOCH_ADVANCE: u64 = 1 << 24;
 /// Maximum number of times a change is forwarded; the last receiver has to decide it.
-pub const CHANGE_HOPS: u32 = 2;
+pub const MAX_CHANGE_FORWARDS: u32 = 2;
 /// Number of times a read queries a quorum before it asks the owner to complete a pending round.
-pub const READ_ATTEMPTS: u32 = 4;
+pub const MAX_READ_ATTEMPTS: u32 = 4;
 /// Initial upper bound, in ms, of the randomized delay between two queries of a read; doubles. A round takes two
 /// syncs and a round trip.
 pub const READ_BACKOFF_MS: u64 = 20;
--- a/crates/fleet-core/src/constants/engines.rs
+++ b/crates/fleet-core/src/constants/engines.rs
@@ -5,12 +5,12 @@
 /// Maximum size of an engine's heartbeat, in bytes.
 pub const HEARTBEAT_MAX_BYTES: usize = 4096;
 /// How often routine heartbeats are sent to the other controllers.
-pub const HEARTBEAT_SHARE_INTERVAL: Duration = Duration::from_millis(300);
+pub const HEARTBEAT_REPLICATION_INTERVAL: Duration = Duration::from_millis(300);
 /// Time-out for sending heartbeats to the other controllers. A drain is replicated to a majority within this time,
 /// which is below the one second that engines wait.
-pub const HEARTBEAT_SHARE_TIMEOUT: Duration = Duration::from_millis(700);
+pub const DRAIN_REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 /// Heartbeat periods without a heartbeat after which an engine is suspected.
-pub const MISSED_HEARTBEATS: f64 = 3.5;
+pub const MISSED_HEARTBEAT_PERIODS: f64 = 3.5;
 /// Minimum time that the departure of an instance is remembered, so that no delayed call makes it ready again.
 pub const DEPARTURE_RETENTION: Duration = Duration::from_secs(300);
 /// Maximum number of departure records: a whole fleet departing within the retention period, plus a margin.
@@ -25,13 +25,13 @@
 pub const ORDER_TIMEOUT: Duration = Duration::from_secs(6);
 /// An order is abandoned after this time even if it is in progress: the requests that the engine completes first have
 /// passed their deadlines by then.
-pub const ORDER_LONGEST: Duration = Duration::from_secs(20);
+pub const ORDER_MAX_DURATION: Duration = Duration::from_secs(20);
 /// Read buffer, in bytes, of a connection to an engine or store. The index owner has a connection to each, and this
 /// is the smallest buffer that the HTTP library accepts.
 pub const ENGINE_CLIENT_BUFFER: usize = 8 << 10;
 /// Time-out of orders and reports; an engine answers within a round trip and one engine step.
 pub const ENGINE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time after which an order has reached its engine over a healthy network link.
-pub const ORDER_TRAVEL: Duration = Duration::from_millis(100);
+pub const ORDER_DELIVERY_TIME: Duration = Duration::from_millis(100);
 /// With less of the lease left than this, an order waits for the renewal, because it would only be abandoned.
-pub const ORDER_LEAST: Duration = Duration::from_millis(100);
+pub const ORDER_MIN_LEASE_LEFT: Duration = Duration::from_millis(100);
--- a/crates/fleet-core/src/constants/leases.rs
+++ b/crates/fleet-core/src/constants/leases.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// Ratio of a lease after which its holder renews it.
-pub const LEASE_RENEW: f64 = 0.3;
+pub const LEASE_RENEWAL_RATIO: f64 = 0.3;
 /// Ratio of a lease that its holder leaves unused at its end.
-pub const LEASE_MARGIN: f64 = 0.25;
+pub const LEASE_MARGIN_RATIO: f64 = 0.25;
 /// Duration of the index owner's lease. It is short because the owner issues no orders and routers receive no updates
 /// without one; it is long enough for three renewals, two of which may fail on a busy machine.
 pub const INDEX_LEASE_DURATION: Duration = Duration::from_millis(2000);
--- a/crates/fleet-core/src/constants/link.rs
+++ b/crates/fleet-core/src/constants/link.rs
@@ -15,9 +15,9 @@
 /// Connections in the accept queue: a burst of clients after a failover must not lose its SYN packets.
 pub const LISTEN_BACKLOG: i32 = 1024;
 /// Maximum frame size in bytes: the largest configuration with its history.
-pub const FRAME_MAX: usize = 8 << 20;
+pub const FRAME_MAX_BYTES: usize = 8 << 20;
 /// Maximum number of queued frames; a peer that reads more slowly is disconnected and starts again.
-pub const LINK_BACKLOG: usize = 256;
+pub const LINK_QUEUE_FRAMES: usize = 256;
 /// Pause before reconnecting a broken link.
 pub const RECONNECT_BACKOFF: Duration = Duration::from_millis(250);
 /// A controller whose link is down for longer is considered lost: a connection that was only reset is up again after
@@ -26,7 +26,7 @@
 /// Queued frames are written together up to this size in bytes, so that a connection buffers little beyond its queue.
 pub const WRITE_BATCH_BYTES: usize = 64 << 10;
 /// A reader with this many queued frames is sent no message that can be replaced by a newer one later.
-pub const SLOW_READER_BACKLOG: usize = 8;
+pub const SLOW_READER_QUEUE_FRAMES: usize = 8;
 /// Number of complete fleet states that a controller sends to routers concurrently; each takes 400 bytes of memory
 /// per engine.
 pub const COMPLETE_STATES_IN_FLIGHT: usize = 16;
--- a/crates/fleet-core/src/constants/membership.rs
+++ b/crates/fleet-core/src/constants/membership.rs
@@ -6,13 +6,13 @@
 pub const MEMBER_TIMEOUT_SAME_ZONE: Duration = Duration::from_millis(3000);
 /// Time reserved within `catchUpS` to replace a member and to transfer the state to the new one: half a second until
 /// the check, two rank delays, a consensus round, and over a second for a large state.
-pub const REPLACEMENT_TIME: Duration = Duration::from_millis(2500);
+pub const REPLACEMENT_DURATION: Duration = Duration::from_millis(2500);
 /// A member that is unreachable for this long may be replaced by any candidate.
 pub const MEMBER_TIMEOUT: Duration = Duration::from_millis(7000);
 /// Interval at which a joining controller repeats its request.
 pub const JOIN_INTERVAL: Duration = Duration::from_millis(400);
 /// Interval at which a controller without a disk asks for a newer membership.
-pub const OBSERVE_INTERVAL: Duration = Duration::from_secs(2);
+pub const OBSERVER_POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// A member that is connected but has not voted for this long may be replaced: transferring a state of several MiB
 /// over a slow network link takes a third of it.
 pub const NON_VOTING_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/fleet-core/src/constants/process.rs
+++ b/crates/fleet-core/src/constants/process.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 /// Time after SIGTERM by which the platform has seen two failed readiness probes.
-pub const PROBES_MISSED: Duration = Duration::from_millis(2600);
+pub const PROBE_FAILURE_DELAY: Duration = Duration::from_millis(2600);
 /// A process ends this long before the end of its grace period.
 pub const GRACE_MARGIN: Duration = Duration::from_millis(400);
 /// A router answers the requests that still wait this long before the end of its grace period, so that the responses
 /// are sent before it ends.
-pub const ANSWERS_DUE_MARGIN: Duration = Duration::from_millis(600);
+pub const SHUTDOWN_RESPONSE_MARGIN: Duration = Duration::from_millis(600);
 /// Interval at which a router that shuts down checks for open client connections.
 pub const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// A controller waits for its machine's router until this long before the end of its grace period: the router has
--- a/crates/fleet-core/src/constants/rollout.rs
+++ b/crates/fleet-core/src/constants/rollout.rs
@@ -5,7 +5,7 @@
 /// Interval at which the roll-out checks its engines.
 pub const ROLLOUT_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay between announcing an engine's update to the routers and ordering it.
-pub const ROLLOUT_NOTICE: Duration = Duration::from_millis(120);
+pub const UPDATE_NOTICE_DELAY: Duration = Duration::from_millis(120);
 /// Initial share of a service's engines that load new weights concurrently; adjusted by measurement afterwards.
 pub const ROLLOUT_INITIAL_SHARE: f64 = 0.15;
 /// Maximum share of a service's engines that load new weights concurrently while the version bound leaves enough
@@ -14,7 +14,7 @@
 /// Planned duration of a roll-out, and not much less. Requests served with older weights lose a fifth of their value
 /// after 1.5 seconds. But every shared part has to be prefilled again under the new weights, and in half of this time
 /// the remaining engines could not do as much prefill: a late response is worth less than one with older weights.
-pub const ROLLOUT_GOAL: Duration = Duration::from_millis(7000);
+pub const ROLLOUT_TARGET_DURATION: Duration = Duration::from_millis(7000);
 /// Maximum share of a service's engines that load new weights concurrently when the version bound would otherwise be
 /// missed.
 pub const ROLLOUT_MAX_SHARE_LATE: f64 = 0.5;
@@ -26,7 +26,7 @@
 /// Routers use the roll-out state of an engine for this long; the controller that reported it may have failed since.
 pub const ROLLOUT_STATE_TIMEOUT: Duration = Duration::from_millis(4000);
 /// An update that takes longer than this is reported to the operator as stuck.
-pub const UPDATE_SLOW: Duration = Duration::from_millis(4000);
+pub const UPDATE_STUCK_THRESHOLD: Duration = Duration::from_millis(4000);
 /// Estimated duration of an update until some have been measured.
 pub const UPDATE_INITIAL_ESTIMATE: Duration = Duration::from_millis(1000);
 /// A load that is this many times slower than the fastest one reduces the number of concurrent loads.
@@ -40,7 +40,7 @@
 pub const INTERACTIVE_SHARE: f64 = 0.4;
 /// Factor by which the recorded request mix of an engine decays per `LOAD_REPORT_INTERVAL`; covers two seconds of
 /// traffic.
-pub const MIX_DECAY: f32 = 0.95;
+pub const INTERACTIVE_SHARE_DECAY: f32 = 0.95;
 /// Cost, in ms, of sending a long stream to an engine that is about to update.
 pub const STREAM_DRAIN_COST_MS: f64 = 400.0;
 /// For about this long after a new target version is set, responses with older weights keep their full value.
@@ -49,7 +49,7 @@
 /// length makes about one request in five late when engines are busy.
 pub const OUTDATED_COST_MS: f64 = 80.0;
 /// Cost, in ms, of each request beyond the slots of an engine: one of the running requests has to complete first.
-pub const SLOT_COST_MS: f64 = 120.0;
+pub const SLOT_OVERCOMMIT_COST_MS: f64 = 120.0;
 /// Number of versions of a model's weights whose start times are kept: several minutes of a new version every few
 /// seconds. Beyond that, the two oldest are merged.
 pub const TARGET_VERSIONS_CAPACITY: usize = 16;
@@ -57,7 +57,7 @@
 pub const ROLLOUT_MARGIN: Duration = Duration::from_millis(500);
 /// A request to an engine with older weights whose response has not begun is cancelled this long before the bound:
 /// the engine has dropped it by then, after a round trip and one engine step.
-pub const VERSION_CUTOFF: Duration = Duration::from_millis(150);
+pub const VERSION_CUTOFF_MARGIN: Duration = Duration::from_millis(150);
 /// Routers stop sending requests to engines with older weights this long, plus the wait expected there, before the
 /// bound.
 pub const VERSION_MARGIN: Duration = Duration::from_millis(1500);
--- a/crates/fleet-core/src/link/client.rs
+++ b/crates/fleet-core/src/link/client.rs
@@ -125,7 +125,7 @@
         pushed: Option<&mpsc::Sender<Body>>,
     ) {
         let (reader, writer) = stream.into_halves();
-        let (frames, outgoing) = mpsc::channel(constants::LINK_BACKLOG);
+        let (frames, outgoing) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
         let pending = PendingCalls::default();
         let writer = Writer::start(writer, outgoing);
         let first = Frame { call: NO_CALL, answer: false, body: Some(Body::Handshake(handshake)) };
--- a/crates/fleet-core/src/link/frame.rs
+++ b/crates/fleet-core/src/link/frame.rs
@@ -27,7 +27,7 @@
 /// Not cancel safe: a partially read frame is lost.
 pub(super) async fn read_frame(reader: &mut BufReader<ByteReader>) -> Result<Frame, LinkError> {
     let length = reader.read_u32().await? as usize;
-    if length > constants::FRAME_MAX {
+    if length > constants::FRAME_MAX_BYTES {
         return Err(LinkError::TooLarge(length));
     }
     let mut bytes = bytes::BytesMut::zeroed(length);
@@ -61,7 +61,7 @@
 
 fn check_frame_size(frame: Frame) -> Result<Frame, LinkError> {
     match frame.encoded_len() {
-        length if length > constants::FRAME_MAX => Err(LinkError::TooLarge(length)),
+        length if length > constants::FRAME_MAX_BYTES => Err(LinkError::TooLarge(length)),
         _ => Ok(frame),
     }
 }
--- a/crates/fleet-core/src/link/peer.rs
+++ b/crates/fleet-core/src/link/peer.rs
@@ -78,7 +78,7 @@
     let mut reader = frame::buffered(reader);
     let first = tokio::time::timeout(constants::TCP_USER_TIMEOUT, read_frame(&mut reader)).await;
     let Ok(Ok(Frame { body: Some(Body::Handshake(handshake)), .. })) = first else { return };
-    let (frames, outgoing) = mpsc::channel(constants::LINK_BACKLOG);
+    let (frames, outgoing) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
     let writer = Writer::start(writer, outgoing);
     let peer = Peer { handshake: Arc::new(handshake), frames };
     handler.connected(&peer);
--- a/crates/fleet-core/src/link/tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -169,7 +169,7 @@
 /// An invalid frame closes the connection; the next connection works normally.
 #[tokio::test(start_paused = true)]
 async fn malformed_frames_end_the_connection_and_its_calls() {
-    let oversized = ((constants::FRAME_MAX + 1) as u32).to_be_bytes().to_vec();
+    let oversized = ((constants::FRAME_MAX_BYTES + 1) as u32).to_be_bytes().to_vec();
     let undecodable = [&4u32.to_be_bytes()[..], &[0xff; 4]].concat();
     let complete = frame(1, true, Some(register_response(true)));
     let truncated = complete[..complete.len() - 1].to_vec();
@@ -194,7 +194,7 @@
     let (link, mut remote_ends) = link();
     let mut remote = accept_remote(&mut remote_ends).await;
     let (waiting, number) = call(&link, &mut remote).await;
-    let large = RegisterRequest { key: "k".repeat(constants::FRAME_MAX) };
+    let large = RegisterRequest { key: "k".repeat(constants::FRAME_MAX_BYTES) };
     let result = link.call(Body::RegisterRequest(large.clone()), LIMIT).await;
     assert!(matches!(result, Err(LinkError::TooLarge(_))), "{result:?}");
     assert!(matches!(link.notify(Body::RegisterRequest(large)), Err(LinkError::TooLarge(_))));
@@ -216,7 +216,7 @@
         let large = matches!(body, Body::RegisterRequest(_));
         self.bodies.lock().push(body);
         if large {
-            let key = "k".repeat(constants::FRAME_MAX);
+            let key = "k".repeat(constants::FRAME_MAX_BYTES);
             return Some(Body::RegisterRequest(RegisterRequest { key }));
         }
         Some(Body::Acknowledged(Empty {}))
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -41,7 +41,7 @@
     /// Loaded weights, one entry per model.
     #[prost(message, repeated, tag = "8")]
     pub weights: Vec<Weights>,
-    /// No heartbeat for `MISSED_HEARTBEATS` periods, as observed by the sending controller.
+    /// No heartbeat for `MISSED_HEARTBEAT_PERIODS` periods, as observed by the sending controller.
     #[prost(bool, tag = "9")]
     pub heartbeat_missed: bool,
     /// Sequence number of the roll-out's update orders: increases with each start and end, odd while an update is in
--- a/crates/fleet-core/src/wire/frame.rs
+++ b/crates/fleet-core/src/wire/frame.rs
@@ -14,7 +14,7 @@
 pub struct Empty {}
 
 /// One message on a link. On the wire it is preceded by its length as a big-endian 32-bit integer; it has at most
-/// `FRAME_MAX` bytes. An unknown body is decoded as `None`.
+/// `FRAME_MAX_BYTES` bytes. An unknown body is decoded as `None`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Frame {
     /// Number of the call, or of the call that this answers; unique per caller and link. 0 for messages that are
--- a/crates/prompt-index/src/chain.rs
+++ b/crates/prompt-index/src/chain.rs
@@ -16,7 +16,7 @@
     pub prefix_tokens: u64,
 }
 
-/// The first blocks of a prompt, at most `CHAIN_BLOCKS`.
+/// The first blocks of a prompt, at most `MAX_LOOKUP_BLOCKS`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Chain(pub SmallVec<[Block; 8]>);
 
@@ -40,10 +40,10 @@
 
 impl Chain {
     /// Builds the chain of a prompt from its parts, given as pairs of part id and token count. Parts after the first
-    /// `CHAIN_BLOCKS` are ignored.
+    /// `MAX_LOOKUP_BLOCKS` are ignored.
     pub fn new(seed: u64, parts: impl IntoIterator<Item = (u64, u64)>) -> Chain {
         let (mut hash, mut prefix_tokens) = (seed, 0);
-        let blocks = parts.into_iter().take(constants::CHAIN_BLOCKS).map(|(part, tokens)| {
+        let blocks = parts.into_iter().take(constants::MAX_LOOKUP_BLOCKS).map(|(part, tokens)| {
             let block_hash = block_hash(seed, part);
             hash = mix(hash.rotate_left(17) ^ block_hash ^ mix(tokens));
             prefix_tokens += tokens;
--- a/crates/prompt-index/src/partial_blocks.rs
+++ b/crates/prompt-index/src/partial_blocks.rs
@@ -5,7 +5,7 @@
 use fleet_core::constants;
 
 /// Token counts of partially cached blocks, by holder. Such blocks set no bit in the bitmaps. At most
-/// `TIER_ENTRIES` blocks per holder are recorded; when that is reached, the holder's entries are cleared.
+/// `PARTIAL_BLOCKS_CAPACITY` blocks per holder are recorded; when that is reached, the holder's entries are cleared.
 #[derive(Default)]
 pub struct PartialBlocks(Mutex<hashbrown::HashMap<u8, Map<u32>, ahash::RandomState>>);
 
@@ -20,7 +20,7 @@
             return;
         }
         let blocks = holders.entry(holder).or_default();
-        if blocks.len() >= constants::TIER_ENTRIES {
+        if blocks.len() >= constants::PARTIAL_BLOCKS_CAPACITY {
             blocks.clear();
         }
         blocks.insert(block_hash, tokens);
--- a/crates/prompt-index/tests/index.rs
+++ b/crates/prompt-index/tests/index.rs
@@ -50,7 +50,7 @@
 #[test]
 fn chain_length_is_bounded_and_repeated_parts_share_a_block() {
     let prompt = Chain::new(SEED, (0..900).map(|i| (i, 1)));
-    assert_eq!(prompt.len(), fleet_core::constants::CHAIN_BLOCKS);
+    assert_eq!(prompt.len(), fleet_core::constants::MAX_LOOKUP_BLOCKS);
     let repeated = Chain::new(SEED, (0..9).map(|_| (4, 1)));
     let cell = Cell::new(1000);
     let holder = cell.admit().unwrap();
