--- a/crates/simulation/src/checker/changes.rs
+++ b/crates/simulation/src/checker/changes.rs
@@ -1,9 +1,9 @@
-//! What became of each change of the configuration, over all its sendings and reads.
+//! The outcome of each configuration change, collected from all attempts to send it and all reads.
 
 use crate::history::{History, Read, Reply, Version};
 use std::collections::BTreeMap;
 
-/// One change, over all its sendings.
+/// One change, with the combined results of all attempts to send it.
 pub(super) struct Change {
     pub(super) version: Version,
     pub(super) base: u64,
@@ -19,13 +19,13 @@
         self.first_acknowledged.is_some() || self.first_observed.is_some()
     }
 
-    /// Whether it was in force before the other was even sent, and the other doesn't build on it.
+    /// Whether it was in effect before `other` was first sent. If `other` does not build on it, it was lost.
     pub(super) fn was_superseded_by(&self, other: &Change) -> bool {
-        self.in_force_by().is_some_and(|by| by < other.first_invoked)
+        self.in_effect_by().is_some_and(|by| by < other.first_invoked)
     }
 
-    /// The moment by which it was surely in force.
-    pub(super) fn in_force_by(&self) -> Option<u64> {
+    /// The time by which it was certainly in effect.
+    pub(super) fn in_effect_by(&self) -> Option<u64> {
         match (self.first_acknowledged, self.first_observed) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
@@ -35,7 +35,7 @@
 
 pub(super) struct Changes {
     pub(super) all: BTreeMap<Version, Change>,
-    /// read, but never sent by anybody
+    /// reads of versions that no operator sent
     pub(super) unsent: Vec<Read>,
 }
 
@@ -74,9 +74,9 @@
         self.all.values().filter(|change| change.is_committed()).collect()
     }
 
-    /// The highest version that was surely in force at a moment.
+    /// The highest version that was certainly in effect before a given time.
     pub(super) fn newest_at(&self, at: u64) -> Option<&Change> {
-        self.committed().into_iter().rfind(|change| change.in_force_by().is_some_and(|by| by < at))
+        self.committed().into_iter().rfind(|change| change.in_effect_by().is_some_and(|by| by < at))
     }
 }
 
--- a/crates/simulation/src/checker/cluster.rs
+++ b/crates/simulation/src/checker/cluster.rs
@@ -1,94 +1,95 @@
-//! Checks of leases, memberships, catching up, drains, calls and progress.
+//! Checks of leases, memberships, catch-up, drains, calls, panics and progress.
 
 use super::changes::Changes;
 use super::{Findings, Invariant};
 use crate::constants::PROGRESS_TIMEOUT;
-use crate::history::{History, Holder, Reply, Write};
+use crate::history::{History, LeaseObservation, Reply, Write};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// At one moment a lease has one holder; a fencing token has one holder ever, and later ones are higher.
-pub(super) fn check_holders(history: &History, found: &mut Findings) {
-    let mut at_moment: BTreeMap<(&str, u64), &Holder> = BTreeMap::new();
-    let mut of_token: BTreeMap<(&str, u64), &Holder> = BTreeMap::new();
-    let mut newest: BTreeMap<&str, &Holder> = BTreeMap::new();
+/// A lease has at most one holder at a time; a fencing token has one holder ever, and tokens never decrease.
+pub(super) fn check_holders(history: &History, findings: &mut Findings) {
+    let mut by_time: BTreeMap<(&str, u64), &LeaseObservation> = BTreeMap::new();
+    let mut by_token: BTreeMap<(&str, u64), &LeaseObservation> = BTreeMap::new();
+    let mut newest: BTreeMap<&str, &LeaseObservation> = BTreeMap::new();
     for holder in &history.holders {
-        let together = at_moment.insert((holder.lease_name, holder.at), holder);
-        if let Some(other) = together {
-            found.add(Invariant::Holder, format!("two at once: {other:?} {holder:?}"));
+        let concurrent = by_time.insert((holder.lease_name, holder.at), holder);
+        if let Some(other) = concurrent {
+            findings.add(Invariant::Holder, format!("two holders at once: {other:?} {holder:?}"));
         }
-        let same = of_token.entry((holder.lease_name, holder.fencing_token)).or_insert(holder);
-        if (same.machine, same.start) != (holder.machine, holder.start) {
-            found.add(Invariant::Holder, format!("one fencing token for two: {same:?} {holder:?}"));
+        let first = by_token.entry((holder.lease_name, holder.fencing_token)).or_insert(holder);
+        if (first.machine, first.start) != (holder.machine, holder.start) {
+            findings
+                .add(Invariant::Holder, format!("fencing token held twice: {first:?} {holder:?}"));
         }
         let last = newest.entry(holder.lease_name).or_insert(holder);
         if last.fencing_token > holder.fencing_token {
-            found.add(Invariant::Holder, format!("a fencing token fell: {last:?} {holder:?}"));
+            findings
+                .add(Invariant::Holder, format!("fencing token decreased: {last:?} {holder:?}"));
         }
         *last = holder;
     }
 }
 
-/// An epoch has one membership, and the next one differs by one member in and one out.
-pub(super) fn check_memberships(history: &History, found: &mut Findings) {
-    let mut of_epoch: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
+/// An epoch has one membership, and the next one adds at most one member and removes at most one.
+pub(super) fn check_memberships(history: &History, findings: &mut Findings) {
+    let mut by_epoch: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     for observation in &history.memberships {
         let members: BTreeSet<&str> = observation.members.iter().map(String::as_str).collect();
-        let first = of_epoch.entry(observation.epoch).or_insert_with(|| members.clone());
+        let first = by_epoch.entry(observation.epoch).or_insert_with(|| members.clone());
         if *first != members {
-            found.add(Invariant::Members, format!("two memberships of one epoch: {observation:?}"));
+            findings
+                .add(Invariant::Members, format!("two memberships in one epoch: {observation:?}"));
         }
     }
-    for ((epoch, before), (next, after)) in of_epoch.iter().zip(of_epoch.iter().skip(1)) {
-        let moved = before.difference(after).count().max(after.difference(before).count());
-        if *next == epoch + 1 && moved > 1 {
-            let why = format!("epoch {epoch} to {next} moves {moved} members at once");
-            found.add(Invariant::Members, why);
+    for ((epoch, before), (next, after)) in by_epoch.iter().zip(by_epoch.iter().skip(1)) {
+        let changed = before.difference(after).count().max(after.difference(before).count());
+        if *next == epoch + 1 && changed > 1 {
+            let why = format!("{changed} members changed at once from epoch {epoch} to {next}");
+            findings.add(Invariant::Members, why);
         }
     }
 }
 
-/// When the time for it is over, every member votes and holds what was acknowledged.
-pub(super) fn check_caught_up(history: &History, changes: &Changes, found: &mut Findings) {
+/// At the end of the run, every member votes and has the acknowledged configuration.
+pub(super) fn check_caught_up(history: &History, changes: &Changes, findings: &mut Findings) {
     let newest = changes.newest_at(history.calm_from).map_or(0, |c| c.version.number);
     for member in &history.caught_up {
         if !member.votes || member.version < newest {
-            let why = format!("version {newest} was in force before the calm: {member:?}");
-            found.add(Invariant::CatchUp, why);
+            let why = format!("version {newest} was in effect before the faults ended: {member:?}");
+            findings.add(Invariant::CatchUp, why);
         }
     }
 }
 
-/// An acknowledged drain outlives the faults at every controller.
-pub(super) fn check_drains(history: &History, found: &mut Findings) {
+/// After the faults, no controller considers an engine with an acknowledged drain as ready.
+pub(super) fn check_drains(history: &History, findings: &mut Findings) {
     for observation in history.drains.iter().filter(|observation| observation.ready) {
-        found.add(
-            Invariant::Durability,
-            format!("a drain was acknowledged and is lost: {observation:?}"),
-        );
+        findings
+            .add(Invariant::Durability, format!("acknowledged drain was lost: {observation:?}"));
     }
 }
 
-/// An answer belongs to its call, and no call is handled twice.
-pub(super) fn check_calls(history: &History, found: &mut Findings) {
+/// A response belongs to its call, and no call is handled twice.
+pub(super) fn check_calls(history: &History, findings: &mut Findings) {
     for call in &history.calls {
-        let astray = call.answered.as_ref().is_some_and(|answer| *answer != call.question);
+        let is_mismatched = call.answered.as_ref().is_some_and(|answer| *answer != call.question);
         let is_unhandled = call.answered.is_some() && call.handled == 0;
-        if astray || is_unhandled || call.handled > 1 {
-            found.add(Invariant::Calls, format!("{call:?}"));
+        if is_mismatched || is_unhandled || call.handled > 1 {
+            findings.add(Invariant::Calls, format!("{call:?}"));
         }
     }
 }
 
-/// One line for each place.
-pub(super) fn check_panics(history: &History, found: &mut Findings) {
-    let places: BTreeSet<&String> = history.panics.iter().collect();
-    for place in places {
-        found.add(Invariant::NoPanic, place.clone());
+/// Reports each distinct panic once.
+pub(super) fn check_panics(history: &History, findings: &mut Findings) {
+    let panics: BTreeSet<&String> = history.panics.iter().collect();
+    for panic in panics {
+        findings.add(Invariant::NoPanic, panic.clone());
     }
 }
 
-/// After the last fault a change is acknowledged within the limit.
-pub(super) fn check_progress(history: &History, found: &mut Findings) {
+/// After the last fault, a change is acknowledged within [`PROGRESS_TIMEOUT`].
+pub(super) fn check_progress(history: &History, findings: &mut Findings) {
     let limit = history.calm_from + PROGRESS_TIMEOUT.as_micros() as u64;
     let acknowledged = |write: &Write| {
         write.reply == Reply::Acknowledged
@@ -97,6 +98,6 @@
     };
     if history.finished && !history.writes.iter().any(acknowledged) {
         let why = format!("no change acknowledged from {} to {limit} us", history.calm_from);
-        found.add(Invariant::Progress, why);
+        findings.add(Invariant::Progress, why);
     }
 }
--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -1,6 +1,6 @@
-//! Judges a history by the invariants of the control plane.
+//! Checks a history against the invariants of the control plane.
 //!
-//! `changes` collects what became of each change of the configuration, `configuration` and `cluster` hold the checks.
+//! `changes` collects the outcome of each configuration change; `configuration` and `cluster` contain the checks.
 
 mod changes;
 mod cluster;
@@ -11,33 +11,33 @@
 use cluster::*;
 use configuration::*;
 
-/// The rules that a history can break, numbered as in the design.
+/// The invariants that a history can violate, numbered as in the design.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub enum Invariant {
-    /// I1: what was committed is for ever.
+    /// I1: committed changes are never lost.
     Durability,
     /// I2: committed versions form one chain.
     Chain,
-    /// I3: an answer is given only when it is certain.
+    /// I3: a definite response to a change is correct: what was refused never takes effect.
     Answers,
-    /// I4: reads and refusals are fresh.
+    /// I4: reads and refusals reflect the current version.
     Fresh,
-    /// I5: one holder of a lease, under one fencing token.
+    /// I5: a lease has one holder at a time, and each fencing token has one holder ever.
     Holder,
-    /// I6: one membership an epoch, changed by one member at a time.
+    /// I6: each epoch has one membership, and memberships change by one member at a time.
     Members,
     /// I7: a member that was unreachable catches up.
     CatchUp,
-    /// I8: one caller, one answer.
+    /// I8: a call gets the response to its own request and is handled at most once.
     Calls,
     /// No controller panics.
     NoPanic,
-    /// Progress: once the faults have ended, changes are acknowledged.
+    /// Once the faults have ended, changes are acknowledged.
     Progress,
 }
 
 impl Invariant {
-    /// The short name that docs and reports use.
+    /// The short name used in documentation and reports.
     pub fn code(self) -> &'static str {
         match self {
             Invariant::Durability => "I1",
@@ -54,33 +54,33 @@
     }
 }
 
-/// One broken invariant, with what shows it.
+/// A violated invariant, with its evidence.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Violation {
-    /// Which rule.
+    /// The invariant.
     pub invariant: Invariant,
     /// The operations that contradict each other.
     pub why: String,
 }
 
-/// All that a history breaks; empty for a clean one.
+/// Returns all violations in a history; empty if every invariant holds.
 pub fn check(history: &History) -> Vec<Violation> {
-    let mut found = Findings::default();
+    let mut findings = Findings::default();
     let changes = Changes::collect(history);
-    check_chain(&changes, &mut found);
-    check_order(&changes, &mut found);
-    check_answers(history, &changes, &mut found);
-    check_refusals(history, &changes, &mut found);
-    check_reads(history, &changes, &mut found);
-    check_last_reads(history, &changes, &mut found);
-    check_holders(history, &mut found);
-    check_memberships(history, &mut found);
-    check_caught_up(history, &changes, &mut found);
-    check_drains(history, &mut found);
-    check_calls(history, &mut found);
-    check_panics(history, &mut found);
-    check_progress(history, &mut found);
-    found.0
+    check_chain(&changes, &mut findings);
+    check_order(&changes, &mut findings);
+    check_answers(history, &changes, &mut findings);
+    check_refusals(history, &changes, &mut findings);
+    check_reads(history, &changes, &mut findings);
+    check_last_reads(history, &changes, &mut findings);
+    check_holders(history, &mut findings);
+    check_memberships(history, &mut findings);
+    check_caught_up(history, &changes, &mut findings);
+    check_drains(history, &mut findings);
+    check_calls(history, &mut findings);
+    check_panics(history, &mut findings);
+    check_progress(history, &mut findings);
+    findings.0
 }
 
 #[derive(Default)]
--- a/crates/simulation/src/config_body.rs
+++ b/crates/simulation/src/config_body.rs
@@ -1,11 +1,11 @@
-//! How workloads tell configurations apart: by the number in the body, and by the bytes of the body.
+//! Identifies configurations by the revision in their body and by a digest of the body's bytes.
 
-/// What tells a configuration from others of its number.
+/// Distinguishes configurations that have the same revision.
 pub fn digest(body: &[u8]) -> u64 {
     fleet_core::node::stable_hash(&[body])
 }
 
-/// The number that a configuration's body bears.
+/// The revision in a configuration's body; `None` if the body is invalid.
 pub fn number_of(body: &[u8]) -> Option<u64> {
     let read = fleet_core::configuration::Configuration::read(body);
     read.ok().map(|configuration| configuration.revision)
--- a/crates/simulation/src/constants.rs
+++ b/crates/simulation/src/constants.rs
@@ -1,96 +1,96 @@
-//! Figures of the simulated world, with unit and reason.
+//! Parameters of the simulation, with their units and reasons.
 
 use std::time::Duration;
 
-/// us; least time of a chunk of bytes between two machines, a hop inside a zone.
-pub const DELAY_LEAST_US: u64 = 200;
-/// us; what a chunk of bytes may take beyond that, so that messages of several links cross.
-pub const DELAY_SPREAD_US: u64 = 1800;
-/// us; what a chunk may take on a slow link, long enough for calls to be given up before.
-pub const SLOW_SPREAD_US: u64 = 400_000;
-/// bytes; a stream holds so much on its way before its writer waits.
-pub const STREAM_BYTES: usize = 64 << 10;
-/// connections; what a listener holds before it accepts them.
+/// us; minimum delay of a chunk of bytes between two machines, that of a hop inside a zone.
+pub const MIN_DELAY_US: u64 = 200;
+/// us; maximum additional delay of a chunk, so that messages on different links overtake each other.
+pub const DELAY_JITTER_US: u64 = 1800;
+/// us; maximum additional delay of a chunk on a slow link, long enough for callers to time out first.
+pub const SLOW_LINK_JITTER_US: u64 = 400_000;
+/// bytes; capacity of a stream's buffer, beyond which its writer waits.
+pub const STREAM_BUFFER_BYTES: usize = 64 << 10;
+/// connections; a listener's queue of connections that it has not yet accepted.
 pub const BACKLOG: usize = 256;
-/// ms; bytes held up by a cut for so long end their connection, as the kernel's user timeout does.
+/// ms; a connection that is blocked for this long is closed, as the kernel's TCP user timeout does.
 pub const BLOCKED_STREAM_TIMEOUT: Duration = fleet_core::constants::TCP_USER_TIMEOUT;
-/// us; least time of a synced write.
-pub const SYNC_LEAST_US: u64 = 300;
-/// us; what a synced write may take beyond that.
-pub const SYNC_SPREAD_US: u64 = 2700;
-/// ms; what each synced write of a slow disk takes besides.
-pub const SLOW_SYNC: Duration = Duration::from_millis(150);
-/// s; the silence after which a caller of `control` tries another node.
+/// us; minimum duration of a synced write.
+pub const MIN_SYNC_US: u64 = 300;
+/// us; maximum additional duration of a synced write.
+pub const SYNC_JITTER_US: u64 = 2700;
+/// ms; additional duration of each synced write on a slow disk.
+pub const SLOW_DISK_DELAY: Duration = Duration::from_millis(150);
+/// s; a caller of `control` tries another node if it got no response within this time.
 pub const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
-/// ms; an operator's first pause before it sends an order again; grows.
+/// ms; an operator's first pause before it resends an update; doubles with each attempt.
 pub const RESEND_BACKOFF_MS: u64 = 60;
-/// ms; an operator's longest pause before it sends an order again.
+/// ms; an operator's longest pause before it resends an update.
 pub const RESEND_BACKOFF_MAX_MS: u64 = 1000;
-/// sendings; an operator gives an order up after so many without a clear answer.
-pub const SENDINGS_MOST: usize = 12;
-/// ms; the pause between two orders of one operator.
-pub const ORDER_INTERVAL_MS: u64 = 250;
-/// ms; the pause between two reads of one reader.
+/// attempts; an operator abandons an update after this many without a definite response.
+pub const MAX_SEND_ATTEMPTS: usize = 12;
+/// ms; mean pause between two updates of one operator.
+pub const UPDATE_INTERVAL_MS: u64 = 250;
+/// ms; base of the random pause between two reads of one reader.
 pub const READ_INTERVAL_MS: u64 = 120;
-/// ms; how often duties and memberships are looked at.
+/// ms; interval at which leases and memberships are sampled.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// s; the machines found their membership, and grow it to five, in this time before the first fault.
+/// s; time before the first fault, in which the machines bootstrap the membership and grow it to five.
 pub const WARM_UP: Duration = Duration::from_secs(8);
 /// s; faults begin within this time after the warm-up.
-pub const FAULTS_SPAN: Duration = Duration::from_secs(25);
-/// s; a change is acknowledged within this time after the last fault: an election, a recovery and
-/// a link that comes up again, several times over.
+pub const FAULT_WINDOW: Duration = Duration::from_secs(25);
+/// s; a change must be acknowledged within this time after the last fault: several times the duration
+/// of an election, a recovery and a link's reconnection together.
 pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(12);
-/// s; the longest that one fault lasts.
+/// s; maximum duration of one fault.
 pub const FAULT_MAX_DURATION: Duration = Duration::from_secs(12);
-/// port; where controllers hear each other.
+/// port; where controllers accept links from each other.
 pub const PEER_PORT: u16 = 7100;
-/// port; where callers of `control` would reach a controller.
+/// port; the `control` address in the settings. Simulated callers call the controller directly.
 pub const CONTROL_PORT: u16 = 8080;
-/// ms; a machine that is back or new counts as lost for this long, as the platform's time of
+/// ms; a restarted or new machine counts as lost for this long, the time that the platform allows for
 /// catching up.
 pub const CATCH_UP_MS: u64 = 4000;
-/// machines; how many addresses the settings name as seeds.
-pub const SEEDS: usize = 3;
+/// machines; number of seed addresses in the settings.
+pub const SEED_COUNT: usize = 3;
 /// ms; all machines start within this time.
-pub const START_SPREAD_MS: u64 = 300;
-/// ms; the pause between two heartbeats of an engine.
+pub const MAX_START_DELAY_MS: u64 = 300;
+/// ms; interval between two heartbeats of an engine.
 pub const HEARTBEAT_MS: u64 = 1000;
-/// of 100; heartbeats of engines that come late.
-pub const LATE_IN_100: u64 = 30;
-/// ms; a late heartbeat comes within this time.
-pub const LATE_HEARTBEAT_MS: u64 = 10_000;
-/// ms; the longest time until an engine begins to drain.
-pub const DRAIN_WITHIN_MS: u64 = 30_000;
-/// s; a reader tries so long for the last read at one node.
-pub const LAST_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// s; an operator's last order may be under way for so long when the run ends.
-pub const LAST_ORDER_TIMEOUT: Duration = Duration::from_secs(3);
-/// of 100; orders that must be refused as invalid.
-pub const INVALID_IN_100: u64 = 8;
-/// of 100; acknowledged orders that are sent again later.
-pub const AGAIN_IN_100: u64 = 15;
-/// second part of the addresses of machines.
-pub const INSIDE: u8 = 0;
-/// second part of the addresses of those who call from outside.
-pub const OUTSIDE: u8 = 9;
-/// zones; machines are spread over so many.
-pub const ZONES: u8 = 3;
-/// port; where the test service of the link's own calls listens.
+/// percent; engine heartbeats that are delayed.
+pub const DELAYED_HEARTBEAT_PERCENT: u64 = 30;
+/// ms; maximum delay of a delayed heartbeat.
+pub const MAX_HEARTBEAT_DELAY_MS: u64 = 10_000;
+/// ms; an engine announces its departure within this time from the start of the run.
+pub const MAX_DEPARTURE_MS: u64 = 30_000;
+/// s; time limit for the final read at one node.
+pub const FINAL_READ_TIMEOUT: Duration = Duration::from_secs(10);
+/// s; time that each workload has to finish its last call at the end of the run.
+pub const WORKLOAD_STOP_TIMEOUT: Duration = Duration::from_secs(3);
+/// percent; updates with a body that must be rejected as invalid.
+pub const INVALID_UPDATE_PERCENT: u64 = 8;
+/// percent; updates that repeat an earlier acknowledged one.
+pub const REPEATED_UPDATE_PERCENT: u64 = 15;
+/// Second octet of the addresses of machines.
+pub const MACHINE_OCTET: u8 = 0;
+/// Second octet of the addresses of clients outside the cluster.
+pub const CLIENT_OCTET: u8 = 9;
+/// zones; number of zones that the machines are distributed over.
+pub const ZONE_COUNT: u8 = 3;
+/// port; where the echo service for link calls listens.
 pub const ECHO_PORT: u16 = 7300;
-/// ms; the link's own calls are given up after this.
+/// ms; timeout of a call to the echo service.
 pub const ECHO_TIMEOUT: Duration = Duration::from_millis(300);
-/// ms; the test service takes up to this long for an answer, so that some come too late.
-pub const ECHO_LONGEST_MS: u64 = 400;
-/// ms; the pause between two of the link's own calls.
+/// ms; maximum delay of the echo service's response; longer than the timeout, so that some come too late.
+pub const MAX_ECHO_DELAY_MS: u64 = 400;
+/// ms; interval between two calls to the echo service.
 pub const ECHO_INTERVAL_MS: u64 = 40;
-/// ms; a router changes the controller that it is linked with after at most this long.
-pub const ROUTER_STAYS_MS: u64 = 6000;
-/// s; a leaving process ends after this at the latest, as the platform's grace.
+/// ms; a router switches to another controller after at most this time.
+pub const MAX_ROUTER_LINK_MS: u64 = 6000;
+/// s; a process that was told to leave is killed after this time, the platform's grace period.
 pub const GRACE: Duration = Duration::from_secs(8);
-/// ms; the lease of a duty.
+/// ms; duration of a lease.
 pub const LEASE_MS: u64 = 3000;
-/// ms; the lease as the defect of a long lease has it at one node.
+/// ms; duration of a lease on the node with the injected bug `LongLease`.
 pub const LONG_LEASE_MS: u64 = 30_000;
-/// reads; an operator asks so often which version is current before it goes on.
-pub const RESOLVES_MOST: usize = 6;
+/// reads; attempts of an operator to find out the current version before it goes on.
+pub const MAX_RESOLVE_ATTEMPTS: usize = 6;
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk: records are kept in the order of their queue, late, or not at all.
+//! A simulated disk: appends records in queue order, with delays, or refuses or loses them.
 
 use crate::constants;
 use control_plane::storage::DiskError;
@@ -8,32 +8,32 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// How a disk behaves at the moment.
+/// The faults that a disk has at the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Condition {
-    /// Syncs don't end.
+    /// Syncs do not complete.
     pub hung: bool,
-    /// Each sync takes long.
+    /// Each sync is slow.
     pub slow: bool,
-    /// Writes are refused.
+    /// Writes fail with `StorageFull`.
     pub full: bool,
 }
 
-/// What a machine's disk holds, over all starts of its process.
+/// A machine's disk, which survives restarts of its process.
 #[derive(Clone)]
 pub struct SimulatedDisk {
     image: Arc<Mutex<State>>,
     condition: watch::Sender<Condition>,
     rng: Arc<Mutex<fastrand::Rng>>,
-    /// says that it kept what it didn't, half of the time: a defect for the checker to find
-    lies: bool,
+    /// loses half of the writes that it acknowledges: an injected bug for the checker to detect
+    loses_writes: bool,
 }
 
-/// The queue to a disk that one start of a process uses.
+/// The write queue of one start of a process.
 #[derive(Clone)]
-pub struct Queue {
+pub struct WriteQueue {
     jobs: mpsc::UnboundedSender<Job>,
-    refuses: watch::Receiver<bool>,
+    is_write_refused: watch::Receiver<bool>,
     ended: watch::Sender<bool>,
 }
 
@@ -44,48 +44,48 @@
 
 impl SimulatedDisk {
     /// An empty disk.
-    pub fn new(seed: u64, lies: bool) -> SimulatedDisk {
+    pub fn new(seed: u64, loses_writes: bool) -> SimulatedDisk {
         SimulatedDisk {
             image: Arc::default(),
             condition: watch::channel(Condition::default()).0,
             rng: Arc::new(Mutex::new(fastrand::Rng::with_seed(seed))),
-            lies,
+            loses_writes,
         }
     }
 
-    /// What is on it now.
+    /// The stored state.
     pub fn state(&self) -> State {
         self.image.lock().clone()
     }
 
-    /// Whether nothing was ever written since it was new or wiped.
+    /// Whether nothing has been written since it was new or wiped.
     pub fn is_empty(&self) -> bool {
         *self.image.lock() == State::default()
     }
 
-    /// Loses all that it holds.
+    /// Erases the stored state.
     pub fn wipe(&self) {
         *self.image.lock() = State::default();
     }
 
-    /// Changes how it behaves.
-    pub fn behave(&self, change: impl FnOnce(&mut Condition)) {
+    /// Changes the disk's faults.
+    pub fn update_condition(&self, change: impl FnOnce(&mut Condition)) {
         self.condition.send_modify(change);
     }
 
-    /// The queue of a newly started process; what a former one had queued is lost.
-    pub fn open(&self) -> Queue {
+    /// Opens the write queue of a newly started process.
+    pub fn open(&self) -> WriteQueue {
         let (jobs, incoming) = mpsc::unbounded_channel();
-        let (refused, refuses) = watch::channel(false);
+        let (refused, is_write_refused) = watch::channel(false);
         let (ended, is_ended) = watch::channel(false);
-        tokio::spawn(write_until(self.clone(), incoming, refused, is_ended));
-        Queue { jobs, refuses, ended }
+        tokio::spawn(write_until_ended(self.clone(), incoming, refused, is_ended));
+        WriteQueue { jobs, is_write_refused, ended }
     }
 
     fn sync_time(&self) -> Duration {
-        let spread = self.rng.lock().u64(0..=constants::SYNC_SPREAD_US);
-        let usual = Duration::from_micros(constants::SYNC_LEAST_US + spread);
-        if self.condition.borrow().slow { usual + constants::SLOW_SYNC } else { usual }
+        let spread = self.rng.lock().u64(0..=constants::SYNC_JITTER_US);
+        let normal = Duration::from_micros(constants::MIN_SYNC_US + spread);
+        if self.condition.borrow().slow { normal + constants::SLOW_DISK_DELAY } else { normal }
     }
 
     async fn append(&self, record: &Record) -> Result<(), DiskError> {
@@ -96,14 +96,14 @@
             let kind = std::io::ErrorKind::StorageFull;
             return Err(DiskError::Io { what: "write log", kind });
         }
-        if !self.lies || self.rng.lock().bool() {
+        if !self.loses_writes || self.rng.lock().bool() {
             self.image.lock().apply(record);
         }
         Ok(())
     }
 }
 
-async fn write_until(
+async fn write_until_ended(
     disk: SimulatedDisk,
     jobs: mpsc::UnboundedReceiver<Job>,
     refused: watch::Sender<bool>,
@@ -116,30 +116,30 @@
     }
 }
 
-/// As the real writer: after a refusal nothing more is taken until the disk takes all of it.
+/// Like the real writer, keeps refused records and writes them before any later record.
 async fn write_all(
     disk: SimulatedDisk,
     mut jobs: mpsc::UnboundedReceiver<Job>,
     refused: watch::Sender<bool>,
 ) {
-    let mut owed: Vec<Record> = Vec::new();
+    let mut pending: Vec<Record> = Vec::new();
     while let Some(job) = jobs.recv().await {
-        owed.push(job.record);
+        pending.push(job.record);
         let mut result = Ok(());
-        while let Some(record) = owed.first() {
+        while let Some(record) = pending.first() {
             result = disk.append(record).await;
             if result.is_err() {
                 break;
             }
-            owed.remove(0);
+            pending.remove(0);
         }
         refused.send_replace(result.is_err());
         let _ = job.done.send(result);
     }
 }
 
-impl Queue {
-    /// Queues a record; its answer comes once it is on the disk.
+impl WriteQueue {
+    /// Queues a record; the future completes once it is on the disk.
     pub fn append(
         &self,
         record: Record,
@@ -154,10 +154,10 @@
 
     /// Whether the last write was refused.
     pub fn is_refused(&self) -> bool {
-        *self.refuses.borrow()
+        *self.is_write_refused.borrow()
     }
 
-    /// The process is dead: what is queued is never written.
+    /// Stops the writer when the process ends: queued records are not written.
     pub fn end(&self) {
         self.ended.send_replace(true);
     }
--- a/crates/simulation/src/disk_tests.rs
+++ b/crates/simulation/src/disk_tests.rs
@@ -1,4 +1,4 @@
-//! What a disk holds after it was slow, full, hung or cut off from power.
+//! State of a simulated disk after faults: full, hung, lossy, or with its process killed.
 
 use super::*;
 use fleet_core::wire::Register;
@@ -13,7 +13,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn records_are_kept_in_order() {
+async fn records_are_stored_in_order() {
     let disk = SimulatedDisk::new(1, false);
     let queue = disk.open();
     let (first, second) = (queue.append(record("a")), queue.append(record("b")));
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dead_process_writes_nothing_more() {
+async fn records_of_an_ended_process_are_not_written() {
     let disk = SimulatedDisk::new(1, false);
     let queue = disk.open();
     let appended = queue.append(record("a"));
@@ -32,32 +32,32 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_full_disk_refuses_and_then_keeps_all() {
+async fn a_full_disk_refuses_records_and_writes_them_once_it_has_space() {
     let disk = SimulatedDisk::new(1, false);
     let queue = disk.open();
-    disk.behave(|now| now.full = true);
+    disk.update_condition(|now| now.full = true);
     assert!(queue.append(record("a")).await.is_err());
     assert!(queue.is_refused());
-    disk.behave(|now| now.full = false);
+    disk.update_condition(|now| now.full = false);
     assert_eq!(queue.append(record("b")).await, Ok(()));
     assert!(!queue.is_refused());
     assert_eq!(keys(&disk), ["a", "b"]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_hung_disk_answers_once_it_works_again() {
+async fn a_hung_disk_completes_writes_once_repaired() {
     let disk = SimulatedDisk::new(1, false);
     let queue = disk.open();
-    disk.behave(|now| now.hung = true);
+    disk.update_condition(|now| now.hung = true);
     let mut appended = std::pin::pin!(queue.append(record("a")));
     let waited = tokio::time::timeout(Duration::from_secs(5), &mut appended).await;
     assert!(waited.is_err());
-    disk.behave(|now| now.hung = false);
+    disk.update_condition(|now| now.hung = false);
     assert_eq!(appended.await, Ok(()));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lying_disk_keeps_some_of_what_it_says() {
+async fn a_lying_disk_stores_only_some_acknowledged_records() {
     let disk = SimulatedDisk::new(1, true);
     let queue = disk.open();
     for key in 0..40 {
--- a/crates/simulation/src/engine_workload.rs
+++ b/crates/simulation/src/engine_workload.rs
@@ -1,4 +1,4 @@
-//! Engines: heartbeats, some of which come late, and a drain or a deregistration that is acknowledged.
+//! Simulated engines: send heartbeats, some of them delayed, then a drain or a deregistration until it is acknowledged.
 
 use crate::constants;
 use crate::history::{DrainObservation, Micros};
@@ -13,18 +13,18 @@
 use tokio::task::JoinSet;
 
 /// A drain or a deregistration that was acknowledged.
-pub struct Departed {
+pub struct DepartedEngine {
     engine: String,
     by: usize,
     at: Micros,
 }
 
-/// How an engine announces its end.
+/// How an engine announces its departure.
 #[derive(Clone, Copy)]
 enum Announcement {
-    /// By heartbeats that say so.
+    /// By heartbeats with the state `draining`.
     Drain,
-    /// By a deregistration alone, as some engines do.
+    /// By a deregistration without a drain, as some engines do.
     Deregister,
 }
 
@@ -32,74 +32,76 @@
     world: Arc<World>,
     id: String,
     rng: fastrand::Rng,
-    calls: u64,
-    /// Heartbeats that are still on their way.
-    late: JoinSet<()>,
+    call_seq: u64,
+    /// Tasks of delayed heartbeats that have not completed.
+    delayed_heartbeats: JoinSet<()>,
 }
 
-/// Lives until its end is acknowledged or the run is over; tells of the acknowledgement if there was one.
-pub async fn live(world: Arc<World>, number: usize) -> Option<Departed> {
+/// Runs an engine until its departure is acknowledged or the run is over; returns the acknowledged departure, if any.
+pub async fn run_engine(world: Arc<World>, number: usize) -> Option<DepartedEngine> {
     let mut rng = world.rng("engine", number);
-    let departs_at = rng.u64(0..constants::DRAIN_WITHIN_MS) * 1000;
+    let departure_at = rng.u64(0..constants::MAX_DEPARTURE_MS) * 1000;
     let announcement = if rng.bool() { Announcement::Drain } else { Announcement::Deregister };
-    let late = JoinSet::new();
-    let mut engine = Engine { world, id: format!("engine-{number}"), rng, calls: 0, late };
+    let delayed_heartbeats = JoinSet::new();
+    let mut engine =
+        Engine { world, id: format!("engine-{number}"), rng, call_seq: 0, delayed_heartbeats };
     let mut departed = None;
     while departed.is_none() && !engine.world.is_over() {
         tokio::time::sleep(Duration::from_millis(constants::HEARTBEAT_MS)).await;
-        if engine.world.now() < departs_at {
-            engine.tell_ready().await;
-        } else if let Some(by) = engine.depart(announcement).await {
-            departed = Some(Departed { engine: engine.id.clone(), by, at: engine.world.now() });
+        if engine.world.now() < departure_at {
+            engine.send_ready().await;
+        } else if let Some(by) = engine.announce_departure(announcement).await {
+            departed =
+                Some(DepartedEngine { engine: engine.id.clone(), by, at: engine.world.now() });
         }
     }
-    while engine.late.join_next().await.is_some() {}
+    while engine.delayed_heartbeats.join_next().await.is_some() {}
     departed
 }
 
 impl Engine {
-    /// One heartbeat to any node, at once or late.
-    async fn tell_ready(&mut self) {
-        let (machine, body) = (self.any_machine(), self.heartbeat("ready"));
+    /// Sends one heartbeat to a random machine, immediately or delayed.
+    async fn send_ready(&mut self) {
+        let (machine, body) = (self.random_machine(), self.heartbeat("ready"));
         let (world, id) = (self.world.clone(), self.id.clone());
-        if self.rng.u64(0..100) >= constants::LATE_IN_100 {
+        if self.rng.u64(0..100) >= constants::DELAYED_HEARTBEAT_PERCENT {
             send_heartbeat(&world, &machine, id, body).await;
             return;
         }
-        let delay = Duration::from_millis(self.rng.u64(0..constants::LATE_HEARTBEAT_MS));
-        self.late.spawn(async move {
+        let delay = Duration::from_millis(self.rng.u64(0..constants::MAX_HEARTBEAT_DELAY_MS));
+        self.delayed_heartbeats.spawn(async move {
             tokio::time::sleep(delay).await;
             send_heartbeat(&world, &machine, id, body).await;
         });
     }
 
-    /// Announces the end to any node; the machine that acknowledged it, if any.
-    async fn depart(&mut self, announcement: Announcement) -> Option<usize> {
-        let (machine, id) = (self.any_machine(), self.id.clone());
+    /// Announces the departure to a random machine; returns its number if it acknowledged.
+    async fn announce_departure(&mut self, announcement: Announcement) -> Option<usize> {
+        let (machine, id) = (self.random_machine(), self.id.clone());
         let is_acknowledged = match announcement {
             Announcement::Drain => {
                 let body = self.heartbeat("draining");
                 send_heartbeat(&self.world, &machine, id, body).await
             }
             Announcement::Deregister => {
-                self.calls += 1;
-                let body = Bytes::from(serde_json::json!({ "callSeq": self.calls }).to_string());
+                self.call_seq += 1;
+                let body = Bytes::from(serde_json::json!({ "callSeq": self.call_seq }).to_string());
                 deregister(&self.world, &machine, id, body).await
             }
         };
         is_acknowledged.then_some(machine.number)
     }
 
-    fn any_machine(&mut self) -> Arc<Machine> {
+    fn random_machine(&mut self) -> Arc<Machine> {
         let machines = self.world.machines();
         machines[self.rng.usize(0..machines.len())].clone()
     }
 
     fn heartbeat(&mut self, state: &str) -> Bytes {
-        self.calls += 1;
+        self.call_seq += 1;
         let body = serde_json::json!({
             "service": "service", "address": "10.9.2.1:9000", "state": state,
-            "callSeq": self.calls,
+            "callSeq": self.call_seq,
         });
         Bytes::from(body.to_string())
     }
@@ -121,9 +123,9 @@
     matches!(world.call(machine, call).await, Some(Ok(())))
 }
 
-/// How a departed engine stands at each member that runs: routers hear of engines from members.
-pub fn inspect(world: &World, departed: &Departed) -> Vec<DrainObservation> {
-    let mut observation = Vec::new();
+/// Looks up a departed engine at each running member, since routers learn about engines from members.
+pub fn observe_departed(world: &World, departed: &DepartedEngine) -> Vec<DrainObservation> {
+    let mut observations = Vec::new();
     for machine in world.machines() {
         let Some((_, controller)) = machine.controller() else { continue };
         if !controller.consensus().with_acceptor(|acceptor| acceptor.is_member()) {
@@ -133,7 +135,7 @@
             .cluster_state()
             .read(|cluster_state| cluster_state.engines.get(&departed.engine).map(|e| e.state()));
         let ready = state == Some(EngineState::Ready);
-        observation.push(DrainObservation {
+        observations.push(DrainObservation {
             engine: departed.engine.clone(),
             acknowledged_by: departed.by,
             acknowledged: departed.at,
@@ -141,5 +143,5 @@
             ready,
         });
     }
-    observation
+    observations
 }
--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -1,6 +1,6 @@
-//! What goes wrong in a run: drawn from a seed, printed, replayed, and dropped one by one.
+//! The faults of a run: drawn from a seed, saved, replayed, and left out one by one when a failing run is shrunk.
 //!
-//! A [`Plan`] is a run's [`Fault`]s with their times, of the mix of a [`Point`]; `shape` draws them.
+//! A [`Plan`] lists the scheduled [`Fault`]s of a run; a [`FaultMix`] selects the mix from which `shape` draws them.
 
 mod plan;
 mod point;
@@ -10,25 +10,25 @@
 use serde::{Deserialize, Serialize};
 
 pub use plan::Plan;
-pub use point::{Point, UnknownPoint};
+pub use point::{FaultMix, UnknownFaultMix};
 
-/// One kind of fault; machines are numbers from 0.
+/// One kind of fault; machines are numbered from 0.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum FaultKind {
-    /// The machine hears no other machine and none hears it; callers may still reach it.
+    /// The machine is partitioned from all other machines; clients may still reach it.
     #[serde(rename = "cut-off")]
     Isolation {
         /// which machine
         machine: usize,
-        /// whether callers are cut off from it as well
+        /// whether it is partitioned from clients as well
         callers_too: bool,
     },
-    /// Nothing passes from one machine to another; the way back stands.
+    /// Traffic from one machine to another is blocked; the reverse direction stays open.
     OneWay {
-        /// who is not heard
+        /// the sender
         from: usize,
-        /// who doesn't hear
+        /// the receiver
         to: usize,
     },
     /// The connections between two machines are reset, once.
@@ -38,72 +38,72 @@
         /// the other end
         other: usize,
     },
-    /// The callers outside don't reach a machine, or its answers don't reach them.
+    /// The clients cannot reach a machine, or only its responses are lost.
     #[serde(rename = "callers-cut")]
     ClientPartition {
         /// which machine
         machine: usize,
-        /// whether calls still come through
+        /// whether only responses are blocked, and calls still arrive
         answers_only: bool,
     },
-    /// The process is killed, and started again at the end.
+    /// The process is killed, and restarted when the fault ends.
     Kill {
         /// which machine
         machine: usize,
     },
-    /// The process is told to leave, and started again at the end.
+    /// The process is told to leave, and restarted when the fault ends.
     Leave {
         /// which machine
         machine: usize,
     },
-    /// The power goes: unsynced writes are lost and nobody is told.
+    /// The machine loses power: unsynced writes are lost, and its connections hang.
     PowerLoss {
         /// which machine
         machine: usize,
     },
-    /// As the loss of power, and the disk comes back empty.
+    /// The machine loses power, and its disk comes back empty.
     LoseDisk {
         /// which machine
         machine: usize,
     },
-    /// Nothing of the machine is sent or synced; its timers go on.
+    /// The machine neither sends, receives nor syncs; its timers continue.
     Freeze {
         /// which machine
         machine: usize,
     },
-    /// Whatever the machine sends or is sent comes late, at times after its caller gave up.
+    /// Traffic to and from the machine is delayed, at times beyond the caller's timeout.
     SlowLinks {
         /// which machine
         machine: usize,
     },
-    /// Each sync takes long.
+    /// Each sync is slow.
     SlowDisk {
         /// which machine
         machine: usize,
     },
-    /// Syncs don't end.
+    /// Syncs do not complete.
     HungDisk {
         /// which machine
         machine: usize,
     },
-    /// Writes are refused.
+    /// Writes fail because the disk is full.
     FullDisk {
         /// which machine
         machine: usize,
     },
-    /// The machine is gone for good; another one comes at a new address with an empty disk.
+    /// The machine is removed permanently; when the fault ends, a new one with a new address and an empty disk replaces it.
     Replace {
         /// which machine
         machine: usize,
     },
-    /// All machines go down at once, and come back together.
+    /// All machines go down at once, and are restarted together.
     AllDown {
-        /// whether their power goes, and not only their processes
+        /// whether they lose power, instead of only having their processes killed
         power: bool,
-        /// those whose disks come back empty
+        /// machines whose disks come back empty
         wiped: Vec<usize>,
     },
-    /// The seeds in the settings of a machine are changed to its own and those of later machines.
+    /// The seeds in a machine's settings are replaced by the addresses of the last machines.
     Reseed {
         /// which machine
         machine: usize,
@@ -111,7 +111,7 @@
 }
 
 impl FaultKind {
-    /// The machine that can't be counted on meanwhile, if any.
+    /// The machine that may be unavailable during the fault, if any; `None` also for [`FaultKind::AllDown`].
     pub fn machine_lost(&self) -> Option<usize> {
         match self {
             FaultKind::Reset { .. }
@@ -135,32 +135,32 @@
 }
 
 impl FaultKind {
-    pub(crate) fn downs_all(&self) -> bool {
+    pub(crate) fn is_full_outage(&self) -> bool {
         matches!(self, FaultKind::AllDown { .. })
     }
 }
 
-/// One fault with its time.
+/// A scheduled fault.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// ms since the run began.
+    /// Start; ms since the run began.
     pub from_ms: u64,
-    /// ms until it ends.
+    /// Duration; ms.
     pub for_ms: u64,
-    /// What goes wrong.
+    /// Kind of fault.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// Whether two faults, each with the time of catching up after it, come upon each other.
-    fn meets(&self, other: &Fault) -> bool {
-        let until = |fault: &Fault| fault.until_ms() + constants::CATCH_UP_MS;
-        other.from_ms < until(self) && self.from_ms < until(other)
+    /// Whether two faults overlap, each extended by the time for catching up after it.
+    fn overlaps(&self, other: &Fault) -> bool {
+        let blocked_until = |fault: &Fault| fault.end_ms() + constants::CATCH_UP_MS;
+        other.from_ms < blocked_until(self) && self.from_ms < blocked_until(other)
     }
 
-    /// ms since the run began at which it is over.
-    pub fn until_ms(&self) -> u64 {
+    /// End; ms since the run began.
+    pub fn end_ms(&self) -> u64 {
         self.from_ms + self.for_ms
     }
 }
--- a/crates/simulation/src/fault/plan.rs
+++ b/crates/simulation/src/fault/plan.rs
@@ -1,47 +1,47 @@
-//! A whole run, and which faults it bears.
+//! The plan of a run, and the limit on its concurrent faults.
 
-use super::shape::Shape;
-use super::{Fault, FaultKind, Point};
+use super::shape::RunShape;
+use super::{Fault, FaultKind, FaultMix};
 use crate::constants;
 use serde::{Deserialize, Serialize};
 
-/// A whole run: printed, kept in a file, and played again.
+/// The parameters and faults of one run, which can be saved and replayed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// What all delays and choices are drawn from.
+    /// Seed of all delays and random choices.
     pub seed: u64,
-    /// Which mix.
-    pub point: Point,
-    /// Controllers that found the membership.
+    /// Mix that the faults are drawn from.
+    pub point: FaultMix,
+    /// Number of initial members.
     pub members: usize,
-    /// Controllers beside them that wait to stand in.
+    /// Number of additional controllers that are not initially members.
     pub standbys: usize,
-    /// Operators that send configurations.
+    /// Number of operators that send configurations.
     pub operators: usize,
-    /// ms; the pause between two orders of one operator.
+    /// ms; mean pause between two updates of one operator.
     #[serde(rename = "order_pause_ms")]
-    pub order_interval_ms: u64,
-    /// What goes wrong, by time.
+    pub update_interval_ms: u64,
+    /// Faults, ordered by start time.
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// Draws a run from a seed.
-    pub fn random(seed: u64, point: Point) -> Plan {
+    /// Draws a plan from a seed.
+    pub fn random(seed: u64, point: FaultMix) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let shape = Shape::of(point, &mut rng);
+        let shape = RunShape::draw(point, &mut rng);
         let mut plan = Plan {
             seed,
             point,
             members: shape.members,
             standbys: shape.standbys,
             operators: shape.operators,
-            order_interval_ms: shape.order_interval_ms,
+            update_interval_ms: shape.update_interval_ms,
             faults: Vec::new(),
         };
-        for _ in 0..shape.tries {
-            let fault = shape.fault(&plan, &mut rng);
-            if plan.bears(&fault) {
+        for _ in 0..shape.fault_attempts {
+            let fault = shape.draw_fault(&plan, &mut rng);
+            if plan.allows(&fault) {
                 plan.faults.push(fault);
             }
         }
@@ -49,45 +49,48 @@
         plan
     }
 
-    /// Members that may be lost together with all rules kept.
-    pub fn losses(&self) -> usize {
+    /// Number of members that may be lost at once while all invariants hold.
+    pub fn max_losses(&self) -> usize {
         (self.members - 1) / 2
     }
 
-    /// ms since the run began at which the last fault is over.
-    pub fn calm_from_ms(&self) -> u64 {
-        let last = self.faults.iter().map(Fault::until_ms).max().unwrap_or(0);
+    /// End of the last fault, or of the warm-up if that is later; ms since the run began.
+    pub fn faults_end_ms(&self) -> u64 {
+        let last = self.faults.iter().map(Fault::end_ms).max().unwrap_or(0);
         last.max(constants::WARM_UP.as_millis() as u64)
     }
 
-    /// Never more machines at once than the platform says may be lost: one that is back counts as
-    /// lost for the time of catching up, and while all are down nothing else is lost.
-    fn bears(&self, new: &Fault) -> bool {
-        let met: Vec<&Fault> = self.faults.iter().filter(|fault| fault.meets(new)).collect();
-        let counts =
-            |fault: &&&Fault| fault.kind.machine_lost().is_some() || fault.kind.downs_all();
-        if new.kind.downs_all() {
-            return !met.iter().any(|fault| counts(&fault));
+    /// Whether a fault can be added without losing more machines at once than the platform tolerates: a
+    /// restarted machine counts as lost while it catches up, and no machine is lost during a full outage.
+    fn allows(&self, new: &Fault) -> bool {
+        let overlapping: Vec<&Fault> =
+            self.faults.iter().filter(|fault| fault.overlaps(new)).collect();
+        let loses_machine =
+            |fault: &&&Fault| fault.kind.machine_lost().is_some() || fault.kind.is_full_outage();
+        if new.kind.is_full_outage() {
+            return !overlapping.iter().any(|fault| loses_machine(&fault));
         }
         let Some(machine) = new.kind.machine_lost() else { return true };
-        if met.iter().any(|fault| fault.kind.downs_all()) || self.outlives(machine, new) {
+        if overlapping.iter().any(|fault| fault.kind.is_full_outage())
+            || self.affects_removed_machine(machine, new)
+        {
             return false;
         }
         let mut others: Vec<usize> =
-            met.iter().filter_map(|fault| fault.kind.machine_lost()).collect();
+            overlapping.iter().filter_map(|fault| fault.kind.machine_lost()).collect();
         others.sort_unstable();
         others.dedup();
-        !others.contains(&machine) && others.len() < self.losses()
+        !others.contains(&machine) && others.len() < self.max_losses()
     }
 
-    /// Whether a machine would have a fault after it was gone for good.
-    fn outlives(&self, machine: usize, new: &Fault) -> bool {
-        let goes = |fault: &Fault| fault.kind == FaultKind::Replace { machine };
-        let removed_before = self.faults.iter().any(goes);
-        let goes_too_soon = goes(new)
+    /// Whether a fault would affect a machine after its permanent removal.
+    fn affects_removed_machine(&self, machine: usize, new: &Fault) -> bool {
+        let is_removal = |fault: &Fault| fault.kind == FaultKind::Replace { machine };
+        let removed_before = self.faults.iter().any(is_removal);
+        let is_removed_too_early = is_removal(new)
             && self.faults.iter().any(|fault| {
                 fault.kind.machine_lost() == Some(machine) && fault.from_ms > new.from_ms
             });
-        removed_before || goes_too_soon
+        removed_before || is_removed_too_early
     }
 }
--- a/crates/simulation/src/fault/point.rs
+++ b/crates/simulation/src/fault/point.rs
@@ -1,59 +1,59 @@
-//! The mixes of faults, by what they are meant to find.
+//! Mixes of faults, by the defects that they target.
 
 use serde::{Deserialize, Serialize};
 
-/// The mixes of faults that `--point` picks.
+/// A mix of faults, selected with `--point`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Point {
-    /// Machines cut off, one way and both.
+pub enum FaultMix {
+    /// Machines partitioned in one or both directions.
     #[serde(rename = "cut-off")]
     Isolation,
-    /// Several operators with the same numbers, answers lost.
+    /// Several operators that use the same revision numbers, with lost responses.
     Race,
-    /// A second loss right after a repair or a replacement.
+    /// A second loss shortly after a repair or a replacement.
     SecondLoss,
-    /// A member away for hundreds of changes.
+    /// A member that is unreachable during hundreds of changes.
     Hundreds,
-    /// Connections reset and held up under calls.
+    /// Connections that are reset or blocked during calls.
     Calls,
-    /// All of these.
+    /// All kinds of faults.
     All,
 }
 
-impl Point {
-    /// Every point, in the order of `--help`.
-    pub const EVERY: [Point; 6] = [
-        Point::Isolation,
-        Point::Race,
-        Point::SecondLoss,
-        Point::Hundreds,
-        Point::Calls,
-        Point::All,
+impl FaultMix {
+    /// Every mix, in the order of `--help`.
+    pub const VARIANTS: [FaultMix; 6] = [
+        FaultMix::Isolation,
+        FaultMix::Race,
+        FaultMix::SecondLoss,
+        FaultMix::Hundreds,
+        FaultMix::Calls,
+        FaultMix::All,
     ];
 
     /// The name on the command line.
     pub fn name(self) -> &'static str {
         match self {
-            Point::Isolation => "cut-off",
-            Point::Race => "race",
-            Point::SecondLoss => "second-loss",
-            Point::Hundreds => "hundreds",
-            Point::Calls => "calls",
-            Point::All => "all",
+            FaultMix::Isolation => "cut-off",
+            FaultMix::Race => "race",
+            FaultMix::SecondLoss => "second-loss",
+            FaultMix::Hundreds => "hundreds",
+            FaultMix::Calls => "calls",
+            FaultMix::All => "all",
         }
     }
 }
 
-/// `{0}` is none of cut-off, race, second-loss, hundreds, calls, all
+/// `{0}` is not one of cut-off, race, second-loss, hundreds, calls, all
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
-pub struct UnknownPoint(String);
+pub struct UnknownFaultMix(String);
 
-impl std::str::FromStr for Point {
-    type Err = UnknownPoint;
+impl std::str::FromStr for FaultMix {
+    type Err = UnknownFaultMix;
 
-    fn from_str(text: &str) -> Result<Point, UnknownPoint> {
-        let point = Point::EVERY.into_iter().find(|point| point.name() == text);
-        point.ok_or_else(|| UnknownPoint(text.to_owned()))
+    fn from_str(text: &str) -> Result<FaultMix, UnknownFaultMix> {
+        let point = FaultMix::VARIANTS.into_iter().find(|point| point.name() == text);
+        point.ok_or_else(|| UnknownFaultMix(text.to_owned()))
     }
 }
--- a/crates/simulation/src/fault/tests.rs
+++ b/crates/simulation/src/fault/tests.rs
@@ -3,40 +3,40 @@
 use super::*;
 
 #[test]
-fn a_seed_draws_the_same_plan_again() {
-    for point in Point::EVERY {
+fn a_seed_always_gives_the_same_plan() {
+    for point in FaultMix::VARIANTS {
         assert_eq!(Plan::random(7, point), Plan::random(7, point));
         assert_ne!(Plan::random(7, point), Plan::random(8, point));
     }
 }
 
 #[test]
-fn a_plan_is_read_back_as_it_was_written() {
-    let plan = Plan::random(11, Point::All);
-    let text = serde_json::to_string(&plan).expect("a plan can be written");
-    assert_eq!(serde_json::from_str::<Plan>(&text).expect("and read"), plan);
+fn a_plan_survives_serialization() {
+    let plan = Plan::random(11, FaultMix::All);
+    let text = serde_json::to_string(&plan).expect("plan serializes");
+    assert_eq!(serde_json::from_str::<Plan>(&text).expect("plan deserializes"), plan);
 }
 
 #[test]
-fn no_more_machines_are_lost_at_once_than_may_be() {
+fn concurrent_losses_stay_within_the_limit() {
     for seed in 0..300 {
-        let plan = Plan::random(seed, Point::All);
+        let plan = Plan::random(seed, FaultMix::All);
         for at in (0..60_000).step_by(50) {
             let lost: std::collections::BTreeSet<usize> = plan
                 .faults
                 .iter()
-                .filter(|f| f.from_ms <= at && at < f.until_ms() + constants::CATCH_UP_MS)
+                .filter(|f| f.from_ms <= at && at < f.end_ms() + constants::CATCH_UP_MS)
                 .filter_map(|f| f.kind.machine_lost())
                 .collect();
-            assert!(lost.len() <= plan.losses(), "seed {seed} at {at}: {lost:?}");
+            assert!(lost.len() <= plan.max_losses(), "seed {seed} at {at}: {lost:?}");
         }
     }
 }
 
 #[test]
-fn a_machine_that_is_gone_has_no_later_fault() {
+fn a_replaced_machine_has_no_later_fault() {
     for seed in 0..300 {
-        let plan = Plan::random(seed, Point::SecondLoss);
+        let plan = Plan::random(seed, FaultMix::SecondLoss);
         for removal in &plan.faults {
             let FaultKind::Replace { machine } = removal.kind else { continue };
             let later = |fault: &&Fault| {
@@ -48,9 +48,9 @@
 }
 
 #[test]
-fn points_are_named_as_on_the_command_line() {
-    for point in Point::EVERY {
-        assert_eq!(point.name().parse::<Point>().ok(), Some(point));
+fn mixes_are_parsed_from_their_names() {
+    for point in FaultMix::VARIANTS {
+        assert_eq!(point.name().parse::<FaultMix>().ok(), Some(point));
     }
-    assert!("nonesuch".parse::<Point>().is_err());
+    assert!("nonesuch".parse::<FaultMix>().is_err());
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -1,160 +1,160 @@
-//! What the stand-ins asked and what they were told, with the time of both.
+//! The recorded calls of the workloads, with their responses and the times of both.
 
 use serde::Serialize;
 
 /// Time since the run began, in microseconds of the simulated clock.
 pub type Micros = u64;
 
-/// One configuration as the checker sees it: its number and a digest of its body.
+/// Identifies a configuration by its revision number and a digest of its body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 pub struct Version {
-    /// The number that its operator gave it.
+    /// The revision number.
     pub number: u64,
-    /// Tells apart two configurations of the same number.
+    /// Distinguishes configurations with the same number.
     pub digest: u64,
 }
 
-/// What an operator got for one sending of an order.
+/// The response to one attempt of an operator to send a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Reply {
-    /// 200: the change is in force, now or earlier.
+    /// 200: the change took effect, now or earlier.
     Acknowledged,
     /// 412: another version is current.
     Refused,
-    /// 400: the configuration can't be taken.
+    /// 400: the configuration is invalid.
     Invalid,
-    /// 503, silence or a reset: nothing is known.
+    /// 503, a timeout or a reset: the outcome is unknown.
     Unknown,
 }
 
-/// One sending of a configuration.
+/// One attempt to send a configuration.
 #[derive(Debug, Clone, Serialize)]
 pub struct Write {
-    /// Which operator sent it.
+    /// Number of the operator that sent it.
     pub operator: usize,
-    /// The machine that it was sent to.
+    /// Number of the machine that it was sent to.
     pub machine: usize,
     /// The version that it builds on.
     pub base: u64,
-    /// What it would put in force.
+    /// The version that it would put into effect.
     pub version: Version,
-    /// False for a body that must never be taken.
+    /// False if the body is invalid and must be rejected.
     pub valid: bool,
     /// When it was sent.
     pub invoked: Micros,
-    /// When its reply came, or the operator gave up waiting.
+    /// When the response arrived or the operator timed out; `u64::MAX` while it is pending.
     pub completed: Micros,
-    /// How it ended.
+    /// The response.
     pub reply: Reply,
 }
 
-/// One read of the configuration that gave an answer.
+/// One read of the configuration that returned a version.
 #[derive(Debug, Clone, Serialize)]
 pub struct Read {
-    /// The machine that was asked.
+    /// Number of the machine that was read from.
     pub machine: usize,
-    /// What it gave.
+    /// The version that it returned.
     pub version: Version,
-    /// When the question was sent.
+    /// When the request was sent.
     pub invoked: Micros,
-    /// When the answer came.
+    /// When the response arrived.
     pub completed: Micros,
 }
 
-/// A controller that could give orders under a duty at one moment.
+/// A controller that held a lease at one time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Holder {
-    /// The duty's name.
+pub struct LeaseObservation {
+    /// Name of the lease.
     pub lease_name: &'static str,
-    /// The machine that held it.
+    /// Number of the machine that held it.
     pub machine: usize,
-    /// Which start of that machine.
+    /// Which start of that machine's process.
     pub start: u64,
-    /// The fencing token that it would have used.
+    /// Its fencing token.
     pub fencing_token: u64,
-    /// When it was seen.
+    /// When it was sampled.
     pub at: Micros,
 }
 
-/// The members that one controller held to be in force.
+/// The membership that one controller considered current.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct MembershipObservation {
-    /// Where it was seen.
+    /// Number of the machine where it was sampled.
     pub machine: usize,
     /// The membership's epoch.
     pub epoch: u64,
-    /// The members' addresses, in order.
+    /// The members' addresses, sorted.
     pub members: Vec<String>,
-    /// When it was first seen there.
+    /// When this epoch was first sampled there.
     pub at: Micros,
 }
 
-/// One call of the link's own protocol, as its caller and its server saw it.
+/// One call over a link, as observed by its caller and its server.
 #[derive(Debug, Clone, Serialize)]
 pub struct LinkCall {
-    /// The question.
+    /// The request, unique to the call.
     pub question: String,
-    /// The answer that the caller was given, if any.
+    /// The response that the caller received, if any.
     pub answered: Option<String>,
-    /// How often the server was given the question.
+    /// How often the server handled the request.
     pub handled: usize,
 }
 
-/// How a member stood when the time for catching up was over.
+/// The state of a member at the end of the run, after the time for catching up.
 #[derive(Debug, Clone, Serialize)]
 pub struct CaughtUp {
-    /// The machine; none for a member that is gone for good.
+    /// Number of the machine; `None` for a member that was permanently removed.
     pub machine: Option<usize>,
     /// Whether it votes.
     pub votes: bool,
-    /// The newest configuration that it holds itself.
+    /// The newest configuration version in its local state; 0 if it does not run.
     pub version: u64,
 }
 
-/// What an acknowledged drain came to at one controller after all faults had ended.
+/// The state of an engine with an acknowledged drain at one controller, after all faults.
 #[derive(Debug, Clone, Serialize)]
 pub struct DrainObservation {
-    /// The engine that was told to have been drained.
+    /// The engine's id.
     pub engine: String,
-    /// The machine that acknowledged it.
+    /// Number of the machine that acknowledged the drain.
     pub acknowledged_by: usize,
-    /// When it was acknowledged.
+    /// When the drain was acknowledged.
     pub acknowledged: Micros,
-    /// Where it was looked up.
+    /// Number of the machine where the engine was looked up.
     pub machine: usize,
-    /// True if that controller would still have requests sent to it.
+    /// True if that controller still considers the engine ready for requests.
     pub ready: bool,
 }
 
-/// Everything that happened in one run that the rules speak of.
+/// The events of one run that the invariants apply to.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct History {
-    /// All sendings of configurations, as they ended.
+    /// All attempts to send a configuration, in the order in which they began.
     pub writes: Vec<Write>,
-    /// All reads that gave an answer, as they ended.
+    /// All reads that returned a version, in the order in which they completed.
     pub reads: Vec<Read>,
-    /// Every moment at which a controller was seen to hold a duty.
-    pub holders: Vec<Holder>,
-    /// Every membership that was seen in force.
+    /// The lease holders, at each sample in which they had changed.
+    pub holders: Vec<LeaseObservation>,
+    /// Every membership that a controller considered current.
     pub memberships: Vec<MembershipObservation>,
     /// Calls over links.
     pub calls: Vec<LinkCall>,
-    /// How the members stood at the end.
+    /// The members' states at the end.
     pub caught_up: Vec<CaughtUp>,
-    /// What acknowledged drains came to.
+    /// States of engines with acknowledged drains, after all faults.
     pub drains: Vec<DrainObservation>,
-    /// Panics of controllers, each with its place.
+    /// Panics of the code under test, each with its source location.
     pub panics: Vec<String>,
     /// When the last fault ended.
     pub calm_from: Micros,
-    /// Reads that began after the last acknowledgement, with all faults ended.
+    /// Reads that began after all faults and all workloads had ended.
     pub last_reads: Vec<Read>,
-    /// Whether the run lasted until the time given for changes after the last fault.
+    /// Whether the run lasted until the end of the progress timeout after the last fault.
     pub finished: bool,
 }
 
 impl History {
-    /// A number that is equal for equal histories.
+    /// A hash that is equal for equal histories.
     pub fn fingerprint(&self) -> u64 {
         let text = serde_json::to_string(self).unwrap_or_default();
         fleet_core::node::stable_hash(&[text.as_bytes()])
--- a/crates/simulation/src/injected_bug.rs
+++ b/crates/simulation/src/injected_bug.rs
@@ -1,33 +1,33 @@
-//! Deliberate defects of the simulated world, one for each invariant, that the checker must find.
+//! Injected bugs, one for each numbered invariant, that the checker must detect.
 
 use crate::checker::Invariant;
-use crate::fault::Point;
+use crate::fault::FaultMix;
 
-/// One defect.
+/// An injected bug.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedBug {
-    /// Disks say that they kept what they didn't, half of the time.
+    /// Disks lose half of the writes that they acknowledge.
     LyingDisk,
-    /// A node acknowledges a change that it couldn't carry out.
+    /// A change with an unknown outcome is reported as acknowledged.
     EarlyAcknowledgement,
-    /// A node answers 412 where nothing is known.
+    /// A change with an unknown outcome is reported as refused with 412.
     HastyRefusal,
-    /// A node answers reads from what it holds, without asking the others.
+    /// A node answers reads from its local state, without confirmation by a majority.
     StaleRead,
-    /// One node counts a lease longer than the others.
+    /// One node uses a longer lease duration than the others.
     LongLease,
-    /// A member that lost its disk founds a membership of its own.
+    /// A member that lost its disk bootstraps a membership of its own.
     SecondFounding,
-    /// A member's disk never comes back to work after the last fault.
+    /// The disk of a restarted member hangs and is never repaired.
     StuckMember,
-    /// A caller sends a call again when its answer is late.
+    /// A caller repeats a call that has timed out.
     RepeatedCall,
 }
 
 impl InjectedBug {
-    /// Every defect, in the order of the invariants.
-    pub const EVERY: [InjectedBug; 8] = [
+    /// Every injected bug, in the order of the invariants.
+    pub const VARIANTS: [InjectedBug; 8] = [
         InjectedBug::LyingDisk,
         InjectedBug::EarlyAcknowledgement,
         InjectedBug::HastyRefusal,
@@ -38,19 +38,19 @@
         InjectedBug::RepeatedCall,
     ];
 
-    /// The mix of faults that shows it best.
-    pub fn shown_by(self) -> Point {
+    /// The mix of faults that is best at exposing it.
+    pub fn exposing_mix(self) -> FaultMix {
         match self {
-            InjectedBug::LyingDisk | InjectedBug::StuckMember => Point::Hundreds,
-            InjectedBug::EarlyAcknowledgement | InjectedBug::HastyRefusal => Point::Race,
-            InjectedBug::StaleRead | InjectedBug::LongLease => Point::Isolation,
-            InjectedBug::SecondFounding => Point::SecondLoss,
-            InjectedBug::RepeatedCall => Point::Calls,
+            InjectedBug::LyingDisk | InjectedBug::StuckMember => FaultMix::Hundreds,
+            InjectedBug::EarlyAcknowledgement | InjectedBug::HastyRefusal => FaultMix::Race,
+            InjectedBug::StaleRead | InjectedBug::LongLease => FaultMix::Isolation,
+            InjectedBug::SecondFounding => FaultMix::SecondLoss,
+            InjectedBug::RepeatedCall => FaultMix::Calls,
         }
     }
 
-    /// The invariant that this defect breaks.
-    pub fn breaks(self) -> Invariant {
+    /// The invariant that it violates.
+    pub fn violated_invariant(self) -> Invariant {
         match self {
             InjectedBug::LyingDisk => Invariant::Durability,
             InjectedBug::EarlyAcknowledgement => Invariant::Chain,
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,9 @@
 //! Deterministic simulation of the control plane.
 //!
 //! Several real controllers run in one process on a current-thread runtime with paused time, over a
-//! simulated network and simulated disks. Faults are drawn from a seed; stand-ins of operators,
-//! engines and routers (`*_workload`) record their calls and the answers in a [`history`]; a [`checker`] judges it.
+//! simulated network and simulated disks. Faults are drawn from a seed. Simulated operators, engines and
+//! routers (`*_workload`) record their calls and the responses in a [`history`], which a [`checker`] then
+//! tests against the invariants.
 
 pub mod checker;
 mod config_body;
@@ -25,5 +26,5 @@
 mod transport;
 mod world;
 
-pub use run::{Outcome, run, shows};
+pub use run::{Outcome, exposes, run};
 pub use shrink::shrink;
--- a/crates/simulation/src/link_workload.rs
+++ b/crates/simulation/src/link_workload.rs
@@ -1,4 +1,4 @@
-//! Calls over the real link to a service that gives each question back, some too late.
+//! Calls over the real link to an echo service, some of whose responses come after the timeout.
 
 use crate::constants;
 use crate::history::LinkCall;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Counts each question that it was given.
+/// Echoes requests and counts how often it handled each.
 struct EchoServer {
     rng: Mutex<fastrand::Rng>,
     handled: Mutex<BTreeMap<String, usize>>,
@@ -30,8 +30,8 @@
     async fn answer(self: &Arc<Self>, _: &Peer, body: Body) -> Option<Body> {
         let Body::RegisterRequest(RegisterRequest { key, .. }) = body else { return None };
         *self.handled.lock().entry(key.clone()).or_default() += 1;
-        let takes = self.rng.lock().u64(0..constants::ECHO_LONGEST_MS);
-        tokio::time::sleep(Duration::from_millis(takes)).await;
+        let delay = self.rng.lock().u64(0..constants::MAX_ECHO_DELAY_MS);
+        tokio::time::sleep(Duration::from_millis(delay)).await;
         let register = Some(Register { key, ..Register::default() });
         Some(Body::RegisterResponse(RegisterResponse { is_known: true, register }))
     }
@@ -39,15 +39,16 @@
     fn message_rejected(self: &Arc<Self>, _: &LinkError) {}
 }
 
-/// Calls from one machine to another until the run is over, and records all calls.
-pub async fn call_on(world: Arc<World>) {
+/// Sends calls from one machine to another until the run is over, and records them.
+pub async fn run_calls(world: Arc<World>) {
     let (from, to) = (0, 1);
-    let at = SocketAddr::new(address(to).into(), constants::ECHO_PORT);
+    let echo_address = SocketAddr::new(address(to).into(), constants::ECHO_PORT);
     let transport: Arc<dyn Transport> = Arc::new(ProcessTransport::new(world.network.clone()));
     let echo =
         Arc::new(EchoServer { rng: Mutex::new(world.rng("echo", 0)), handled: Mutex::default() });
-    let serving = tokio::spawn(serve(world.clone(), at, transport.clone(), echo.clone()));
-    let link = Link::keep_over(transport, &caller(&world, from), at, None);
+    let server_task =
+        tokio::spawn(run_echo_server(world.clone(), echo_address, transport.clone(), echo.clone()));
+    let link = Link::keep_over(transport, &caller_node(&world, from), echo_address, None);
     let mut calls = Vec::new();
     while !world.is_over() {
         tokio::time::sleep(Duration::from_millis(constants::ECHO_INTERVAL_MS)).await;
@@ -59,10 +60,10 @@
         call.handled = echo.handled.lock().get(&call.question).copied().unwrap_or(0);
         world.history.lock().calls.push(call);
     }
-    serving.abort();
+    server_task.abort();
 }
 
-fn caller(world: &World, machine: usize) -> Node {
+fn caller_node(world: &World, machine: usize) -> Node {
     Node {
         name: "caller".to_owned(),
         zone: "zone-0".to_owned(),
@@ -72,22 +73,22 @@
     }
 }
 
-/// Listens again whenever the machine's death has taken the port away.
-async fn serve(
+/// Reopens the listener whenever it was closed by the end of the machine's process.
+async fn run_echo_server(
     world: Arc<World>,
-    at: SocketAddr,
+    echo_address: SocketAddr,
     transport: Arc<dyn Transport>,
     echo: Arc<EchoServer>,
 ) {
-    let mut serving: Option<tokio::task::JoinHandle<()>> = None;
+    let mut server_task: Option<tokio::task::JoinHandle<()>> = None;
     loop {
-        if !world.network.is_listening(at)
-            && let Ok(listener) = transport.listen(at)
+        if !world.network.is_listening(echo_address)
+            && let Ok(listener) = transport.listen(echo_address)
         {
-            if let Some(former) = serving.take() {
+            if let Some(former) = server_task.take() {
                 former.abort();
             }
-            serving = Some(tokio::spawn(serve_peers(listener, echo.clone())));
+            server_task = Some(tokio::spawn(serve_peers(listener, echo.clone())));
         }
         tokio::time::sleep(constants::CALLER_TIMEOUT).await;
     }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -1,7 +1,7 @@
-//! One simulated machine, and the starts of the controller on it.
+//! A simulated machine, which starts and stops a controller process.
 
 use crate::constants;
-use crate::disk::{Queue, SimulatedDisk};
+use crate::disk::{SimulatedDisk, WriteQueue};
 use crate::injected_bug::InjectedBug;
 use crate::network::Network;
 use crate::transport::ProcessTransport;
@@ -15,9 +15,9 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-impl RecordQueue for Queue {
+impl RecordQueue for WriteQueue {
     fn append(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
-        Box::pin(Queue::append(self, record))
+        Box::pin(WriteQueue::append(self, record))
     }
 
     fn is_broken(&self) -> bool {
@@ -29,21 +29,21 @@
     }
 }
 
-/// What is the same over all starts of a machine's process.
+/// A machine, which persists across restarts of its process.
 pub struct Machine {
-    /// Its number in plans and histories.
+    /// Number in plans and histories.
     pub number: usize,
-    /// Its address, which nobody else is ever given.
+    /// Address, never reused by another machine.
     pub ip: Ipv4Addr,
-    /// What its disk holds.
+    /// Disk, which survives restarts.
     pub disk: SimulatedDisk,
-    /// Its zone; a machine that stands in for another has that one's.
+    /// Zone; a replacement machine has the zone of the machine that it replaces.
     pub zone: u8,
-    /// True once another machine stands in for it.
+    /// True once another machine has replaced it.
     pub removed: AtomicBool,
     network: Network,
     seeds: Mutex<Vec<Ipv4Addr>>,
-    losses: usize,
+    max_losses: usize,
     injected_bug: Option<InjectedBug>,
     seed: u64,
     starts: AtomicU64,
@@ -54,136 +54,139 @@
 struct Process {
     start: u64,
     controller: Arc<Controller>,
-    /// taken out by whoever ends it in good order
+    /// taken by `leave` for a graceful shutdown
     running: Option<RunningController>,
-    ends: Ends,
+    io: ProcessIo,
 }
 
-/// What a process reaches the world through, to be taken from it at its death.
+/// A process's access to the network and the disk, which is closed when the process ends.
 #[derive(Clone)]
-struct Ends {
+struct ProcessIo {
     transport: ProcessTransport,
-    queue: Queue,
+    queue: WriteQueue,
 }
 
-impl Ends {
-    fn close_connections(&self) {
+impl ProcessIo {
+    fn close(&self) {
         self.transport.end();
         self.queue.end();
     }
 }
 
-/// What all machines of a run have alike.
-pub struct Common {
-    /// The network they are on.
+/// The configuration that all machines of a run share.
+pub struct MachineConfig {
+    /// The simulated network.
     pub network: Network,
-    /// Addresses of the seeds.
+    /// Addresses of the initial seeds.
     pub seeds: Vec<Ipv4Addr>,
-    /// Members that may be lost at once.
-    pub losses: usize,
+    /// Number of members that may be lost at once.
+    pub max_losses: usize,
     /// The run's seed.
     pub seed: u64,
-    /// A defect of the world.
+    /// The injected bug, if any.
     pub injected_bug: Option<InjectedBug>,
 }
 
-/// The address of a machine that was there from the beginning.
+/// The address of one of the initial machines.
 pub fn address(number: usize) -> Ipv4Addr {
     address_in(zone_of(number), number)
 }
 
 fn address_in(zone: u8, number: usize) -> Ipv4Addr {
-    Ipv4Addr::new(10, constants::INSIDE, zone, number as u8 + 1)
+    Ipv4Addr::new(10, constants::MACHINE_OCTET, zone, number as u8 + 1)
 }
 
-/// The zone of a machine that was there from the beginning.
+/// The zone of one of the initial machines.
 pub fn zone_of(number: usize) -> u8 {
-    number as u8 % constants::ZONES
+    number as u8 % constants::ZONE_COUNT
 }
 
 impl Machine {
-    /// A machine with an empty disk whose process has not been started.
-    pub fn new(number: usize, zone: u8, common: &Common) -> Machine {
+    /// Creates a machine with an empty disk and no running process.
+    pub fn new(number: usize, zone: u8, machine_config: &MachineConfig) -> Machine {
         let seed = fleet_core::node::stable_hash(&[
             b"machine",
-            &common.seed.to_le_bytes(),
+            &machine_config.seed.to_le_bytes(),
             &number.to_le_bytes(),
         ]);
         Machine {
             number,
             ip: address_in(zone, number),
             zone,
-            disk: SimulatedDisk::new(seed, common.injected_bug == Some(InjectedBug::LyingDisk)),
+            disk: SimulatedDisk::new(
+                seed,
+                machine_config.injected_bug == Some(InjectedBug::LyingDisk),
+            ),
             removed: AtomicBool::new(false),
-            network: common.network.clone(),
-            seeds: Mutex::new(common.seeds.clone()),
-            losses: common.losses,
-            injected_bug: common.injected_bug,
+            network: machine_config.network.clone(),
+            seeds: Mutex::new(machine_config.seeds.clone()),
+            max_losses: machine_config.max_losses,
+            injected_bug: machine_config.injected_bug,
             seed,
             starts: AtomicU64::new(0),
             process: Mutex::new(None),
         }
     }
 
-    /// The controller that runs, and which start it is.
+    /// The running controller, with the number of its start.
     pub fn controller(&self) -> Option<(u64, Arc<Controller>)> {
         let process = self.process.lock();
         process.as_ref().map(|process| (process.start, process.controller.clone()))
     }
 
-    /// Whether a start of the process still runs.
-    pub fn runs(&self, start: u64) -> bool {
+    /// Whether the process with this start number is still running.
+    pub fn is_running(&self, start: u64) -> bool {
         self.process.lock().as_ref().is_some_and(|process| process.start == start)
     }
 
-    /// Changes the seeds that the next start reads.
-    pub fn reseed(&self, seeds: Vec<Ipv4Addr>) {
+    /// Sets the seeds for the next start.
+    pub fn set_seeds(&self, seeds: Vec<Ipv4Addr>) {
         *self.seeds.lock() = seeds;
     }
 
-    /// Starts the process anew; `bootstrap` only when the whole system starts for the first time.
+    /// Restarts the process; `bootstrap` is true only when the whole system starts for the first time.
     pub async fn start(&self, bootstrap: bool) {
         self.kill();
         let start = self.starts.load(Ordering::Relaxed);
-        let ends = Ends {
+        let io = ProcessIo {
             transport: ProcessTransport::new(self.network.clone()),
             queue: self.disk.open(),
         };
-        let environment = self.environment(&ends, bootstrap, start);
+        let environment = self.environment(&io, bootstrap, start);
         let log = slog::Logger::root(slog::Discard, slog::o!());
-        let begun = Controller::start(self.settings(bootstrap), log, environment).await;
-        let Ok(running) = begun else { return };
+        let started = Controller::start(self.settings(bootstrap), log, environment).await;
+        let Ok(running) = started else { return };
         if self.starts.load(Ordering::Relaxed) != start {
-            ends.close_connections();
+            io.close();
             return;
         }
         let controller = running.controller().clone();
-        *self.process.lock() = Some(Process { start, controller, running: Some(running), ends });
+        *self.process.lock() = Some(Process { start, controller, running: Some(running), io });
     }
 
-    fn environment(&self, ends: &Ends, bootstrap: bool, start: u64) -> Environment {
+    fn environment(&self, io: &ProcessIo, bootstrap: bool, start: u64) -> Environment {
         let is_seed = self.seeds.lock().contains(&self.ip);
-        let founds_again = self.injected_bug == Some(InjectedBug::SecondFounding) && start > 1;
+        let bootstraps_again = self.injected_bug == Some(InjectedBug::SecondFounding) && start > 1;
         Environment {
-            transport: Arc::new(ends.transport.clone()),
-            disk: Arc::new(ends.queue.clone()),
+            transport: Arc::new(io.transport.clone()),
+            disk: Arc::new(io.queue.clone()),
             state: self.disk.state(),
-            first_start: self.disk.is_empty() && (bootstrap && is_seed || founds_again),
+            first_start: self.disk.is_empty() && (bootstrap && is_seed || bootstraps_again),
             seed: self.seed.wrapping_add(start),
         }
     }
 
     fn settings(&self, bootstrap: bool) -> Settings {
-        let founds_alone = self.injected_bug == Some(InjectedBug::SecondFounding)
+        let bootstraps_alone = self.injected_bug == Some(InjectedBug::SecondFounding)
             && !bootstrap
             && self.disk.is_empty();
-        let seeds: Vec<String> = if founds_alone {
-            vec![control_at(self.ip).to_string()]
+        let seeds: Vec<String> = if bootstraps_alone {
+            vec![control_address(self.ip).to_string()]
         } else {
-            self.seeds.lock().iter().map(|ip| control_at(*ip).to_string()).collect()
+            self.seeds.lock().iter().map(|ip| control_address(*ip).to_string()).collect()
         };
-        let counts_longer = self.injected_bug == Some(InjectedBug::LongLease) && self.number == 0;
-        let lease = if counts_longer { constants::LONG_LEASE_MS } else { constants::LEASE_MS };
+        let has_long_lease = self.injected_bug == Some(InjectedBug::LongLease) && self.number == 0;
+        let lease = if has_long_lease { constants::LONG_LEASE_MS } else { constants::LEASE_MS };
         let text = format!(
             "nodeName=machine-{}\nip={}\nzone=zone-{}\nportRange={},{}\nseeds={}\n\
              bindAddrs.control={}\nbootstrap={bootstrap}\nheartbeatMs={}\n\
@@ -194,20 +197,20 @@
             constants::PEER_PORT,
             constants::PEER_PORT + 9,
             seeds.join(","),
-            control_at(self.ip),
+            control_address(self.ip),
             constants::HEARTBEAT_MS,
-            self.losses,
+            self.max_losses,
         );
-        Settings::parse(&text).expect("the simulation writes settings that can be read")
+        Settings::parse(&text).expect("generated settings are valid")
     }
 
-    /// Ends the process at once; what it had queued for the disk is not written.
+    /// Kills the process; records queued for the disk are not written.
     pub fn kill(&self) {
         self.abort_process();
         self.network.drop_machine(self.ip);
     }
 
-    /// Ends the process without a word to anybody: its connections hang.
+    /// Kills the process and powers the machine off, so that its connections hang instead of being closed.
     pub fn lose_power(&self) {
         self.network.power_off(self.ip);
         self.abort_process();
@@ -217,14 +220,14 @@
         self.starts.fetch_add(1, Ordering::Relaxed);
         let ended = self.process.lock().take();
         if let Some(process) = ended {
-            process.ends.close_connections();
+            process.io.close();
             if let Some(running) = process.running {
                 running.abort();
             }
         }
     }
 
-    /// Tells the process to end, and ends it once it has done so or its grace is over.
+    /// Shuts the process down gracefully, and kills it once it is done or the grace period is over.
     pub async fn leave(&self) {
         let ended = self.process.lock().as_mut().and_then(|process| {
             let running = process.running.take()?;
@@ -233,12 +236,12 @@
         let Some((start, running)) = ended else { return };
         let _ = tokio::time::timeout(constants::GRACE, running.leave()).await;
         running.abort();
-        if self.runs(start) {
+        if self.is_running(start) {
             self.kill();
         }
     }
 }
 
-fn control_at(ip: Ipv4Addr) -> SocketAddr {
+fn control_address(ip: Ipv4Addr) -> SocketAddr {
     SocketAddr::new(ip.into(), constants::CONTROL_PORT)
 }
--- a/crates/simulation/src/nemesis.rs
+++ b/crates/simulation/src/nemesis.rs
@@ -1,25 +1,25 @@
-//! Brings a plan's faults over the machines, and takes them away again.
+//! Applies a plan's faults to the machines and the network, and reverts them.
 
 use crate::constants;
 use crate::fault::{Fault, FaultKind};
 use crate::injected_bug::InjectedBug;
 use crate::machine::address;
-use crate::world::{CALLERS, World};
+use crate::world::{CLIENT_ADDRESS, World};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// A fault's beginning or end.
+/// The start or end of a fault.
 struct Step {
     at_ms: u64,
     begins: bool,
     kind: FaultKind,
 }
 
-/// Starts all machines for the first time, within the spread that the platform has.
+/// Starts all machines for the first time, each after a random delay as on the platform.
 pub async fn start_all(world: &Arc<World>) {
     let mut rng = world.rng("start", 0);
     for machine in world.machines() {
-        let delay = rng.u64(0..constants::START_SPREAD_MS);
+        let delay = rng.u64(0..constants::MAX_START_DELAY_MS);
         tokio::spawn(async move {
             tokio::time::sleep(std::time::Duration::from_millis(delay)).await;
             machine.start(true).await;
@@ -27,40 +27,40 @@
     }
 }
 
-/// Plays all faults to their end.
-pub async fn play(world: &Arc<World>) {
-    for step in steps(&world.plan.faults) {
-        world.until(step.at_ms).await;
+/// Applies and reverts all faults at their times, and returns once the last one has ended.
+pub async fn inject_faults(world: &Arc<World>) {
+    for step in fault_steps(&world.plan.faults) {
+        world.sleep_until_ms(step.at_ms).await;
         if step.begins {
-            begin(world, &step.kind);
+            begin_fault(world, &step.kind);
         } else {
-            end(world, &step.kind);
+            end_fault(world, &step.kind);
         }
     }
-    world.until(world.plan.calm_from_ms()).await;
+    world.sleep_until_ms(world.plan.faults_end_ms()).await;
 }
 
-fn steps(faults: &[Fault]) -> Vec<Step> {
-    let mut steps = Vec::new();
+fn fault_steps(faults: &[Fault]) -> Vec<Step> {
+    let mut fault_steps = Vec::new();
     for fault in faults {
         let step = |at_ms, begins| Step { at_ms, begins, kind: fault.kind.clone() };
-        steps.push(step(fault.from_ms, true));
-        steps.push(step(fault.until_ms(), false));
+        fault_steps.push(step(fault.from_ms, true));
+        fault_steps.push(step(fault.end_ms(), false));
     }
-    steps.sort_by_key(|step| step.at_ms);
-    steps
+    fault_steps.sort_by_key(|step| step.at_ms);
+    fault_steps
 }
 
-fn begin(world: &Arc<World>, kind: &FaultKind) {
+fn begin_fault(world: &Arc<World>, kind: &FaultKind) {
     let network = &world.network;
     match kind.clone() {
         FaultKind::Isolation { machine, callers_too } => isolate(world, machine, callers_too),
         FaultKind::OneWay { from, to } => network.block(address(from), address(to)),
         FaultKind::Reset { one, other } => network.reset_between(address(one), address(other)),
         FaultKind::ClientPartition { machine, answers_only } => {
-            network.block(address(machine), CALLERS);
+            network.block(address(machine), CLIENT_ADDRESS);
             if !answers_only {
-                network.block(CALLERS, address(machine));
+                network.block(CLIENT_ADDRESS, address(machine));
             }
         }
         FaultKind::Kill { machine } => world.machine(machine).kill(),
@@ -78,39 +78,39 @@
         }
         FaultKind::Freeze { machine } => {
             network.power_off(address(machine));
-            world.machine(machine).disk.behave(|disk| disk.hung = true);
+            world.machine(machine).disk.update_condition(|disk| disk.hung = true);
         }
         FaultKind::SlowLinks { machine } => network.slow_down(address(machine), true),
         FaultKind::SlowDisk { machine } => {
-            world.machine(machine).disk.behave(|disk| disk.slow = true);
+            world.machine(machine).disk.update_condition(|disk| disk.slow = true);
         }
         FaultKind::HungDisk { machine } => {
-            world.machine(machine).disk.behave(|disk| disk.hung = true);
+            world.machine(machine).disk.update_condition(|disk| disk.hung = true);
         }
         FaultKind::FullDisk { machine } => {
-            world.machine(machine).disk.behave(|disk| disk.full = true);
+            world.machine(machine).disk.update_condition(|disk| disk.full = true);
         }
         FaultKind::AllDown { power, wiped } => all_down(world, power, &wiped),
         FaultKind::Reseed { machine } => reseed(world, machine),
     }
 }
 
-fn end(world: &Arc<World>, kind: &FaultKind) {
+fn end_fault(world: &Arc<World>, kind: &FaultKind) {
     let network = &world.network;
     match kind.clone() {
         FaultKind::Isolation { machine, callers_too } => {
-            network.rejoin(address(machine));
+            network.end_isolation(address(machine));
             if callers_too {
-                network.heal(address(machine), CALLERS);
-                network.heal(CALLERS, address(machine));
+                network.heal(address(machine), CLIENT_ADDRESS);
+                network.heal(CLIENT_ADDRESS, address(machine));
             }
         }
         FaultKind::OneWay { from, to } => network.heal(address(from), address(to)),
         FaultKind::Reset { .. } | FaultKind::Reseed { .. } => {}
         FaultKind::ClientPartition { machine, answers_only } => {
-            network.heal(address(machine), CALLERS);
+            network.heal(address(machine), CLIENT_ADDRESS);
             if !answers_only {
-                network.heal(CALLERS, address(machine));
+                network.heal(CLIENT_ADDRESS, address(machine));
             }
         }
         FaultKind::Kill { machine } | FaultKind::Leave { machine } => restart(world, machine),
@@ -139,8 +139,8 @@
 fn isolate(world: &World, machine: usize, callers_too: bool) {
     world.network.isolate(address(machine));
     if callers_too {
-        world.network.block(address(machine), CALLERS);
-        world.network.block(CALLERS, address(machine));
+        world.network.block(address(machine), CLIENT_ADDRESS);
+        world.network.block(CLIENT_ADDRESS, address(machine));
     }
 }
 
@@ -157,16 +157,16 @@
     }
 }
 
-/// The platform may name other seeds later; they count from the next start on.
+/// Changes a machine's seeds, as the platform may do later; the change takes effect at the next start.
 fn reseed(world: &World, machine: usize) {
     let others = world.machines().into_iter().map(|other| other.ip).rev();
-    world.machine(machine).reseed(others.take(constants::SEEDS).collect());
+    world.machine(machine).set_seeds(others.take(constants::SEED_COUNT).collect());
 }
 
 fn restart(world: &Arc<World>, number: usize) {
     let machine = world.machine(number);
     if world.injected_bug == Some(InjectedBug::StuckMember) {
-        machine.disk.behave(|disk| disk.hung = true);
+        machine.disk.update_condition(|disk| disk.hung = true);
     }
     tokio::spawn(async move { machine.start(false).await });
 }
@@ -180,6 +180,6 @@
 
 fn repair_disk(world: &World, machine: usize) {
     if world.injected_bug != Some(InjectedBug::StuckMember) {
-        world.machine(machine).disk.behave(|disk| *disk = Default::default());
+        world.machine(machine).disk.update_condition(|disk| *disk = Default::default());
     }
 }
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -1,7 +1,8 @@
-//! Links between the simulated machines, and the byte streams over them.
+//! The simulated network between machines, and the byte streams over it.
 //!
-//! A stream is a stand-in for TCP: bytes come late and in order, a cut holds them up, and a reset
-//! loses what was on its way. A port without a listener refuses; a machine behind a cut is silent.
+//! A stream simulates a TCP connection: bytes arrive in order after a delay, a blocked direction holds them
+//! back, and a reset loses the bytes in flight. A port without a listener refuses connections; connection
+//! attempts to an unreachable machine hang.
 
 use crate::constants;
 use parking_lot::Mutex;
@@ -12,60 +13,60 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, ReadHalf, WriteHalf};
 use tokio::sync::{Notify, mpsc, watch};
 
-/// Whether an address is that of a caller and not of a machine.
+/// Whether an address belongs to a client outside the cluster and not to a machine.
 fn is_outside(address: Ipv4Addr) -> bool {
-    address.octets()[1] == constants::OUTSIDE
+    address.octets()[1] == constants::CLIENT_OCTET
 }
 
 /// The network that all machines of one run share.
 #[derive(Clone)]
 pub struct Network {
     state: Arc<Mutex<State>>,
-    /// told of each change of the links; wakes those who wait in the order in which they came
+    /// notified of each change of reachability; wakes waiters in the order in which they began to wait
     changed: Arc<Notify>,
 }
 
 struct State {
-    /// directions in which nothing passes, with the number of cuts that lie on each
-    cuts: BTreeMap<(Ipv4Addr, Ipv4Addr), usize>,
-    /// machines that neither send nor hear
-    dark: BTreeSet<Ipv4Addr>,
-    /// machines that are cut off from the other machines, but not from those outside
+    /// blocked directions, with the number of active blocks on each
+    blocks: BTreeMap<(Ipv4Addr, Ipv4Addr), usize>,
+    /// machines that neither send nor receive
+    powered_off: BTreeSet<Ipv4Addr>,
+    /// machines that are partitioned from the other machines, but not from clients outside
     isolated: BTreeSet<Ipv4Addr>,
-    /// machines to and from which all bytes come late
+    /// machines with slow links in both directions
     slow: BTreeSet<Ipv4Addr>,
     listeners: BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>,
     streams: BTreeMap<u64, Stream>,
     next_stream: u64,
     seed: u64,
-    /// one for each direction, so that what passes on one link moves no other's delays
+    /// one generator for each direction, so that traffic on one link does not affect the delays of another
     delays: BTreeMap<(Ipv4Addr, Ipv4Addr), fastrand::Rng>,
 }
 
 struct Stream {
     ends: [Ipv4Addr; 2],
-    /// true once the connection is lost
+    /// true once the connection was reset
     lost: watch::Sender<bool>,
 }
 
-/// Where a simulated machine accepts connections.
+/// Accepts connections to one address of a simulated machine.
 pub struct Listener {
     incoming: mpsc::Receiver<DuplexStream>,
 }
 
 impl Listener {
-    /// The next connection; none once the machine has stopped.
+    /// The next connection; `None` once the machine was dropped.
     pub async fn accept(&mut self) -> Option<DuplexStream> {
         self.incoming.recv().await
     }
 }
 
 impl Network {
-    /// A network without cuts, whose delays follow from the seed.
+    /// A network without faults, whose delays are drawn from the seed.
     pub fn new(seed: u64) -> Network {
         let state = State {
-            cuts: BTreeMap::new(),
-            dark: BTreeSet::new(),
+            blocks: BTreeMap::new(),
+            powered_off: BTreeSet::new(),
             isolated: BTreeSet::new(),
             slow: BTreeSet::new(),
             listeners: BTreeMap::new(),
@@ -77,47 +78,47 @@
         Network { state: Arc::new(Mutex::new(state)), changed: Arc::default() }
     }
 
-    /// Cuts one direction; cuts add up.
+    /// Adds a block to one direction; each block needs its own call of [`Network::heal`].
     pub fn block(&self, from: Ipv4Addr, to: Ipv4Addr) {
-        *self.state.lock().cuts.entry((from, to)).or_default() += 1;
-        self.touch();
+        *self.state.lock().blocks.entry((from, to)).or_default() += 1;
+        self.notify_changed();
     }
 
-    /// Takes one cut off a direction.
+    /// Removes one block from a direction.
     pub fn heal(&self, from: Ipv4Addr, to: Ipv4Addr) {
         let mut state = self.state.lock();
-        if let Some(count) = state.cuts.get_mut(&(from, to)) {
+        if let Some(count) = state.blocks.get_mut(&(from, to)) {
             *count = count.saturating_sub(1);
         }
         drop(state);
-        self.touch();
+        self.notify_changed();
     }
 
-    /// A dark machine loses its connections without a word, and nobody reaches it.
+    /// Makes a machine unreachable; its connections hang without being closed.
     pub fn power_off(&self, machine: Ipv4Addr) {
-        self.state.lock().dark.insert(machine);
-        self.touch();
+        self.state.lock().powered_off.insert(machine);
+        self.notify_changed();
     }
 
-    /// Ends darkness.
+    /// Reverts [`Network::power_off`].
     pub fn power_on(&self, machine: Ipv4Addr) {
-        self.state.lock().dark.remove(&machine);
-        self.touch();
+        self.state.lock().powered_off.remove(&machine);
+        self.notify_changed();
     }
 
-    /// Cuts a machine off from all other machines; who calls from outside still reaches it.
+    /// Partitions a machine from all other machines; clients outside still reach it.
     pub fn isolate(&self, machine: Ipv4Addr) {
         self.state.lock().isolated.insert(machine);
-        self.touch();
+        self.notify_changed();
     }
 
-    /// Ends an isolation.
-    pub fn rejoin(&self, machine: Ipv4Addr) {
+    /// Reverts [`Network::isolate`].
+    pub fn end_isolation(&self, machine: Ipv4Addr) {
         self.state.lock().isolated.remove(&machine);
-        self.touch();
+        self.notify_changed();
     }
 
-    /// Makes all bytes to and from a machine late, or no longer.
+    /// Sets whether the links to and from a machine are slow.
     pub fn slow_down(&self, machine: Ipv4Addr, slow: bool) {
         let mut state = self.state.lock();
         if slow {
@@ -127,48 +128,51 @@
         }
     }
 
-    /// Whether somebody accepts connections there.
+    /// Whether an address has an open listener.
     pub fn is_listening(&self, at: SocketAddr) -> bool {
         self.state.lock().listeners.get(&at).is_some_and(|registered| !registered.is_closed())
     }
 
-    /// Resets the connections between two machines; what was on its way is lost.
+    /// Resets the connections between two machines; bytes in flight are lost.
     pub fn reset_between(&self, one: Ipv4Addr, other: Ipv4Addr) {
-        self.lose(|stream| stream.ends.contains(&one) && stream.ends.contains(&other));
+        self.reset_streams(|stream| stream.ends.contains(&one) && stream.ends.contains(&other));
     }
 
-    /// Ends all that a machine has open, as its death does.
+    /// Closes a machine's listeners and connections, as the end of its process does.
     pub fn drop_machine(&self, machine: Ipv4Addr) {
         self.state.lock().listeners.retain(|at, _| at.ip() != machine);
-        self.lose(|stream| stream.ends.contains(&machine));
+        self.reset_streams(|stream| stream.ends.contains(&machine));
     }
 
-    fn lose(&self, chosen: impl Fn(&Stream) -> bool) {
+    fn reset_streams(&self, chosen: impl Fn(&Stream) -> bool) {
         let mut state = self.state.lock();
         state.streams.retain(|_, stream| {
-            let goes = chosen(stream);
-            if goes {
+            let is_chosen = chosen(stream);
+            if is_chosen {
                 stream.lost.send_replace(true);
             }
-            !goes
+            !is_chosen
         });
     }
 
-    fn touch(&self) {
+    fn notify_changed(&self) {
         self.changed.notify_waiters();
     }
 
-    /// Whether bytes pass in this direction now.
+    /// Whether this direction is open.
     pub fn is_open(&self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
         let state = self.state.lock();
-        let is_blocked = state.cuts.get(&(from, to)).is_some_and(|count| *count > 0);
-        let apart = |one, other| state.isolated.contains(&one) && !is_outside(other);
-        let is_apart = apart(from, to) || apart(to, from);
-        !is_blocked && !is_apart && !state.dark.contains(&from) && !state.dark.contains(&to)
+        let is_blocked = state.blocks.get(&(from, to)).is_some_and(|count| *count > 0);
+        let is_separated = |one, other| state.isolated.contains(&one) && !is_outside(other);
+        let is_apart = is_separated(from, to) || is_separated(to, from);
+        !is_blocked
+            && !is_apart
+            && !state.powered_off.contains(&from)
+            && !state.powered_off.contains(&to)
     }
 
-    /// Waits until bytes pass in this direction.
-    pub async fn opened(&self, from: Ipv4Addr, to: Ipv4Addr) {
+    /// Waits until this direction is open.
+    pub async fn wait_until_open(&self, from: Ipv4Addr, to: Ipv4Addr) {
         loop {
             let changed = self.changed.notified();
             if self.is_open(from, to) {
@@ -178,18 +182,19 @@
         }
     }
 
-    /// The time that the next chunk takes in this direction.
+    /// Draws the delay of the next chunk in this direction.
     fn delay(&self, from: Ipv4Addr, to: Ipv4Addr) -> Duration {
         let mut state = self.state.lock();
         let seed = state.seed.to_le_bytes();
         let slow = state.slow.contains(&from) || state.slow.contains(&to);
-        let most = if slow { constants::SLOW_SPREAD_US } else { constants::DELAY_SPREAD_US };
+        let max_jitter =
+            if slow { constants::SLOW_LINK_JITTER_US } else { constants::DELAY_JITTER_US };
         let rng = state.delays.entry((from, to)).or_insert_with(|| {
             let parts = [&seed[..], &from.octets(), &to.octets()];
             fastrand::Rng::with_seed(fleet_core::node::stable_hash(&parts))
         });
-        let spread = rng.u64(0..=most);
-        Duration::from_micros(constants::DELAY_LEAST_US + spread)
+        let spread = rng.u64(0..=max_jitter);
+        Duration::from_micros(constants::MIN_DELAY_US + spread)
     }
 
     /// Accepts connections at an address until the machine is dropped.
@@ -203,31 +208,31 @@
         Ok(Listener { incoming })
     }
 
-    /// Connects; hangs while a cut lies between, and is refused where nobody listens.
-    pub async fn connect(&self, own: Ipv4Addr, to: SocketAddr) -> std::io::Result<DuplexStream> {
+    /// Connects to a listener; hangs while either direction is blocked, and fails if there is no listener.
+    pub async fn connect(&self, local: Ipv4Addr, to: SocketAddr) -> std::io::Result<DuplexStream> {
         let std::net::IpAddr::V4(machine) = to.ip() else {
             return Err(std::io::ErrorKind::Unsupported.into());
         };
-        self.pass(own, machine).await;
+        self.transmit(local, machine).await;
         let listener = self.state.lock().listeners.get(&to).cloned();
-        self.pass(machine, own).await;
+        self.transmit(machine, local).await;
         let refused = std::io::ErrorKind::ConnectionRefused;
         let listener = listener.ok_or(refused)?;
-        let (near, near_inside) = tokio::io::duplex(constants::STREAM_BYTES);
-        let (far_inside, far) = tokio::io::duplex(constants::STREAM_BYTES);
+        let (near, near_remote) = tokio::io::duplex(constants::STREAM_BUFFER_BYTES);
+        let (far_remote, far) = tokio::io::duplex(constants::STREAM_BUFFER_BYTES);
         listener.try_send(far).map_err(|_| refused)?;
-        self.join([own, machine], near_inside, far_inside);
+        self.forward([local, machine], near_remote, far_remote);
         Ok(near)
     }
 
-    /// One way of a message, with its delay.
-    pub async fn pass(&self, from: Ipv4Addr, to: Ipv4Addr) {
+    /// Waits as long as one message takes in this direction: its delay, then until the direction is open.
+    pub async fn transmit(&self, from: Ipv4Addr, to: Ipv4Addr) {
         tokio::time::sleep(self.delay(from, to)).await;
-        self.opened(from, to).await;
+        self.wait_until_open(from, to).await;
     }
 
-    /// Moves the bytes of a new connection until either end closes it or it is lost.
-    fn join(&self, ends: [Ipv4Addr; 2], near: DuplexStream, far: DuplexStream) {
+    /// Starts to forward the bytes of a new connection until both directions end, or it is reset or times out.
+    fn forward(&self, ends: [Ipv4Addr; 2], near: DuplexStream, far: DuplexStream) {
         let (lost, is_lost) = watch::channel(false);
         let number = {
             let mut state = self.state.lock();
@@ -241,42 +246,42 @@
         let network = self.clone();
         tokio::spawn(async move {
             let mut is_lost = is_lost;
-            let there = network.carry(ends[0], ends[1], near_read, far_write);
-            let back = network.carry(ends[1], ends[0], far_read, near_write);
+            let outbound = network.forward_direction(ends[0], ends[1], near_read, far_write);
+            let inbound = network.forward_direction(ends[1], ends[0], far_read, near_write);
             tokio::select! {
                 biased;
                 _ = is_lost.wait_for(|lost| *lost) => {}
-                _ = async { tokio::join!(there, back) } => {}
-                () = network.delayed(ends) => {}
+                _ = async { tokio::join!(outbound, inbound) } => {}
+                () = network.wait_for_block_timeout(ends) => {}
             }
             network.state.lock().streams.remove(&number);
         });
     }
 
-    /// Carries one direction of a connection.
-    async fn carry(
+    /// Forwards one direction of a connection.
+    async fn forward_direction(
         &self,
         from: Ipv4Addr,
         to: Ipv4Addr,
         mut source: ReadHalf<DuplexStream>,
         mut sink: WriteHalf<DuplexStream>,
     ) {
-        let mut chunk = vec![0; constants::STREAM_BYTES];
+        let mut chunk = vec![0; constants::STREAM_BUFFER_BYTES];
         while let Ok(length) = source.read(&mut chunk).await {
             if length == 0 {
                 break;
             }
-            self.pass(from, to).await;
+            self.transmit(from, to).await;
             if sink.write_all(&chunk[..length]).await.is_err() {
                 break;
             }
         }
-        self.pass(from, to).await;
+        self.transmit(from, to).await;
         let _ = sink.shutdown().await;
     }
 
-    /// Ends once one direction was shut for as long as the kernel bears it.
-    async fn delayed(&self, ends: [Ipv4Addr; 2]) {
+    /// Completes once the connection was blocked for [`constants::BLOCKED_STREAM_TIMEOUT`].
+    async fn wait_for_block_timeout(&self, ends: [Ipv4Addr; 2]) {
         loop {
             let changed = self.changed.notified();
             let is_open = self.is_open(ends[0], ends[1]) && self.is_open(ends[1], ends[0]);
@@ -285,7 +290,10 @@
                 continue;
             }
             let healed = async {
-                tokio::join!(self.opened(ends[0], ends[1]), self.opened(ends[1], ends[0]))
+                tokio::join!(
+                    self.wait_until_open(ends[0], ends[1]),
+                    self.wait_until_open(ends[1], ends[0])
+                )
             };
             if tokio::time::timeout(constants::BLOCKED_STREAM_TIMEOUT, healed).await.is_err() {
                 return;
--- a/crates/simulation/src/network_tests.rs
+++ b/crates/simulation/src/network_tests.rs
@@ -1,4 +1,4 @@
-//! Streams over links that are cut, reset and healed.
+//! Streams over links that are blocked, reset, healed and slow.
 
 use super::*;
 
@@ -10,9 +10,9 @@
 }
 
 async fn connected(network: &Network) -> (DuplexStream, DuplexStream) {
-    let mut listener = network.listen(at(TWO)).expect("nobody listens there yet");
-    let near = network.connect(ONE, at(TWO)).await.expect("the way is open");
-    (near, listener.accept().await.expect("the connection came"))
+    let mut listener = network.listen(at(TWO)).expect("address is free");
+    let near = network.connect(ONE, at(TWO)).await.expect("network is open");
+    (near, listener.accept().await.expect("connection arrives"))
 }
 
 async fn reads(stream: &mut DuplexStream, limit_ms: u64) -> Option<Vec<u8>> {
@@ -31,16 +31,16 @@
     near.write_all(b"ab").await.expect("open");
     near.write_all(b"cd").await.expect("open");
     assert_eq!(reads(&mut far, 100).await.as_deref(), Some(&b"abcd"[..]));
-    assert!(sent.elapsed() >= Duration::from_micros(constants::DELAY_LEAST_US));
+    assert!(sent.elapsed() >= Duration::from_micros(constants::MIN_DELAY_US));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cut_holds_bytes_up_one_way_only() {
+async fn a_block_holds_bytes_back_in_one_direction_only() {
     let network = Network::new(1);
     let (mut near, mut far) = connected(&network).await;
     network.block(ONE, TWO);
-    near.write_all(b"abcd").await.expect("taken");
-    far.write_all(b"efgh").await.expect("taken");
+    near.write_all(b"abcd").await.expect("buffered");
+    far.write_all(b"efgh").await.expect("buffered");
     assert_eq!(reads(&mut far, 1000).await, None);
     assert_eq!(reads(&mut near, 1000).await.as_deref(), Some(&b"efgh"[..]));
     network.heal(ONE, TWO);
@@ -48,11 +48,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_long_cut_ends_the_connection_at_both_ends() {
+async fn a_long_block_closes_the_connection_at_both_ends() {
     let network = Network::new(1);
     let (mut near, mut far) = connected(&network).await;
     network.block(ONE, TWO);
-    near.write_all(b"abcd").await.expect("taken");
+    near.write_all(b"abcd").await.expect("buffered");
     tokio::time::sleep(constants::BLOCKED_STREAM_TIMEOUT * 2).await;
     network.heal(ONE, TWO);
     assert_eq!(far.read(&mut [0; 4]).await.ok(), Some(0));
@@ -60,17 +60,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_reset_loses_what_was_on_its_way() {
+async fn a_reset_loses_bytes_in_flight() {
     let network = Network::new(1);
     let (mut near, mut far) = connected(&network).await;
-    near.write_all(b"abcd").await.expect("taken");
+    near.write_all(b"abcd").await.expect("buffered");
     network.reset_between(ONE, TWO);
     assert_eq!(far.read(&mut [0; 4]).await.ok(), Some(0));
     assert!(network.connect(ONE, at(TWO)).await.is_err());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dead_port_refuses_and_a_dark_machine_hangs() {
+async fn a_closed_port_refuses_and_a_powered_off_machine_hangs() {
     let network = Network::new(1);
     let refused = network.connect(ONE, at(TWO)).await.map(|_| ());
     assert_eq!(refused.map_err(|e| e.kind()), Err(std::io::ErrorKind::ConnectionRefused));
@@ -80,7 +80,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_machine_is_heard_late_and_in_order() {
+async fn a_slow_link_delays_bytes_and_keeps_their_order() {
     let network = Network::new(1);
     let (mut near, mut far) = connected(&network).await;
     network.slow_down(TWO, true);
--- a/crates/simulation/src/operator_workload.rs
+++ b/crates/simulation/src/operator_workload.rs
@@ -1,4 +1,4 @@
-//! Operators: each sends configurations one after the other, and again after silence.
+//! Simulated operators: each sends configurations one after another, and resends one whose outcome is unknown.
 
 use crate::config_body::digest;
 use crate::constants;
@@ -13,9 +13,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One configuration that an operator wants in force.
+/// A configuration that an operator sends.
 #[derive(Clone)]
-struct Order {
+struct ConfigUpdate {
     base: u64,
     version: Version,
     valid: bool,
@@ -26,22 +26,23 @@
     world: Arc<World>,
     number: usize,
     rng: fastrand::Rng,
-    /// the version that it believes to be current
+    /// the version that it considers current
     base: u64,
-    drawn: u64,
-    acknowledged: Vec<Order>,
+    updates_created: u64,
+    acknowledged: Vec<ConfigUpdate>,
 }
 
-/// Sends orders until the run is over.
-pub async fn operate(world: Arc<World>, number: usize) {
+/// Sends updates until the run is over.
+pub async fn run_operator(world: Arc<World>, number: usize) {
     let rng = world.rng("operator", number);
-    let backoff_ms = world.plan.order_interval_ms;
-    let mut operator = Operator { world, number, rng, base: 0, drawn: 0, acknowledged: Vec::new() };
+    let interval_ms = world.plan.update_interval_ms;
+    let mut operator =
+        Operator { world, number, rng, base: 0, updates_created: 0, acknowledged: Vec::new() };
     while !operator.world.is_over() {
-        let backoff = operator.rng.u64(backoff_ms / 2..backoff_ms * 3 / 2);
+        let backoff = operator.rng.u64(interval_ms / 2..interval_ms * 3 / 2);
         tokio::time::sleep(Duration::from_millis(backoff)).await;
-        let order = operator.next();
-        operator.send(order).await;
+        let update = operator.next_update();
+        operator.send(update).await;
     }
 }
 
@@ -58,31 +59,31 @@
 }
 
 impl Operator {
-    /// A new order, or at times an old one that was acknowledged.
-    fn next(&mut self) -> Order {
-        let again = self.rng.u64(0..100) < constants::AGAIN_IN_100;
-        if again && !self.acknowledged.is_empty() {
-            let which = self.rng.usize(0..self.acknowledged.len());
-            return self.acknowledged[which].clone();
+    /// A new update, or at times a repetition of an acknowledged one.
+    fn next_update(&mut self) -> ConfigUpdate {
+        let is_repeated = self.rng.u64(0..100) < constants::REPEATED_UPDATE_PERCENT;
+        if is_repeated && !self.acknowledged.is_empty() {
+            let picked = self.rng.usize(0..self.acknowledged.len());
+            return self.acknowledged[picked].clone();
         }
-        self.drawn += 1;
-        let label = format!("operator-{}-order-{}", self.number, self.drawn);
+        self.updates_created += 1;
+        let label = format!("operator-{}-order-{}", self.number, self.updates_created);
         let number = self.base + self.rng.u64(1..=2);
-        let valid = self.rng.u64(0..100) >= constants::INVALID_IN_100;
+        let valid = self.rng.u64(0..100) >= constants::INVALID_UPDATE_PERCENT;
         let service = if valid { "service" } else { "none" };
         let body = body_of(number, &label, service);
         let version = Version { number, digest: digest(&body) };
-        Order { base: self.base, version, valid, body }
+        ConfigUpdate { base: self.base, version, valid, body }
     }
 
-    /// Sends an order until its answer is clear.
-    async fn send(&mut self, order: Order) {
+    /// Sends an update until it gets a definite response or runs out of attempts.
+    async fn send(&mut self, update: ConfigUpdate) {
         let mut backoff = constants::RESEND_BACKOFF_MS;
-        for _ in 0..constants::SENDINGS_MOST {
-            match self.send_once(&order).await {
+        for _ in 0..constants::MAX_SEND_ATTEMPTS {
+            match self.send_once(&update).await {
                 Reply::Acknowledged => {
-                    self.base = self.base.max(order.version.number);
-                    self.acknowledged.push(order);
+                    self.base = self.base.max(update.version.number);
+                    self.acknowledged.push(update);
                     return;
                 }
                 Reply::Refused | Reply::Invalid => break,
@@ -94,30 +95,30 @@
             tokio::time::sleep(Duration::from_millis(backoff / 2 + self.rng.u64(0..backoff))).await;
             backoff = (backoff * 2).min(constants::RESEND_BACKOFF_MAX_MS);
         }
-        self.resolve().await;
+        self.refresh_base().await;
     }
 
-    async fn send_once(&mut self, order: &Order) -> Reply {
+    async fn send_once(&mut self, update: &ConfigUpdate) -> Reply {
         let machines = self.world.machines();
         let machine = machines[self.rng.usize(0..machines.len())].clone();
-        let place = self.record(order, &machine);
-        let reply = self.exchange(&machine, order).await;
+        let index = self.record_attempt(update, &machine);
+        let reply = self.send_to(&machine, update).await;
         let completed = self.world.now();
         let mut history = self.world.history.lock();
-        history.writes[place].completed = completed;
-        history.writes[place].reply = reply;
+        history.writes[index].completed = completed;
+        history.writes[index].reply = reply;
         reply
     }
 
-    /// Records a sending before it is sent; it may take effect at any time from now on.
-    fn record(&self, order: &Order, machine: &Machine) -> usize {
+    /// Records an attempt before it is sent, since it may take effect at any time from then on.
+    fn record_attempt(&self, update: &ConfigUpdate, machine: &Machine) -> usize {
         let mut history = self.world.history.lock();
         history.writes.push(Write {
             operator: self.number,
             machine: machine.number,
-            base: order.base,
-            version: order.version,
-            valid: order.valid,
+            base: update.base,
+            version: update.version,
+            valid: update.valid,
             invoked: self.world.now(),
             completed: u64::MAX,
             reply: Reply::Unknown,
@@ -125,16 +126,16 @@
         history.writes.len() - 1
     }
 
-    async fn exchange(&self, machine: &Arc<Machine>, order: &Order) -> Reply {
-        let (base, body) = (order.base.to_string(), order.body.clone());
+    async fn send_to(&self, machine: &Arc<Machine>, update: &ConfigUpdate) -> Reply {
+        let (base, body) = (update.base.to_string(), update.body.clone());
         let call = async move |controller: Arc<Controller>| {
             configuration::replace(controller.consensus(), Some(&base), body).await
         };
-        let answer = self.world.call(machine, call).await;
-        self.as_mutant(reply_of(answer))
+        let response = self.world.call(machine, call).await;
+        self.apply_injected_bug(reply_from(response))
     }
 
-    fn as_mutant(&self, reply: Reply) -> Reply {
+    fn apply_injected_bug(&self, reply: Reply) -> Reply {
         match (self.world.injected_bug, reply) {
             (Some(InjectedBug::EarlyAcknowledgement), Reply::Unknown) => Reply::Acknowledged,
             (Some(InjectedBug::HastyRefusal), Reply::Unknown) => Reply::Refused,
@@ -142,9 +143,9 @@
         }
     }
 
-    /// Finds out which version is current, if anybody says so.
-    async fn resolve(&mut self) {
-        for _ in 0..constants::RESOLVES_MOST {
+    /// Reads the current version as the new base; keeps the old base if no machine answers.
+    async fn refresh_base(&mut self) {
+        for _ in 0..constants::MAX_RESOLVE_ATTEMPTS {
             let machines = self.world.machines();
             let machine = machines[self.rng.usize(0..machines.len())].clone();
             if let Some(version) = crate::read_workload::read_once(&self.world, &machine).await {
@@ -156,8 +157,8 @@
     }
 }
 
-fn reply_of(answer: Option<Result<configuration::Replaced, Rejection>>) -> Reply {
-    match answer {
+fn reply_from(response: Option<Result<configuration::Replaced, Rejection>>) -> Reply {
+    match response {
         Some(Ok(_)) => Reply::Acknowledged,
         Some(Err(rejection)) if rejection.status == StatusCode::PRECONDITION_FAILED => {
             Reply::Refused
--- a/crates/simulation/src/panics.rs
+++ b/crates/simulation/src/panics.rs
@@ -1,4 +1,4 @@
-//! Panics of the code under test, collected in place of being printed.
+//! Records panics of the code under test instead of printing them.
 
 use std::cell::RefCell;
 use std::sync::Once;
@@ -6,31 +6,31 @@
 static HOOK: Once = Once::new();
 
 thread_local! {
-    /// none while no run is under way on this thread
+    /// `None` while no run is active on this thread
     static RECORDED: RefCell<Option<Vec<String>>> = const { RefCell::new(None) };
 }
 
-/// Collects the panics of this thread from now on; a run stays on one thread.
-pub fn listen() {
+/// Starts to record the panics of this thread; a run stays on one thread.
+pub fn start_recording() {
     HOOK.call_once(|| {
-        let former = std::panic::take_hook();
+        let previous_hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |panic| {
-            let taken = RECORDED.with_borrow_mut(|observation| match observation {
-                Some(observation) => {
-                    observation.push(panic.to_string());
+            let is_recorded = RECORDED.with_borrow_mut(|recorded| match recorded {
+                Some(recorded) => {
+                    recorded.push(panic.to_string());
                     true
                 }
                 None => false,
             });
-            if !taken {
-                former(panic);
+            if !is_recorded {
+                previous_hook(panic);
             }
         }));
     });
     RECORDED.set(Some(Vec::new()));
 }
 
-/// Ends the collection, and gives what it holds.
-pub fn take() -> Vec<String> {
+/// Stops recording, and returns the recorded panics.
+pub fn stop_recording() -> Vec<String> {
     RECORDED.take().unwrap_or_default()
 }
--- a/crates/simulation/src/read_workload.rs
+++ b/crates/simulation/src/read_workload.rs
@@ -1,4 +1,4 @@
-//! Those who read the configuration: callers of `control`, and routers over their links.
+//! Simulated readers of the configuration: callers of `control`, and routers over their links.
 
 use crate::config_body::{digest, number_of};
 use crate::constants;
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Reads at one node after another until the run is over.
-pub async fn read_on(world: Arc<World>, number: usize) {
+/// Reads from random machines until the run is over.
+pub async fn run_reader(world: Arc<World>, number: usize) {
     let mut rng = world.rng("reader", number);
     while !world.is_over() {
         let pause = rng.u64(constants::READ_INTERVAL_MS / 2..constants::READ_INTERVAL_MS * 2);
@@ -31,25 +31,25 @@
     }
 }
 
-/// One read at one node, recorded if it gave an answer.
+/// Reads once from a machine, and records the read if it returned a version.
 pub async fn read_once(world: &Arc<World>, machine: &Arc<Machine>) -> Option<Version> {
     let invoked = world.now();
     let body = fetch(world, machine).await?;
     record(world, machine.number, &body, invoked)
 }
 
-/// Reads at one node until it answers; for the end of a run.
-pub async fn read_last(world: &Arc<World>, machine: &Arc<Machine>) -> Option<Read> {
+/// Reads from a machine until it answers or [`constants::FINAL_READ_TIMEOUT`] is over; used at the end of a run.
+pub async fn read_until_answered(world: &Arc<World>, machine: &Arc<Machine>) -> Option<Read> {
     let reading = async {
         loop {
             let invoked = world.now();
             if let Some(body) = fetch(world, machine).await {
-                return read_of(world, machine.number, &body, invoked);
+                return parse_read(world, machine.number, &body, invoked);
             }
             tokio::time::sleep(Duration::from_millis(constants::READ_INTERVAL_MS)).await;
         }
     };
-    tokio::time::timeout(constants::LAST_READ_TIMEOUT, reading).await.ok().flatten()
+    tokio::time::timeout(constants::FINAL_READ_TIMEOUT, reading).await.ok().flatten()
 }
 
 async fn fetch(world: &World, machine: &Arc<Machine>) -> Option<Bytes> {
@@ -63,7 +63,7 @@
     world.call(machine, call).await.flatten()
 }
 
-/// What a controller holds itself, whatever the others have.
+/// The configuration in a controller's local state, which may be outdated.
 fn current(controller: &Controller) -> Option<Bytes> {
     let register = controller
         .consensus()
@@ -75,20 +75,20 @@
     value.body().ok()
 }
 
-fn read_of(world: &World, machine: usize, body: &[u8], invoked: u64) -> Option<Read> {
+fn parse_read(world: &World, machine: usize, body: &[u8], invoked: u64) -> Option<Read> {
     let version = Version { number: number_of(body)?, digest: digest(body) };
     Some(Read { machine, version, invoked, completed: world.now() })
 }
 
 fn record(world: &World, machine: usize, body: &[u8], invoked: u64) -> Option<Version> {
-    let read = read_of(world, machine, body, invoked)?;
+    let read = parse_read(world, machine, body, invoked)?;
     let version = read.version;
     world.history.lock().reads.push(read);
     Some(version)
 }
 
-/// A router: keeps a link to one controller, and fetches what a majority confirms.
-pub async fn route(world: Arc<World>, number: usize) {
+/// Simulates a router: keeps a link to one controller at a time, and fetches configurations that a majority confirms.
+pub async fn run_router(world: Arc<World>, number: usize) {
     let mut rng = world.rng("router", number);
     let node = router_node(&world, number);
     let transport = Arc::new(ProcessTransport::new(world.network.clone()));
@@ -97,8 +97,8 @@
         let machine = machines[rng.usize(0..machines.len())].clone();
         let at = std::net::SocketAddr::new(machine.ip.into(), constants::PEER_PORT);
         let link = Link::keep_over(transport.clone(), &node, at, None);
-        let stays = Duration::from_millis(rng.u64(1000..constants::ROUTER_STAYS_MS));
-        let _ = tokio::time::timeout(stays, fetch_on(&world, &machine, &link)).await;
+        let link_duration = Duration::from_millis(rng.u64(1000..constants::MAX_ROUTER_LINK_MS));
+        let _ = tokio::time::timeout(link_duration, fetch_over_link(&world, &machine, &link)).await;
     }
 }
 
@@ -106,13 +106,13 @@
     Node {
         name: format!("router-{number}"),
         zone: "zone-0".to_owned(),
-        ip: Ipv4Addr::new(10, constants::OUTSIDE, 1, number as u8 + 1),
+        ip: Ipv4Addr::new(10, constants::CLIENT_OCTET, 1, number as u8 + 1),
         role: Role::Router,
         incarnation: world.rng("incarnation", number).u64(1..),
     }
 }
 
-async fn fetch_on(world: &World, machine: &Machine, link: &Link) {
+async fn fetch_over_link(world: &World, machine: &Machine, link: &Link) {
     let mut current: Option<ConfigBody> = None;
     while !world.is_over() {
         tokio::time::sleep(Duration::from_millis(constants::READ_INTERVAL_MS)).await;
@@ -128,7 +128,7 @@
     }
 }
 
-/// The configuration that a majority confirms, put together as the real router does it.
+/// Fetches the configuration that a majority confirms, and rebuilds it as the real router does.
 async fn fetch_newest(link: &Link, current: Option<&ConfigBody>) -> Option<ConfigBody> {
     let digest = current.map(|current| Bytes::copy_from_slice(current.digest.as_bytes()));
     let request = ConfigRequest { digest: digest.unwrap_or_default() };
--- a/crates/simulation/src/sampler.rs
+++ b/crates/simulation/src/sampler.rs
@@ -1,37 +1,37 @@
-//! Looks into the controllers: who holds a duty, and which members are in force.
+//! Samples the controllers' state: lease holders and memberships.
 
 use crate::constants;
-use crate::history::{CaughtUp, Holder, MembershipObservation};
+use crate::history::{CaughtUp, LeaseObservation, MembershipObservation};
 use crate::world::World;
 use control_plane::cluster_state::ClusterState;
 use control_plane::leases::ROLLOUT_LEASE;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Looks on until the run is over, and records what has changed.
+/// Samples all controllers until the run is over, and records changes.
 pub async fn sample(world: Arc<World>) {
-    let mut held: Vec<(usize, u64, u64)> = Vec::new();
-    let mut epochs: BTreeMap<usize, u64> = BTreeMap::new();
+    let mut previous_holders: Vec<(usize, u64, u64)> = Vec::new();
+    let mut previous_epochs: BTreeMap<usize, u64> = BTreeMap::new();
     while !world.is_over() {
         tokio::time::sleep(constants::SAMPLE_INTERVAL).await;
-        sample_holders(&world, &mut held);
-        sample_memberships(&world, &mut epochs);
+        sample_holders(&world, &mut previous_holders);
+        sample_memberships(&world, &mut previous_epochs);
     }
 }
 
-fn sample_holders(world: &World, last: &mut Vec<(usize, u64, u64)>) {
-    let mut now = Vec::new();
+fn sample_holders(world: &World, previous: &mut Vec<(usize, u64, u64)>) {
+    let mut current = Vec::new();
     for machine in world.machines() {
         let Some((start, controller)) = machine.controller() else { continue };
         if let Some(fencing_token) = controller.leases().fencing_token(ROLLOUT_LEASE) {
-            now.push((machine.number, start, fencing_token));
+            current.push((machine.number, start, fencing_token));
         }
     }
-    if *last == now {
+    if *previous == current {
         return;
     }
     let at = world.now();
-    let holders = now.iter().map(|&(machine, start, fencing_token)| Holder {
+    let holders = current.iter().map(|&(machine, start, fencing_token)| LeaseObservation {
         lease_name: ROLLOUT_LEASE,
         machine,
         start,
@@ -39,15 +39,15 @@
         at,
     });
     world.history.lock().holders.extend(holders);
-    *last = now;
+    *previous = current;
 }
 
-fn sample_memberships(world: &World, last: &mut BTreeMap<usize, u64>) {
+fn sample_memberships(world: &World, previous: &mut BTreeMap<usize, u64>) {
     for machine in world.machines() {
         let Some((_, controller)) = machine.controller() else { continue };
         let membership = controller.consensus().membership();
         if membership.epoch == 0
-            || last.insert(machine.number, membership.epoch) == Some(membership.epoch)
+            || previous.insert(machine.number, membership.epoch) == Some(membership.epoch)
         {
             continue;
         }
@@ -63,8 +63,8 @@
     }
 }
 
-/// How each member of the newest membership stands; one that is gone for good counts too.
-pub fn catch_up(world: &World) -> Vec<CaughtUp> {
+/// The state of each member of the newest sampled membership, including permanently removed machines.
+pub fn observe_members(world: &World) -> Vec<CaughtUp> {
     let newest = world
         .history
         .lock()
--- a/crates/simulation/src/shrink.rs
+++ b/crates/simulation/src/shrink.rs
@@ -1,29 +1,30 @@
-//! Makes a failing plan smaller by leaving faults out.
+//! Shrinks a failing plan by removing faults.
 
 use crate::checker::Invariant;
 use crate::fault::Plan;
 use crate::run::run;
 
-/// The smallest plan found that still breaks the same invariant: faults are left out one by one,
-/// for as long as any can be, within so many runs.
+/// Removes faults one by one while the plan still violates the same invariant, and returns the smallest
+/// plan found within the given number of runs.
 ///
 /// # Errors
 ///
-/// When a runtime can't be made.
+/// If a runtime cannot be created.
 pub fn shrink(plan: &Plan, invariant: Invariant, runs: usize) -> std::io::Result<Plan> {
     let mut smallest = plan.clone();
     let mut runs_left = runs;
-    let mut place = 0;
-    while place < smallest.faults.len() && runs_left > 0 {
+    let mut index = 0;
+    while index < smallest.faults.len() && runs_left > 0 {
         runs_left -= 1;
-        let mut fewer = smallest.clone();
-        fewer.faults.remove(place);
-        let outcome = run(&fewer, None)?;
-        let still = outcome.violations.iter().any(|violation| violation.invariant == invariant);
-        if still {
-            smallest = fewer;
+        let mut candidate = smallest.clone();
+        candidate.faults.remove(index);
+        let outcome = run(&candidate, None)?;
+        let still_fails =
+            outcome.violations.iter().any(|violation| violation.invariant == invariant);
+        if still_fails {
+            smallest = candidate;
         } else {
-            place += 1;
+            index += 1;
         }
     }
     Ok(smallest)
--- a/crates/simulation/src/transport.rs
+++ b/crates/simulation/src/transport.rs
@@ -1,4 +1,4 @@
-//! The simulated network as the transport of one start of a process.
+//! Transport of one start of a process over the simulated network.
 
 use crate::network::{self, Network};
 use fleet_core::transport::{BoxFuture, BoxedStream, Listener, Transport, TransportError};
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// What one start of a process connects and listens with; useless once the process is dead.
+/// The transport of one start of a process; every operation fails once the process has ended.
 #[derive(Clone)]
 pub struct ProcessTransport {
     network: Network,
@@ -15,17 +15,17 @@
 }
 
 impl ProcessTransport {
-    /// The transport of a newly started process.
+    /// Creates the transport of a newly started process.
     pub fn new(network: Network) -> ProcessTransport {
         ProcessTransport { network, dead: Arc::default() }
     }
 
-    /// The process is dead: whatever of it still runs reaches nobody.
+    /// Marks the process as ended, so that its remaining tasks cannot use the network.
     pub fn end(&self) {
         self.dead.store(true, Ordering::Relaxed);
     }
 
-    fn alive(&self) -> std::io::Result<()> {
+    fn check_alive(&self) -> std::io::Result<()> {
         if self.dead.load(Ordering::Relaxed) {
             return Err(std::io::ErrorKind::NetworkDown.into());
         }
@@ -36,28 +36,28 @@
 impl Transport for ProcessTransport {
     fn connect(
         &self,
-        own: Ipv4Addr,
+        local: Ipv4Addr,
         to: SocketAddr,
         limit: Duration,
     ) -> BoxFuture<'_, Result<BoxedStream, TransportError>> {
         Box::pin(async move {
-            self.alive()?;
-            let connecting = tokio::time::timeout(limit, self.network.connect(own, to));
+            self.check_alive()?;
+            let connecting = tokio::time::timeout(limit, self.network.connect(local, to));
             let stream = connecting.await.map_err(|_| TransportError::Timeout)??;
-            self.alive()?;
+            self.check_alive()?;
             Ok(Box::new(stream) as BoxedStream)
         })
     }
 
     fn listen(&self, at: SocketAddr) -> std::io::Result<Box<dyn Listener>> {
-        self.alive()?;
-        Ok(Box::new(Accepting(self.network.listen(at)?)))
+        self.check_alive()?;
+        Ok(Box::new(SimulatedListener(self.network.listen(at)?)))
     }
 }
 
-struct Accepting(network::Listener);
+struct SimulatedListener(network::Listener);
 
-impl Listener for Accepting {
+impl Listener for SimulatedListener {
     fn accept(&mut self) -> BoxFuture<'_, std::io::Result<BoxedStream>> {
         Box::pin(async move {
             match self.0.accept().await {
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -1,23 +1,23 @@
-//! A seed gives the same run again, to the last answer.
+//! A seed determines the whole history of a run.
 
-use simulation::fault::{Plan, Point};
+use simulation::fault::{FaultMix, Plan};
 
 #[test]
-fn a_seed_gives_the_same_history_again() {
-    for point in [Point::All, Point::SecondLoss] {
+fn a_seed_always_gives_the_same_history() {
+    for point in [FaultMix::All, FaultMix::SecondLoss] {
         let plan = Plan::random(41, point);
-        let first = simulation::run(&plan, None).expect("a runtime");
-        let again = simulation::run(&plan, None).expect("a runtime");
-        assert!(first.history.writes.len() > 20, "{} orders", first.history.writes.len());
+        let first = simulation::run(&plan, None).expect("runtime starts");
+        let again = simulation::run(&plan, None).expect("runtime starts");
+        assert!(first.history.writes.len() > 20, "{} updates", first.history.writes.len());
         assert_eq!(first.history.fingerprint(), again.history.fingerprint());
     }
 }
 
 #[test]
-fn another_seed_gives_another_history() {
+fn different_seeds_give_different_histories() {
     let fingerprint = |seed| {
-        let plan = Plan::random(seed, Point::Isolation);
-        simulation::run(&plan, None).expect("a runtime").history.fingerprint()
+        let plan = Plan::random(seed, FaultMix::Isolation);
+        simulation::run(&plan, None).expect("runtime starts").history.fingerprint()
     };
     assert_ne!(fingerprint(1), fingerprint(2));
 }
