--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -2,15 +2,15 @@
 //!
 //! A [`Plan`] lists the scheduled [`Fault`]s of a run; a [`FaultMix`] selects the mix from which `shape` draws them.
 
+mod mix;
 mod plan;
-mod point;
 mod shape;
 
 use crate::constants;
 use serde::{Deserialize, Serialize};
 
+pub use mix::{FaultMix, UnknownFaultMix};
 pub use plan::Plan;
-pub use point::{FaultMix, UnknownFaultMix};
 
 /// One kind of fault; machines are numbered from 0.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
