--- a/crates/simulation/src/constants.rs
+++ b/crates/simulation/src/constants.rs
@@ -87,7 +87,7 @@
 /// ms; a router switches to another controller after at most this time.
 pub const MAX_ROUTER_LINK_MS: u64 = 6000;
 /// s; a process that was told to leave is killed after this time, the platform's grace period.
-pub const GRACE: Duration = Duration::from_secs(8);
+pub const GRACE_PERIOD: Duration = Duration::from_secs(8);
 /// ms; duration of a lease.
 pub const LEASE_MS: u64 = 3000;
 /// ms; duration of a lease on the node with the injected bug `LongLease`.
--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -1,6 +1,6 @@
 //! The faults of a run: drawn from a seed, saved, replayed, and left out one by one when a failing run is shrunk.
 //!
-//! A [`Plan`] lists the scheduled [`Fault`]s of a run; a [`FaultMix`] selects the mix from which `shape` draws them.
+//! A [`Plan`] lists the scheduled [`Fault`]s of a run; a [`FaultMix`] selects the kinds that `shape` draws.
 
 mod mix;
 mod plan;
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -234,7 +234,7 @@
             Some((process.start, running))
         });
         let Some((start, running)) = ended else { return };
-        let _ = tokio::time::timeout(constants::GRACE, running.leave()).await;
+        let _ = tokio::time::timeout(constants::GRACE_PERIOD, running.leave()).await;
         running.abort();
         if self.is_running(start) {
             self.kill();
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -1,53 +1,53 @@
-//! What must hold of a history.
+//! Checks a history against the rules.
 
 use crate::constants;
-use crate::history::{Action, At, Ending, History, Kind, ProcessEvent, Program, Request};
+use crate::history::{Action, Ending, History, Kind, ProcessEvent, Program, Request, Timestamp};
 use crate::http::ReadError;
 use std::collections::{HashMap, HashSet};
 
-/// A rule of the users.
+/// A rule that users of the fleet rely on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// A request that a router has read ends with an answer, as far as planned work goes.
+    /// A request that a router has read gets a response, except when the router is killed or its grace period ends.
     Lost,
-    /// An engine gets no request once its departure was acknowledged and `drainMs` are over.
+    /// An engine receives no requests later than `drainMs` after its departure was acknowledged.
     Drain,
-    /// What may run once runs once.
+    /// A request that may run at most once does not run twice.
     Twice,
-    /// What was refused has not run.
+    /// A refused request has not run.
     Refused,
-    /// A success is the engine's whole answer to this very request.
+    /// A successful response is the engine's complete response to this request.
     Mixed,
-    /// What was acknowledged is read back.
+    /// The acknowledged configuration, or a newer one, is read back.
     Config,
-    /// A process ends when it is asked to, in time, and not otherwise.
+    /// A process ends within the grace period after SIGTERM, and never unexpectedly.
     Process,
-    /// The run shows something: most requests were served, and an engine left.
+    /// The run was meaningful: at least half of the requests were served, at least 100, and an engine departed.
     Vacuous,
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// Which one.
+    /// The rule.
     pub rule: Rule,
-    /// By what.
+    /// The events that broke it.
     pub why: String,
 }
 
-/// Judges a history.
+/// Returns all violations in a history; empty if every rule holds.
 pub fn check(history: &History) -> Vec<Violation> {
-    let mut found = Findings::default();
+    let mut findings = Findings::default();
     let index = Index::of(history);
     for request in &history.requests {
-        check_ending(request, history, &index, &mut found);
-        check_answer(request, &index, &mut found);
+        check_ending(request, history, &index, &mut findings);
+        check_answer(request, &index, &mut findings);
     }
-    check_drains(history, &mut found);
-    check_processes(history, &mut found);
-    check_configuration(history, &mut found);
-    check_that_it_shows_something(history, &mut found);
-    found.0
+    check_drains(history, &mut findings);
+    check_processes(history, &mut findings);
+    check_configuration(history, &mut findings);
+    check_not_vacuous(history, &mut findings);
+    findings.0
 }
 
 #[derive(Default)]
@@ -59,153 +59,162 @@
     }
 }
 
-/// What engines saw, by the client's id of the request.
+/// Requests that reached engines, by attempt id.
 struct Index<'a> {
-    passed_on: HashSet<&'a str>,
-    begun: HashMap<&'a str, Vec<&'a str>>,
+    arrived: HashSet<&'a str>,
+    executions: HashMap<&'a str, Vec<&'a str>>,
 }
 
 impl<'a> Index<'a> {
     fn of(history: &'a History) -> Index<'a> {
-        let passed_on = history.arrivals.iter().map(|event| event.attempt.as_str()).collect();
-        let mut begun: HashMap<&str, Vec<&str>> = HashMap::new();
-        for event in &history.begun {
-            begun.entry(&event.attempt).or_default().push(&event.engine);
+        let arrived = history.arrivals.iter().map(|event| event.attempt.as_str()).collect();
+        let mut executions: HashMap<&str, Vec<&str>> = HashMap::new();
+        for event in &history.executions {
+            executions.entry(&event.attempt).or_default().push(&event.engine);
         }
-        Index { passed_on, begun }
+        Index { arrived, executions }
     }
 
-    fn begun_at(&self, attempt: &str) -> &[&'a str] {
-        self.begun.get(attempt).map_or(&[], Vec::as_slice)
+    fn executed_by(&self, attempt: &str) -> &[&'a str] {
+        self.executions.get(attempt).map_or(&[], Vec::as_slice)
     }
 }
 
-fn check_ending(request: &Request, history: &History, index: &Index, found: &mut Findings) {
+fn check_ending(request: &Request, history: &History, index: &Index, findings: &mut Findings) {
     let error = match &request.ending {
         Ending::Answered { .. } => return,
         Ending::Closed(error) => *error,
         Ending::TimedOut => {
-            return found.add(Rule::Lost, format!("no answer at the deadline: {request:?}"));
+            return findings
+                .add(Rule::Lost, format!("no response before the client's timeout: {request:?}"));
         }
     };
     if was_killed(request, history) {
         return;
     }
-    let lasted = request.ended - request.sent;
+    let duration = request.ended - request.sent;
     let is_lost = match error {
         ReadError::Malformed => true,
         ReadError::ClosedWithin => !is_cut_at_the_end(request, history),
         ReadError::ClosedBefore => {
-            index.passed_on.contains(request.attempt.as_str()) || lasted > constants::LOSS_SLACK
+            index.arrived.contains(request.attempt.as_str())
+                || duration > constants::UNFORWARDED_RESPONSE_LIMIT
         }
     };
     if is_lost {
-        let begun = index.begun_at(&request.attempt);
-        found.add(Rule::Lost, format!("closed after {lasted:?}, begun at {begun:?}: {request:?}"));
+        let executions = index.executed_by(&request.attempt);
+        findings.add(
+            Rule::Lost,
+            format!("closed after {duration:?}, executed by {executions:?}: {request:?}"),
+        );
     }
 }
 
-/// When this was done to the router that had the request.
+/// The times of one action on the router that handled the request.
 fn router_events<'a>(
     request: &'a Request,
     history: &'a History,
     action: Action,
-) -> impl Iterator<Item = At> + 'a {
-    let is_wanted = move |event: &&ProcessEvent| {
+) -> impl Iterator<Item = Timestamp> + 'a {
+    let is_match = move |event: &&ProcessEvent| {
         event.machine == request.machine
             && event.program == Program::Router
             && event.action == action
     };
-    history.processes.iter().filter(is_wanted).map(|event| event.at)
+    history.processes.iter().filter(is_match).map(|event| event.at)
 }
 
-/// Whether the router was killed while it had the request.
+/// Whether the router was killed while it handled the request.
 fn was_killed(request: &Request, history: &History) -> bool {
     let span = request.sent..=request.ended;
     router_events(request, history, Action::Killed).any(|at| span.contains(&at))
 }
 
-/// A response that had begun, of a request that came early enough, when the grace period of its router was nearly over.
+/// Whether the response was cut off near the end of its router's grace period. This is allowed only if the request was
+/// sent early enough, within [`constants::LATE_REQUEST_THRESHOLD`].
 fn is_cut_at_the_end(request: &Request, history: &History) -> bool {
-    let last_sixth = constants::GRACE * 5 / 6;
+    let near_end = constants::GRACE_PERIOD * 5 / 6;
     router_events(request, history, Action::Terminated).any(|terminated| {
-        request.sent <= terminated + constants::LATE_AFTER_SIGTERM
-            && request.ended >= terminated + last_sixth
+        request.sent <= terminated + constants::LATE_REQUEST_THRESHOLD
+            && request.ended >= terminated + near_end
     })
 }
 
-fn check_answer(request: &Request, index: &Index, found: &mut Findings) {
-    let begun = index.begun_at(&request.attempt);
-    if request.kind != Kind::Safe && begun.len() > 1 {
-        found.add(Rule::Twice, format!("begun at {begun:?}: {request:?}"));
+fn check_answer(request: &Request, index: &Index, findings: &mut Findings) {
+    let executions = index.executed_by(&request.attempt);
+    if request.kind != Kind::Safe && executions.len() > 1 {
+        findings.add(Rule::Twice, format!("executed by {executions:?}: {request:?}"));
     }
     let Ending::Answered { status, body } = &request.ending else { return };
-    let is_promise = matches!(status, 408 | 421 | 429 | 503);
-    if is_promise && request.kind != Kind::Safe && !begun.is_empty() {
-        found.add(Rule::Refused, format!("begun at {begun:?}: {request:?}"));
+    let is_refusal = matches!(status, 408 | 421 | 429 | 503);
+    if is_refusal && request.kind != Kind::Safe && !executions.is_empty() {
+        findings.add(Rule::Refused, format!("executed by {executions:?}: {request:?}"));
     }
-    if *status == 200 && !begun.iter().any(|engine| is_answer_of(request, engine, body)) {
-        found.add(Rule::Mixed, format!("begun at {begun:?}: {request:?}"));
+    if *status == 200 && !executions.iter().any(|engine| is_answer_of(request, engine, body)) {
+        findings.add(Rule::Mixed, format!("executed by {executions:?}: {request:?}"));
     }
 }
 
 fn is_answer_of(request: &Request, engine: &str, body: &str) -> bool {
-    let own = format!("{} {engine}", request.attempt);
+    let expected = format!("{} {engine}", request.attempt);
     if request.kind != Kind::Stream {
-        return body == own;
+        return body == expected;
     }
-    let event = |number| format!("id: {number}\ndata: {own}\n\n");
+    let event = |number| format!("id: {number}\ndata: {expected}\n\n");
     body == (1..=constants::STREAM_EVENTS).map(event).collect::<String>()
 }
 
-fn check_drains(history: &History, found: &mut Findings) {
-    let acknowledged: HashMap<&str, At> =
+fn check_drains(history: &History, findings: &mut Findings) {
+    let acknowledged: HashMap<&str, Timestamp> =
         history.departures.iter().map(|d| (d.engine.as_str(), d.acknowledged)).collect();
     let requests: HashMap<&str, &Request> =
         history.requests.iter().map(|request| (request.attempt.as_str(), request)).collect();
     for arrival in &history.arrivals {
         let Some(acknowledged) = acknowledged.get(arrival.engine.as_str()) else { continue };
         let Some(request) = requests.get(arrival.attempt.as_str()) else { continue };
-        let is_late = arrival.at > *acknowledged + constants::DRAIN;
-        if is_late && is_in_touch(history, request.machine, request.sent, arrival.at) {
+        let is_late = arrival.at > *acknowledged + constants::DRAIN_PERIOD;
+        if is_late && is_connected(history, request.machine, request.sent, arrival.at) {
             let late = arrival.at - *acknowledged;
             let why = format!("{late:?} after the acknowledgement: {arrival:?} {request:?}");
-            found.add(Rule::Drain, why);
+            findings.add(Rule::Drain, why);
         }
     }
 }
 
-/// Whether nothing disturbed a router or any controller in a span and the time before it.
-fn is_in_touch(history: &History, machine: usize, from: At, to: At) -> bool {
-    let span = from.saturating_sub(constants::CONTACT)..=to;
+/// Whether neither the router nor any controller was disrupted in a time span or in [`constants::CONTACT_PERIOD`] before it.
+fn is_connected(history: &History, machine: usize, from: Timestamp, to: Timestamp) -> bool {
+    let span = from.saturating_sub(constants::CONTACT_PERIOD)..=to;
     !history.processes.iter().any(|event| {
         let counts = event.program == Program::Controller || event.machine == machine;
         counts && event.action != Action::HungUp && span.contains(&event.at)
     })
 }
 
-fn check_processes(history: &History, found: &mut Findings) {
-    let is_wrong = |action| matches!(action, Action::Overran | Action::Died);
-    for event in history.processes.iter().filter(|event| is_wrong(event.action)) {
-        found.add(Rule::Process, format!("{event:?}"));
+fn check_processes(history: &History, findings: &mut Findings) {
+    let is_violation = |action| matches!(action, Action::KilledAfterGrace | Action::Died);
+    for event in history.processes.iter().filter(|event| is_violation(event.action)) {
+        findings.add(Rule::Process, format!("{event:?}"));
     }
 }
 
-fn check_configuration(history: &History, found: &mut Findings) {
+fn check_configuration(history: &History, findings: &mut Findings) {
     let acknowledged = history.acknowledged_version;
     if history.last_version.is_none_or(|version| version < acknowledged) {
         let last = history.last_version;
-        found.add(Rule::Config, format!("{acknowledged} was acknowledged, {last:?} is read back"));
+        findings.add(
+            Rule::Config,
+            format!("version {acknowledged} was acknowledged, but {last:?} was read back"),
+        );
     }
 }
 
-fn check_that_it_shows_something(history: &History, found: &mut Findings) {
+fn check_not_vacuous(history: &History, findings: &mut Findings) {
     let is_served =
         |request: &&Request| matches!(request.ending, Ending::Answered { status: 200, .. });
     let (served, all) = (history.requests.iter().filter(is_served).count(), history.requests.len());
     if served * 2 < all || served < 100 || history.departures.is_empty() {
         let departures = history.departures.len();
-        found.add(Rule::Vacuous, format!("{served} of {all} served, {departures} departures"));
+        findings.add(Rule::Vacuous, format!("{served} of {all} served, {departures} departures"));
     }
 }
 
--- a/crates/soak/src/checker_tests.rs
+++ b/crates/soak/src/checker_tests.rs
@@ -1,5 +1,5 @@
 use super::{Rule, check};
-use crate::constants::{CONTACT, DRAIN, GRACE, STREAM_EVENTS};
+use crate::constants::{CONTACT_PERIOD, DRAIN_PERIOD, GRACE_PERIOD, STREAM_EVENTS};
 use crate::history::{
     Action, Departure, Ending, EngineEvent, History, Kind, ProcessEvent, Program, Request,
 };
@@ -20,7 +20,7 @@
     Ending::Answered { status, body: body.into() }
 }
 
-/// A request from second 10 to 14.
+/// A request that was sent at 10 s and ended at 14 s.
 fn request(kind: Kind, ending: Ending) -> Request {
     let (sent, ended) = (seconds(10), seconds(14));
     Request { attempt: "a".into(), kind, machine: MACHINE, sent, ended, ending }
@@ -30,13 +30,13 @@
     ProcessEvent { machine: MACHINE, program, action, at }
 }
 
-/// A run that served enough, of which one request is of interest.
+/// A history with enough served requests to be meaningful, and the given request.
 fn history(request: Request) -> History {
     let mut history = History { last_version: Some(0), ..History::default() };
     for number in 0..100 {
         let mut served = self::request(Kind::Safe, answered(200, &format!("s{number} e")));
         served.attempt = format!("s{number}");
-        history.begun.push(event(&served.attempt, "e", seconds(10)));
+        history.executions.push(event(&served.attempt, "e", seconds(10)));
         history.requests.push(served);
     }
     history.departures.push(Departure { engine: "gone".into(), acknowledged: seconds(5) });
@@ -44,66 +44,70 @@
     history
 }
 
-fn broken(history: &History) -> Vec<Rule> {
+fn broken_rules(history: &History) -> Vec<Rule> {
     check(history).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn a_connection_that_closes_on_a_request_at_an_engine_is_lost_unless_the_router_was_killed() {
-    for (kind, begun) in [(Kind::Unsafe, false), (Kind::Safe, true)] {
+fn a_request_at_an_engine_whose_connection_closes_is_lost_unless_the_router_was_killed() {
+    for (kind, is_executed) in [(Kind::Unsafe, false), (Kind::Safe, true)] {
         let mut history = history(request(kind, Ending::Closed(ReadError::ClosedBefore)));
         history.arrivals.push(event("a", "e", seconds(10)));
-        if begun {
-            history.begun.push(event("a", "e", seconds(11)));
+        if is_executed {
+            history.executions.push(event("a", "e", seconds(11)));
         }
         history.processes.push(process(Program::Router, Action::Terminated, seconds(10)));
-        assert_eq!(broken(&history), [Rule::Lost]);
+        assert_eq!(broken_rules(&history), [Rule::Lost]);
         history.processes.push(process(Program::Controller, Action::Killed, seconds(13)));
-        assert_eq!(broken(&history), [Rule::Lost], "not its router");
+        assert_eq!(
+            broken_rules(&history),
+            [Rule::Lost],
+            "the controller was killed, not the router"
+        );
         history.processes.push(process(Program::Router, Action::Killed, seconds(13)));
-        assert_eq!(broken(&history), []);
+        assert_eq!(broken_rules(&history), []);
     }
 }
 
 #[test]
-fn a_request_that_crosses_the_close_is_not_lost_and_one_that_waits_for_it_is() {
-    let mut crossing = request(Kind::Unsafe, Ending::Closed(ReadError::ClosedBefore));
-    assert_eq!(broken(&history(crossing.clone())), [Rule::Lost]);
-    crossing.ended = crossing.sent + Duration::from_millis(50);
-    assert_eq!(broken(&history(crossing)), []);
-    assert_eq!(broken(&history(request(Kind::Safe, Ending::TimedOut))), [Rule::Lost]);
+fn an_unforwarded_request_is_lost_unless_the_connection_closed_at_once() {
+    let mut unforwarded = request(Kind::Unsafe, Ending::Closed(ReadError::ClosedBefore));
+    assert_eq!(broken_rules(&history(unforwarded.clone())), [Rule::Lost]);
+    unforwarded.ended = unforwarded.sent + Duration::from_millis(50);
+    assert_eq!(broken_rules(&history(unforwarded)), []);
+    assert_eq!(broken_rules(&history(request(Kind::Safe, Ending::TimedOut))), [Rule::Lost]);
 }
 
 #[test]
-fn a_stream_may_be_cut_at_the_end_of_the_grace_period_alone() {
+fn a_stream_may_be_cut_off_only_at_the_end_of_the_grace_period() {
     let cut_after = |since_sigterm: Duration| {
         let mut history = history(request(Kind::Stream, Ending::Closed(ReadError::ClosedWithin)));
         let at = seconds(14) - since_sigterm;
         history.processes.push(process(Program::Router, Action::Terminated, at));
-        broken(&history)
+        broken_rules(&history)
     };
-    assert_eq!(cut_after(GRACE), []);
-    assert_eq!(cut_after(GRACE / 2), [Rule::Lost]);
-    assert_eq!(cut_after(seconds(9)), [Rule::Lost], "it came later than 3 s after SIGTERM");
+    assert_eq!(cut_after(GRACE_PERIOD), []);
+    assert_eq!(cut_after(GRACE_PERIOD / 2), [Rule::Lost]);
+    assert_eq!(cut_after(seconds(9)), [Rule::Lost], "it was sent later than 3 s after SIGTERM");
 }
 
 #[test]
-fn requests_reach_no_departed_engine_through_machines_in_touch() {
+fn connected_machines_send_no_requests_to_departed_engines() {
     let mut history = history(request(Kind::Safe, answered(504, "")));
     history.arrivals.push(event("a", "gone", seconds(11)));
-    assert_eq!(broken(&history), [Rule::Drain]);
+    assert_eq!(broken_rules(&history), [Rule::Drain]);
     history.processes.push(process(Program::Router, Action::HungUp, seconds(10)));
-    assert_eq!(broken(&history), [Rule::Drain], "SIGHUP disturbs nobody");
-    history.departures[0].acknowledged = seconds(11) - DRAIN;
-    assert_eq!(broken(&history), [], "it serves on for so long");
+    assert_eq!(broken_rules(&history), [Rule::Drain], "SIGHUP is not a disruption");
+    history.departures[0].acknowledged = seconds(11) - DRAIN_PERIOD;
+    assert_eq!(broken_rules(&history), [], "the drain period is not over");
     history.departures[0].acknowledged = seconds(5);
-    let at = seconds(10) - CONTACT;
+    let at = seconds(10) - CONTACT_PERIOD;
     history.processes.push(process(Program::Controller, Action::Started, at));
-    assert_eq!(broken(&history), [], "a controller was started lately");
+    assert_eq!(broken_rules(&history), [], "a controller was started shortly before");
 }
 
 #[test]
-fn answers_have_run_once_and_whole_and_refusals_never() {
+fn answered_requests_run_once_and_refused_requests_never() {
     let own_stream: String =
         (1..=STREAM_EVENTS).map(|number| format!("id: {number}\ndata: a e\n\n")).collect();
     let cases = [
@@ -117,21 +121,21 @@
         (Kind::Stream, answered(200, &own_stream), 1, vec![]),
         (Kind::Stream, answered(200, &own_stream[..own_stream.len() - 9]), 1, vec![Rule::Mixed]),
     ];
-    for (kind, ending, runs, rules) in cases {
+    for (kind, ending, execution_count, rules) in cases {
         let mut history = history(request(kind, ending));
-        (0..runs).for_each(|_| history.begun.push(event("a", "e", seconds(11))));
-        assert_eq!(broken(&history), rules, "{:?}", history.requests.last());
+        (0..execution_count).for_each(|_| history.executions.push(event("a", "e", seconds(11))));
+        assert_eq!(broken_rules(&history), rules, "{:?}", history.requests.last());
     }
 }
 
 #[test]
-fn processes_configurations_and_empty_runs_are_judged() {
+fn process_failures_lost_configurations_and_vacuous_runs_are_reported() {
     let mut history = history(request(Kind::Safe, answered(502, "")));
-    history.processes.push(process(Program::Router, Action::Overran, seconds(14)));
+    history.processes.push(process(Program::Router, Action::KilledAfterGrace, seconds(14)));
     history.processes.push(process(Program::Controller, Action::Died, seconds(14)));
     history.acknowledged_version = 3;
     history.last_version = Some(2);
-    assert_eq!(broken(&history), [Rule::Process, Rule::Process, Rule::Config]);
+    assert_eq!(broken_rules(&history), [Rule::Process, Rule::Process, Rule::Config]);
     let nothing = History { last_version: Some(0), ..History::default() };
-    assert_eq!(broken(&nothing), [Rule::Vacuous]);
+    assert_eq!(broken_rules(&nothing), [Rule::Vacuous]);
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: each uses a connection for one request after the other until it is closed.
+//! Clients: each sends its requests one after another over a connection until it is closed.
 
 use crate::constants;
 use crate::history::{Ending, Kind, Recorder, Request};
@@ -10,35 +10,35 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// One client.
+/// A client.
 pub struct Client {
-    /// Its number.
+    /// Number of the client.
     pub number: usize,
-    /// The machines that it may be handed to.
+    /// The machines whose routers it may connect to.
     pub machines: Arc<Vec<Arc<Machine>>>,
-    /// Where its requests are recorded.
+    /// Records its requests.
     pub recorder: Arc<Recorder>,
-    /// Turns true once it is to send no more.
-    pub ends: Arc<AtomicBool>,
+    /// True once it must stop sending requests.
+    pub stop: Arc<AtomicBool>,
 }
 
 impl Client {
-    /// Sends requests until it is to end; returns behind the last response.
+    /// Sends requests until told to stop; returns after the last response.
     pub async fn run(self, mut rng: fastrand::Rng) {
         let mut sent = 0;
-        while !self.ends.load(Ordering::SeqCst) {
+        while !self.stop.load(Ordering::SeqCst) {
             let machine = &self.machines[rng.usize(0..self.machines.len())];
-            match TcpStream::connect(machine.front()).await {
+            match TcpStream::connect(machine.front_address()).await {
                 Ok(connection) => {
-                    self.use_up(connection, machine.number(), &mut sent, &mut rng).await;
+                    self.use_connection(connection, machine.number(), &mut sent, &mut rng).await;
                 }
                 Err(_) => tokio::time::sleep(Duration::from_millis(rng.u64(20..100))).await,
             }
         }
     }
 
-    /// One request after the other, until the connection is closed.
-    async fn use_up(
+    /// Sends one request after another, until the connection is closed or the client must stop.
+    async fn use_connection(
         &self,
         connection: TcpStream,
         machine: usize,
@@ -47,16 +47,16 @@
     ) {
         let (read, mut write) = connection.into_split();
         let mut reader = Reader::new(read);
-        while !self.ends.load(Ordering::SeqCst) {
+        while !self.stop.load(Ordering::SeqCst) {
             *sent += 1;
             let attempt = format!("c{}-{sent}", self.number);
-            let kind = Kind::EVERY[rng.usize(0..Kind::EVERY.len())];
+            let kind = Kind::VARIANTS[rng.usize(0..Kind::VARIANTS.len())];
             let request = request(kind, queue_ms(rng), &attempt);
             if write.write_all(request.as_bytes()).await.is_err() {
                 return;
             }
             let sent_at = self.recorder.now();
-            let (ending, closes) = end_of(&mut reader).await;
+            let (ending, closes) = read_ending(&mut reader).await;
             let is_open = matches!(ending, Ending::Answered { .. }) && !closes;
             let ended = self.recorder.now();
             let request = Request { attempt, kind, machine, sent: sent_at, ended, ending };
@@ -69,8 +69,8 @@
     }
 }
 
-/// How a request ended, and whether the response says that the connection closes.
-async fn end_of<R: tokio::io::AsyncRead + Unpin>(reader: &mut Reader<R>) -> (Ending, bool) {
+/// Reads how a request ended, and whether the connection closes.
+async fn read_ending<R: tokio::io::AsyncRead + Unpin>(reader: &mut Reader<R>) -> (Ending, bool) {
     match tokio::time::timeout(constants::CLIENT_TIMEOUT, reader.message()).await {
         Ok(Ok(message)) => {
             let body = String::from_utf8_lossy(&message.body).into_owned();
@@ -82,12 +82,12 @@
     }
 }
 
-/// Most requests are short; a few wait for longer than a router has to end.
+/// Draws the time in the queue. Most are short; a few exceed a router's grace period.
 fn queue_ms(rng: &mut fastrand::Rng) -> u64 {
     match rng.u8(0..100) {
         0..85 => rng.u64(1..30),
         85..95 => rng.u64(300..2000),
-        _ => rng.u64(2000..constants::QUEUE_MAX.as_millis() as u64),
+        _ => rng.u64(2000..constants::MAX_QUEUE_TIME.as_millis() as u64),
     }
 }
 
--- a/crates/soak/src/disruption.rs
+++ b/crates/soak/src/disruption.rs
@@ -1,82 +1,91 @@
-//! What happens in a run, drawn from its seed.
+//! The disruptions of a run, drawn from its seed.
 
 use crate::constants;
 use crate::engine::Announcement;
 use std::time::Duration;
 
-/// One thing that happens.
+/// A disruption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Disruption {
-    /// A machine's processes get SIGTERM and are started again once they have ended.
+    /// A machine's processes get SIGTERM and are restarted once they have exited.
     Restart {
-        /// which machine
+        /// number of the machine
         machine: usize,
-        /// between the end and the start
+        /// time between the exit and the start
         pause: Duration,
     },
-    /// A machine's processes are killed and started again.
+    /// A machine's processes are killed and restarted.
     Kill {
-        /// which machine
+        /// number of the machine
         machine: usize,
-        /// between the kill and the start
+        /// time between the kill and the start
         pause: Duration,
     },
-    /// All machines with a controller are killed at once, and started again together.
-    KillCore {
-        /// between the kill and the start
+    /// The processes of all machines with a controller are killed at once, and restarted together.
+    KillControllers {
+        /// time between the kill and the start
         pause: Duration,
     },
-    /// The settings of a machine are written anew, and its processes get SIGHUP.
+    /// A machine's processes get SIGHUP.
     HangUp {
-        /// which machine
+        /// number of the machine
         machine: usize,
     },
-    /// The operator puts another configuration in force.
+    /// The operator sends a new configuration.
     Reconfigure,
-    /// The engine that has served longest leaves, and another one comes.
+    /// A new engine starts, and the oldest one departs.
     ReplaceEngine {
-        /// how it says so
+        /// how it announces its departure
         announcement: Announcement,
     },
 }
 
-/// A disruption with its time since the warm-up.
+/// A disruption with its start time.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Planned {
-    /// When it begins.
+pub struct ScheduledDisruption {
+    /// When it begins, since the end of the warm-up.
     pub at: Duration,
-    /// What happens.
+    /// The disruption.
     pub disruption: Disruption,
 }
 
-/// Draws the disruptions of a run, in the order of their times. They come one by one and in bursts, and overlap.
-pub fn draw(rng: &mut fastrand::Rng, machines: usize, span: Duration) -> Vec<Planned> {
+/// Draws the disruptions of a run, ordered by start time. They come in bursts and may overlap.
+pub fn draw_disruptions(
+    rng: &mut fastrand::Rng,
+    machines: usize,
+    span: Duration,
+) -> Vec<ScheduledDisruption> {
     let bursts = 3 + rng.usize(0..4);
-    let mut planned = Vec::new();
+    let mut disruptions = Vec::new();
     for _ in 0..bursts {
         let from = rng.u64(0..span.as_millis() as u64);
         for _ in 0..rng.usize(1..=4 + machines / 8) {
             let at = Duration::from_millis(from + rng.u64(0..1500));
-            planned.push(Planned { at, disruption: one(rng, machines) });
+            disruptions
+                .push(ScheduledDisruption { at, disruption: draw_disruption(rng, machines) });
         }
     }
-    // each run has a departure shortly before the loss of all controllers
+    // each run has an engine departure shortly before all controllers are killed
     let from = rng.u64(0..span.as_millis() as u64);
     let announcement = announcement(rng);
     let departure = Disruption::ReplaceEngine { announcement };
-    planned.push(Planned { at: Duration::from_millis(from), disruption: departure });
+    disruptions
+        .push(ScheduledDisruption { at: Duration::from_millis(from), disruption: departure });
     let at = Duration::from_millis(from + rng.u64(20..1500));
-    planned.push(Planned { at, disruption: Disruption::KillCore { pause: pause(rng) } });
-    planned.sort_by_key(|planned| planned.at);
-    planned
+    disruptions.push(ScheduledDisruption {
+        at,
+        disruption: Disruption::KillControllers { pause: pause(rng) },
+    });
+    disruptions.sort_by_key(|scheduled| scheduled.at);
+    disruptions
 }
 
-fn one(rng: &mut fastrand::Rng, machines: usize) -> Disruption {
+fn draw_disruption(rng: &mut fastrand::Rng, machines: usize) -> Disruption {
     let machine = rng.usize(0..machines);
     match rng.u8(0..100) {
         0..40 => Disruption::Restart { machine, pause: pause(rng) },
         40..50 => Disruption::Kill { machine, pause: pause(rng) },
-        50..55 => Disruption::KillCore { pause: pause(rng) },
+        50..55 => Disruption::KillControllers { pause: pause(rng) },
         55..70 => Disruption::HangUp { machine },
         70..80 => Disruption::Reconfigure,
         _ => Disruption::ReplaceEngine { announcement: announcement(rng) },
@@ -87,14 +96,14 @@
     if rng.bool() { Announcement::Drain } else { Announcement::Deregister }
 }
 
-/// Back within a second.
+/// Draws the time until a restart, less than a second.
 fn pause(rng: &mut fastrand::Rng) -> Duration {
     Duration::from_millis(rng.u64(20..1000))
 }
 
-/// How long a run takes behind its last disruption until all has been seen.
-pub fn tail() -> Duration {
-    constants::COOL_DOWN + constants::GRACE
+/// The time for which a run continues after its last disruption.
+pub fn quiet_period() -> Duration {
+    constants::COOL_DOWN + constants::GRACE_PERIOD
 }
 
 #[cfg(test)]
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -1,12 +1,12 @@
-//! Stand-in engines.
+//! Simulated engines.
 //!
-//! An engine leaves each request in its queue for as long as the path says, drops it there once its connection closes,
-//! and then runs it. It serves on after its departure, so that a request which comes too late is seen.
+//! An engine queues each request for the time given in its path, and then runs it; it drops a queued request whose
+//! connection closes. It continues to serve after its departure, so that requests which arrive too late are recorded.
 
 use crate::constants;
 use crate::history::{Departure, EngineEvent, Kind, Recorder};
 use crate::http::{self, Message, Reader};
-use crate::machine::Site;
+use crate::machine::RunContext;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -14,41 +14,41 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How an engine announces its end.
+/// How an engine announces its departure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Announcement {
-    /// By heartbeats that say so.
+    /// By heartbeats with the state `draining`.
     Drain,
-    /// By a deregistration alone.
+    /// By a deregistration without a drain.
     Deregister,
 }
 
-/// One engine.
+/// A simulated engine.
 pub struct Engine {
     id: String,
     address: SocketAddr,
     recorder: Arc<Recorder>,
-    controls: Vec<SocketAddr>,
+    control_addresses: Vec<SocketAddr>,
     calls: AtomicU64,
-    leaves: AtomicBool,
+    is_departing: AtomicBool,
 }
 
 impl Engine {
-    /// An engine that serves.
+    /// Starts an engine.
     ///
     /// # Errors
     ///
-    /// Its address can't be listened at.
-    pub async fn start(number: usize, site: &Site) -> std::io::Result<Arc<Engine>> {
-        let address = site.engine(number);
+    /// If it cannot listen on its address.
+    pub async fn start(number: usize, context: &RunContext) -> std::io::Result<Arc<Engine>> {
+        let address = context.engine(number);
         let listener = TcpListener::bind(address).await?;
         let engine = Arc::new(Engine {
             id: format!("i-{number:08x}"),
             address,
-            recorder: site.recorder.clone(),
-            controls: site.controls(),
+            recorder: context.recorder.clone(),
+            control_addresses: context.control_addresses(),
             calls: AtomicU64::new(0),
-            leaves: AtomicBool::new(false),
+            is_departing: AtomicBool::new(false),
         });
         let serving = engine.clone();
         tokio::spawn(async move {
@@ -65,13 +65,13 @@
         while let Ok(request) = reader.message().await {
             let attempt = request.header("x-attempt-id").unwrap_or("").to_owned();
             self.recorder.add(|history| history.arrivals.push(self.event(&attempt)));
-            let queued = Duration::from_millis(queue_ms(&request));
+            let queue_time = Duration::from_millis(queue_ms(&request));
             tokio::select! {
-                () = tokio::time::sleep(queued) => {}
-                // dropped with its connection
-                () = reader.disturbed() => return,
+                () = tokio::time::sleep(queue_time) => {}
+                // drop the request when its connection closes
+                () = reader.wait_for_activity() => return,
             }
-            self.recorder.add(|history| history.begun.push(self.event(&attempt)));
+            self.recorder.add(|history| history.executions.push(self.event(&attempt)));
             if self.respond(&mut write, &request, &attempt).await.is_err() {
                 return;
             }
@@ -108,30 +108,33 @@
         write.write_all(b"0\r\n\r\n").await
     }
 
-    /// Sends heartbeats until the engine leaves; some come late.
+    /// Sends heartbeats, some of them delayed, until the engine departs.
     pub async fn send_heartbeats(self: Arc<Engine>, mut rng: fastrand::Rng) {
-        while !self.leaves.load(Ordering::SeqCst) {
+        while !self.is_departing.load(Ordering::SeqCst) {
             let call = self.next_call();
-            let controller = self.controls[rng.usize(0..self.controls.len())];
-            let late = rng.u8(0..5) == 0;
+            let controller = self.control_addresses[rng.usize(0..self.control_addresses.len())];
+            let is_delayed = rng.u8(0..5) == 0;
             let engine = self.clone();
-            let longest = constants::LATE_HEARTBEAT.as_millis() as u64;
-            let delay =
-                if late { Duration::from_millis(rng.u64(1000..longest)) } else { Duration::ZERO };
+            let max_delay = constants::MAX_HEARTBEAT_DELAY.as_millis() as u64;
+            let delay = if is_delayed {
+                Duration::from_millis(rng.u64(1000..max_delay))
+            } else {
+                Duration::ZERO
+            };
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
                 engine.heartbeat(controller, "ready", call).await;
             });
-            tokio::time::sleep(constants::HEARTBEAT).await;
+            tokio::time::sleep(constants::HEARTBEAT_INTERVAL).await;
         }
     }
 
-    /// Leaves: calls one controller after the other until one acknowledges it.
-    pub async fn leave(&self, announcement: Announcement, mut rng: fastrand::Rng) {
-        self.leaves.store(true, Ordering::SeqCst);
+    /// Announces the departure to random controllers until one acknowledges it.
+    pub async fn depart(&self, announcement: Announcement, mut rng: fastrand::Rng) {
+        self.is_departing.store(true, Ordering::SeqCst);
         loop {
             let call = self.next_call();
-            let controller = self.controls[rng.usize(0..self.controls.len())];
+            let controller = self.control_addresses[rng.usize(0..self.control_addresses.len())];
             let is_acknowledged = match announcement {
                 Announcement::Drain => self.heartbeat(controller, "draining", call).await,
                 Announcement::Deregister => self.deregister(controller, call).await,
@@ -167,7 +170,7 @@
     }
 }
 
-/// The last part of a path: how long the request waits in the queue.
+/// The time in the queue, which is the last segment of the path; ms.
 fn queue_ms(request: &Message) -> u64 {
     request.path().rsplit('/').next().and_then(|part| part.parse().ok()).unwrap_or(0)
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins saw, with the time.
+//! The events of a run as recorded by clients, engines and the test itself, with their times.
 
 use crate::http::ReadError;
 use parking_lot::Mutex;
@@ -6,24 +6,24 @@
 use tokio::time::Instant;
 
 /// Time since the run began.
-pub type At = Duration;
+pub type Timestamp = Duration;
 
-/// How a request may be treated.
+/// How often a request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run twice.
+    /// May be executed more than once.
     Safe,
-    /// It may run at most once.
+    /// Must be executed at most once.
     Unsafe,
-    /// A stream, which may run at most once.
+    /// A streaming request, which must be executed at most once.
     Stream,
 }
 
 impl Kind {
     /// Every kind.
-    pub const EVERY: [Kind; 3] = [Kind::Safe, Kind::Unsafe, Kind::Stream];
+    pub const VARIANTS: [Kind; 3] = [Kind::Safe, Kind::Unsafe, Kind::Stream];
 
-    /// The first part of its path.
+    /// The first segment of its path.
     pub fn path(self) -> &'static str {
         match self {
             Kind::Safe => "safe",
@@ -36,67 +36,67 @@
 /// How a request ended for its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
-    /// A whole response.
+    /// A complete response.
     Answered {
-        /// its status
+        /// status code
         status: u16,
-        /// its body
+        /// body without its framing
         body: String,
     },
-    /// The connection ended first.
+    /// The connection closed, or the response was malformed.
     Closed(ReadError),
-    /// The client gave up.
+    /// The client timed out.
     TimedOut,
 }
 
-/// One request of a client.
+/// A request of a client.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The client's id of it.
+    /// Attempt id, unique in the run.
     pub attempt: String,
-    /// How it may be treated.
+    /// Its kind.
     pub kind: Kind,
-    /// The machine that it was sent to.
+    /// Number of the machine that it was sent to.
     pub machine: usize,
     /// When its last byte was sent.
-    pub sent: At,
+    pub sent: Timestamp,
     /// When it ended.
-    pub ended: At,
+    pub ended: Timestamp,
     /// How it ended.
     pub ending: Ending,
 }
 
-/// What became of a request at an engine.
+/// An event of a request at an engine.
 #[derive(Debug, Clone)]
 pub struct EngineEvent {
-    /// The client's id of the request.
+    /// Attempt id of the request.
     pub attempt: String,
-    /// The engine.
+    /// Id of the engine.
     pub engine: String,
-    /// When.
-    pub at: At,
+    /// When it happened.
+    pub at: Timestamp,
 }
 
-/// What was done to a process.
+/// An action on a process, or its exit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// It was started.
+    /// Started.
     Started,
-    /// SIGTERM.
+    /// Sent SIGTERM.
     Terminated,
-    /// SIGKILL in the middle of its work.
+    /// Sent SIGKILL as a disruption.
     Killed,
-    /// SIGKILL, since it still ran when its grace period was over.
-    Overran,
-    /// SIGHUP.
+    /// Sent SIGKILL because it was still running at the end of its grace period.
+    KilledAfterGrace,
+    /// Sent SIGHUP.
     HungUp,
-    /// It was seen to have ended, in order.
+    /// Exited successfully after SIGTERM.
     Exited,
-    /// It was seen to have ended in another way, or when nobody had asked it to.
+    /// Exited with a failure, or without having been told to.
     Died,
 }
 
-/// The programs of a machine.
+/// A program that runs on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Program {
     /// The control plane.
@@ -106,7 +106,7 @@
 }
 
 impl Program {
-    /// The name of its file.
+    /// Name of its executable file.
     pub fn name(self) -> &'static str {
         match self {
             Program::Controller => "controller",
@@ -115,48 +115,48 @@
     }
 }
 
-/// Something that was done to a process.
+/// An event of a process.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessEvent {
-    /// The machine.
+    /// Number of the machine.
     pub machine: usize,
-    /// Which of its processes.
+    /// The program that the process runs.
     pub program: Program,
-    /// What was done.
+    /// The action.
     pub action: Action,
-    /// When; for an end, when it was seen.
-    pub at: At,
+    /// When it happened; for an exit, when it was detected.
+    pub at: Timestamp,
 }
 
 /// An engine's departure that a controller acknowledged.
 #[derive(Debug, Clone)]
 pub struct Departure {
-    /// The engine.
+    /// Id of the engine.
     pub engine: String,
-    /// When the acknowledgement came.
-    pub acknowledged: At,
+    /// When the acknowledgement arrived.
+    pub acknowledged: Timestamp,
 }
 
-/// All that was seen in a run.
+/// The recorded events of a run.
 #[derive(Debug, Default)]
 pub struct History {
     /// Requests that have ended.
     pub requests: Vec<Request>,
     /// Requests that reached an engine.
     pub arrivals: Vec<EngineEvent>,
-    /// Requests that an engine began to run.
-    pub begun: Vec<EngineEvent>,
-    /// What was done to processes, in its order.
+    /// Requests that an engine began to execute.
+    pub executions: Vec<EngineEvent>,
+    /// Process events, in order of time.
     pub processes: Vec<ProcessEvent>,
     /// Acknowledged departures.
     pub departures: Vec<Departure>,
-    /// The highest version of a configuration that was acknowledged.
+    /// The highest acknowledged configuration version.
     pub acknowledged_version: u64,
-    /// The version that was read back at the end; none if nobody gave one.
+    /// The configuration version that was read back at the end; `None` if no controller returned one.
     pub last_version: Option<u64>,
 }
 
-/// The history of a run, and its clock.
+/// Collects the history of a run, and measures its time.
 pub struct Recorder {
     began: Instant,
     history: Mutex<History>,
@@ -170,16 +170,16 @@
 
 impl Recorder {
     /// Time since the run began.
-    pub fn now(&self) -> At {
+    pub fn now(&self) -> Timestamp {
         self.began.elapsed()
     }
 
-    /// Adds to the history.
+    /// Changes the history.
     pub fn add(&self, add: impl FnOnce(&mut History)) {
         add(&mut self.history.lock());
     }
 
-    /// Takes the history out at the end.
+    /// Returns the history, and leaves an empty one.
     pub fn take(&self) -> History {
         std::mem::take(&mut self.history.lock())
     }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,11 +1,11 @@
-//! As much HTTP/1.1 as the stand-ins need.
+//! A minimal HTTP/1.1 implementation for the simulated clients, engines and operators.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A message that came whole.
+/// A complete request or response.
 #[derive(Debug, Clone)]
 pub struct Message {
     /// Start line and headers.
@@ -14,19 +14,19 @@
     pub body: Vec<u8>,
 }
 
-/// Why a message did not come whole.
+/// Why no complete message could be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum ReadError {
-    /// the connection ended before its first byte
+    /// the connection closed before the first byte of the message
     ClosedBefore,
-    /// the connection ended within the message
+    /// the connection closed within the message
     ClosedWithin,
-    /// the bytes are no message
+    /// the message is malformed
     Malformed,
 }
 
 impl Message {
-    /// The status of a response; 0 if there is none.
+    /// The status code of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
@@ -36,7 +36,7 @@
         self.head.split(' ').nth(1).unwrap_or("")
     }
 
-    /// The value of a header.
+    /// The value of a header; names match in any letter case.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.head, name)
     }
@@ -47,55 +47,55 @@
     lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value.trim())
 }
 
-/// Reads messages from a connection, and keeps what came behind one.
+/// Reads messages from a connection, and buffers bytes that follow the current message.
 pub struct Reader<R> {
     stream: R,
     buffer: Vec<u8>,
 }
 
 impl<R: AsyncRead + Unpin> Reader<R> {
-    /// A reader of a new connection.
+    /// Creates a reader for a new connection.
     pub fn new(stream: R) -> Reader<R> {
         Reader { stream, buffer: Vec::new() }
     }
 
-    /// The next message, whole.
+    /// Reads the next complete message.
     ///
     /// # Errors
     ///
-    /// The connection ended, or the bytes are no message.
+    /// If the connection closed, or the message is malformed.
     pub async fn message(&mut self) -> Result<Message, ReadError> {
-        let head_end = self.until_contains(b"\r\n\r\n").await? + 4;
+        let head_end = self.read_until(b"\r\n\r\n").await? + 4;
         let head: Vec<u8> = self.buffer.drain(..head_end).collect();
         let head = String::from_utf8_lossy(&head).into_owned();
         let body = if header(&head, "transfer-encoding").is_some() {
-            self.chunks().await.map_err(within)?
+            self.chunks().await.map_err(as_closed_within)?
         } else {
             let length = header(&head, "content-length").map_or(Ok(0), str::parse::<usize>);
             let length = length.map_err(|_| ReadError::Malformed)?;
-            self.until_holds(length).await.map_err(within)?;
+            self.read_at_least(length).await.map_err(as_closed_within)?;
             self.buffer.drain(..length).collect()
         };
         Ok(Message { head, body })
     }
 
-    /// Waits until the other side closes or sends something.
+    /// Waits until the peer sends bytes or closes the connection.
     ///
     /// # Cancel safety
     ///
-    /// Nothing that came is lost.
-    pub async fn disturbed(&mut self) {
-        let _ = self.more().await;
+    /// Received bytes stay in the buffer.
+    pub async fn wait_for_activity(&mut self) {
+        let _ = self.read_more().await;
     }
 
     async fn chunks(&mut self) -> Result<Vec<u8>, ReadError> {
         let mut body = Vec::new();
         loop {
-            let line_end = self.until_contains(b"\r\n").await?;
+            let line_end = self.read_until(b"\r\n").await?;
             let line: Vec<u8> = self.buffer.drain(..line_end + 2).collect();
             let size = String::from_utf8_lossy(&line[..line_end]).into_owned();
             let size = usize::from_str_radix(&size, 16).map_err(|_| ReadError::Malformed)?;
-            self.until_holds(size + 2).await?;
+            self.read_at_least(size + 2).await?;
             body.extend(self.buffer.drain(..size));
             self.buffer.drain(..2);
             if size == 0 {
@@ -104,23 +104,23 @@
         }
     }
 
-    async fn until_contains(&mut self, wanted: &[u8]) -> Result<usize, ReadError> {
+    async fn read_until(&mut self, pattern: &[u8]) -> Result<usize, ReadError> {
         loop {
-            if let Some(at) = self.buffer.windows(wanted.len()).position(|w| w == wanted) {
+            if let Some(at) = self.buffer.windows(pattern.len()).position(|w| w == pattern) {
                 return Ok(at);
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    async fn until_holds(&mut self, bytes: usize) -> Result<(), ReadError> {
+    async fn read_at_least(&mut self, bytes: usize) -> Result<(), ReadError> {
         while self.buffer.len() < bytes {
-            self.more().await?;
+            self.read_more().await?;
         }
         Ok(())
     }
 
-    async fn more(&mut self) -> Result<(), ReadError> {
+    async fn read_more(&mut self) -> Result<(), ReadError> {
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(read) if read > 0 => Ok(()),
             _ if self.buffer.is_empty() => Err(ReadError::ClosedBefore),
@@ -129,11 +129,11 @@
     }
 }
 
-fn within(error: ReadError) -> ReadError {
+fn as_closed_within(error: ReadError) -> ReadError {
     if error == ReadError::ClosedBefore { ReadError::ClosedWithin } else { error }
 }
 
-/// One call on a connection of its own; none where no whole response came in time.
+/// Sends one request on a new connection; `None` if no complete response arrived in time.
 pub async fn call(to: SocketAddr, head: &str, body: &str, timeout: Duration) -> Option<Message> {
     let calling = async {
         let mut stream = TcpStream::connect(to).await.ok()?;
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,20 +1,20 @@
-//! A seeded soak of the programs themselves: controllers and routers as processes on loopback, under signals, kills,
-//! restarts, changes of the configuration and engines that leave, which come in series and overlap.
+//! A seeded soak test of the real programs: controllers and routers run as processes on loopback addresses and are
+//! subjected to overlapping series of signals, kills, restarts, configuration changes and engine departures.
 //!
-//! The seed draws what happens and when. The processes run on the wall clock, so that a seed gives the same disruptions
-//! again, and not the same interleaving.
+//! The seed determines the disruptions and their times. Since the processes run in real time, a seed reproduces the same
+//! disruptions but not the same interleaving.
 //!
-//! | module | what it is |
+//! | module | content |
 //! |---|---|
-//! | [`disruption`] | what happens in a run, drawn from its seed |
-//! | [`machine`] | the processes of one machine, and signals to them |
-//! | [`engine`] | stand-in engines: they answer, queue, stream, send heartbeats, and leave |
-//! | [`client`] | clients that use a connection until it is closed |
-//! | [`operator`] | configurations |
-//! | [`http`] | just as much HTTP/1.1 as these need, with each way in which a response may end |
-//! | [`history`] | what all of them saw, with the time |
-//! | [`checker`] | what must hold of a history |
-//! | [`run`] | one run, from its start to its judgement |
+//! | [`disruption`] | the disruptions of a run, drawn from its seed |
+//! | [`machine`] | the processes of one machine: start, signals, kills |
+//! | [`engine`] | simulated engines: they queue, answer, stream, send heartbeats and depart |
+//! | [`client`] | clients that reuse a connection until it is closed |
+//! | [`operator`] | sends and reads configurations |
+//! | [`http`] | a minimal HTTP/1.1 implementation that distinguishes the ways in which a response can end |
+//! | [`history`] | the recorded events of a run, with their times |
+//! | [`checker`] | the rules that a history must satisfy |
+//! | [`run`] | one run, from the start of the fleet to the check of its history |
 
 pub mod checker;
 pub mod client;
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -14,30 +14,30 @@
 const FRONT_PORT: u16 = 8167;
 const READINESS_PORT: u16 = 8162;
 
-/// What all machines of a run share.
-pub struct Site {
-    /// Second part of all addresses of the run.
+/// The environment that all machines of a run share.
+pub struct RunContext {
+    /// Second octet of all addresses of the run.
     pub network: u8,
-    /// Where the programs are.
+    /// Directory of the programs.
     pub programs: PathBuf,
-    /// Where settings, disks and logs go.
+    /// Directory for settings, data and logs.
     pub folder: PathBuf,
-    /// Where all is recorded.
+    /// Records the events of the run.
     pub recorder: Arc<Recorder>,
 }
 
-impl Site {
+impl RunContext {
     fn ip(&self, machine: usize) -> Ipv4Addr {
         Ipv4Addr::new(127, self.network, 1 + (machine / 200) as u8, 11 + (machine % 200) as u8)
     }
 
-    /// Where the controllers take calls.
-    pub fn controls(&self) -> Vec<SocketAddr> {
-        let ips = (0..constants::CORE_MACHINES).map(|machine| self.ip(machine));
+    /// Addresses at which the controllers accept `control` calls.
+    pub fn control_addresses(&self) -> Vec<SocketAddr> {
+        let ips = (0..constants::CONTROLLER_MACHINES).map(|machine| self.ip(machine));
         ips.map(|ip| SocketAddr::new(ip.into(), CONTROL_PORT)).collect()
     }
 
-    /// The address of an engine; each one has its own.
+    /// The address of an engine, unique in the run.
     pub fn engine(&self, number: usize) -> SocketAddr {
         let ip =
             Ipv4Addr::new(127, self.network, 100 + (number / 200) as u8, 1 + (number % 200) as u8);
@@ -45,62 +45,63 @@
     }
 }
 
-/// One machine: a router, and a controller if it is of the core.
+/// A machine with a router, and a controller if it is one of the first [`constants::CONTROLLER_MACHINES`].
 pub struct Machine {
     number: usize,
-    site: Arc<Site>,
+    context: Arc<RunContext>,
     controller: Mutex<Option<Child>>,
     router: Mutex<Option<Child>>,
-    /// Held over a stop and the start that follows it.
-    changing: tokio::sync::Mutex<()>,
+    /// Held from a stop until the following start is complete.
+    restart_lock: tokio::sync::Mutex<()>,
 }
 
 impl Machine {
-    /// A machine on which nothing runs, with an empty disk.
+    /// Creates a machine with an empty data directory and no running processes.
     ///
     /// # Errors
     ///
-    /// Its folder can't be made.
-    pub fn new(number: usize, site: Arc<Site>) -> std::io::Result<Machine> {
+    /// If its directory or its settings cannot be written.
+    pub fn new(number: usize, context: Arc<RunContext>) -> std::io::Result<Machine> {
         let machine = Machine {
             number,
-            site,
+            context,
             controller: Mutex::default(),
             router: Mutex::default(),
-            changing: tokio::sync::Mutex::default(),
+            restart_lock: tokio::sync::Mutex::default(),
         };
         std::fs::create_dir_all(machine.folder().join("data"))?;
         machine.write_settings(true)?;
         Ok(machine)
     }
 
-    /// Its number.
+    /// Number of the machine.
     pub fn number(&self) -> usize {
         self.number
     }
 
-    /// Where its router takes requests.
-    pub fn front(&self) -> SocketAddr {
-        SocketAddr::new(self.site.ip(self.number).into(), FRONT_PORT)
+    /// Address at which its router accepts requests.
+    pub fn front_address(&self) -> SocketAddr {
+        SocketAddr::new(self.context.ip(self.number).into(), FRONT_PORT)
     }
 
-    /// Where its router tells whether it is ready.
-    pub fn readiness(&self) -> SocketAddr {
-        SocketAddr::new(self.site.ip(self.number).into(), READINESS_PORT)
+    /// Address of its router's readiness endpoint.
+    pub fn readiness_address(&self) -> SocketAddr {
+        SocketAddr::new(self.context.ip(self.number).into(), READINESS_PORT)
     }
 
     fn folder(&self) -> PathBuf {
-        self.site.folder.join(format!("machine-{}", self.number))
+        self.context.folder.join(format!("machine-{}", self.number))
     }
 
-    /// Writes the settings anew; `bootstrap` before the first start alone.
+    /// Writes the settings file; `bootstrap` is true only before the first start.
     ///
     /// # Errors
     ///
-    /// The file can't be written.
+    /// If the file cannot be written.
     pub fn write_settings(&self, bootstrap: bool) -> std::io::Result<()> {
-        let ip = self.site.ip(self.number);
-        let seeds: Vec<String> = self.site.controls().iter().map(SocketAddr::to_string).collect();
+        let ip = self.context.ip(self.number);
+        let seeds: Vec<String> =
+            self.context.control_addresses().iter().map(SocketAddr::to_string).collect();
         let text = format!(
             "nodeName=n{}\nip={ip}\nzone=z1\nregion=r\nzones.z1=r\nportRange=7640,7655\nseeds={}\n\
              bootstrap={bootstrap}\ndataDir={}\nbindAddrs.frontHttp={ip}:{FRONT_PORT}\n\
@@ -111,10 +112,10 @@
             self.number,
             seeds.join(","),
             self.folder().join("data").display(),
-            constants::HEARTBEAT.as_millis(),
-            constants::CONTACT.as_millis(),
-            constants::GRACE.as_secs(),
-            constants::DRAIN.as_millis(),
+            constants::HEARTBEAT_INTERVAL.as_millis(),
+            constants::CONTACT_PERIOD.as_millis(),
+            constants::GRACE_PERIOD.as_secs(),
+            constants::DRAIN_PERIOD.as_millis(),
         );
         std::fs::write(self.settings_file(), text)
     }
@@ -124,7 +125,7 @@
     }
 
     fn programs(&self) -> &'static [Program] {
-        if self.number < constants::CORE_MACHINES {
+        if self.number < constants::CONTROLLER_MACHINES {
             &[Program::Controller, Program::Router]
         } else {
             &[Program::Router]
@@ -139,21 +140,21 @@
     }
 
     fn record(&self, program: Program, action: Action) {
-        let at = self.site.recorder.now();
+        let at = self.context.recorder.now();
         let event = ProcessEvent { machine: self.number, program, action, at };
-        self.site.recorder.add(|history| history.processes.push(event));
+        self.context.recorder.add(|history| history.processes.push(event));
     }
 
-    /// Starts all its processes.
+    /// Starts all processes.
     ///
     /// # Errors
     ///
-    /// A program can't be started.
+    /// If a program cannot be started.
     pub fn start(&self) -> std::io::Result<()> {
         for program in self.programs() {
             let log = self.folder().join(format!("{}.log", program.name()));
             let log = std::fs::OpenOptions::new().create(true).append(true).open(log)?;
-            let child = Command::new(program_file(&self.site.programs, *program))
+            let child = Command::new(program_file(&self.context.programs, *program))
                 .arg("--settings")
                 .arg(self.settings_file())
                 .stdin(Stdio::null())
@@ -166,19 +167,19 @@
         Ok(())
     }
 
-    /// SIGTERM to all its processes, SIGKILL to what is left after the grace period, and a start.
+    /// Sends SIGTERM to all processes, kills those still running after the grace period, and restarts them.
     ///
     /// # Errors
     ///
-    /// A program can't be started again.
-    pub async fn restart_in_order(&self, pause: std::time::Duration) -> std::io::Result<()> {
-        let _changing = self.changing.lock().await;
-        self.signal_all(Signal::TERM, Action::Terminated);
-        let end = tokio::time::Instant::now() + constants::GRACE;
-        while self.reap_all() > 0 && tokio::time::Instant::now() < end {
+    /// If a program cannot be restarted.
+    pub async fn restart_gracefully(&self, pause: std::time::Duration) -> std::io::Result<()> {
+        let _guard = self.restart_lock.lock().await;
+        self.send_signal(Signal::TERM, Action::Terminated);
+        let end = tokio::time::Instant::now() + constants::GRACE_PERIOD;
+        while self.reap_exited() > 0 && tokio::time::Instant::now() < end {
             tokio::time::sleep(constants::EXIT_POLL).await;
         }
-        self.kill_all(Action::Overran);
+        self.kill_all(Action::KilledAfterGrace);
         self.start_after(pause).await
     }
 
@@ -188,25 +189,25 @@
         self.start()
     }
 
-    /// SIGKILL to all its processes, and a start.
+    /// Kills all processes and restarts them.
     ///
     /// # Errors
     ///
-    /// A program can't be started again.
+    /// If a program cannot be restarted.
     pub async fn restart_by_kill(&self, pause: std::time::Duration) -> std::io::Result<()> {
-        // beside a stop in order: the kill does not wait for the grace period
+        // kill before taking the lock, so that a graceful stop in progress does not delay the kill by its grace period
         self.kill_all(Action::Killed);
-        let _changing = self.changing.lock().await;
+        let _guard = self.restart_lock.lock().await;
         self.kill_all(Action::Killed);
         self.start_after(pause).await
     }
 
-    /// SIGHUP to all its processes.
-    pub fn hang_up(&self) {
-        self.signal_all(Signal::HUP, Action::HungUp);
+    /// Sends SIGHUP to all processes.
+    pub fn send_hang_up(&self) {
+        self.send_signal(Signal::HUP, Action::HungUp);
     }
 
-    fn signal_all(&self, signal: Signal, action: Action) {
+    fn send_signal(&self, signal: Signal, action: Action) {
         for program in self.programs() {
             if let Some(child) = &*self.slot(*program).lock() {
                 self.record(*program, action);
@@ -215,8 +216,8 @@
         }
     }
 
-    /// Takes in which processes have ended; how many run.
-    fn reap_all(&self) -> usize {
+    /// Reaps and records processes that have exited; returns how many are still running.
+    fn reap_exited(&self) -> usize {
         let mut running = 0;
         for program in self.programs() {
             let mut slot = self.slot(*program).lock();
@@ -224,7 +225,7 @@
             match child.try_wait() {
                 Ok(None) => running += 1,
                 Ok(Some(status)) => {
-                    self.record(*program, how_ended(status));
+                    self.record(*program, exit_action(status));
                     *slot = None;
                 }
                 Err(_) => *slot = None,
@@ -233,9 +234,9 @@
         running
     }
 
-    /// SIGKILL to all its processes, recorded as this.
+    /// Kills all processes, and records it as the given action.
     pub fn kill_all(&self, action: Action) {
-        self.reap_all();
+        self.reap_exited();
         for program in self.programs() {
             if let Some(mut child) = self.slot(*program).lock().take() {
                 self.record(*program, action);
@@ -245,9 +246,9 @@
         }
     }
 
-    /// Looks whether a process has ended that nobody asked to.
-    pub fn find_dead(&self) {
-        if let Ok(_changing) = self.changing.try_lock() {
+    /// Records processes that have exited without having been told to, unless a restart is in progress.
+    pub fn record_unexpected_exits(&self) {
+        if let Ok(_guard) = self.restart_lock.try_lock() {
             for program in self.programs() {
                 let mut slot = self.slot(*program).lock();
                 let has_ended =
@@ -267,14 +268,14 @@
     }
 }
 
-/// How a process ended that had been asked to. One that has not yet taken over SIGTERM is ended by it, and has nothing to
-/// complete.
-fn how_ended(status: ExitStatus) -> Action {
+/// Classifies the exit of a process that was told to end. One that has not yet installed its handler is ended by SIGTERM
+/// itself; this counts as a normal exit, since it has no work to complete.
+fn exit_action(status: ExitStatus) -> Action {
     let by_sigterm = status.signal() == Some(Signal::TERM.as_raw());
     if status.success() || by_sigterm { Action::Exited } else { Action::Died }
 }
 
-/// The file of a program.
+/// The executable file of a program.
 pub fn program_file(folder: &Path, program: Program) -> PathBuf {
     folder.join(program.name())
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the soak.
+//! Command line of the soak test.
 
 use gumdrop::Options;
 use soak::history::Program;
@@ -11,41 +11,41 @@
 use tokio::task::JoinSet;
 
 /// Every rule held in every run.
-const CLEAN: u8 = 0;
-/// A rule was broken, or a run could not be played.
-const BROKEN: u8 = 1;
-/// The command line can't be used.
-const USAGE: u8 = 2;
-/// Machines at the most; each has one or two processes.
-const MACHINES_MAX: usize = 150;
-/// Networks of the loopback range that runs may use, behind the first one.
-const NETWORKS: usize = 180;
-/// The first of them.
-const NETWORK_FIRST: usize = 60;
+const EXIT_CLEAN: u8 = 0;
+/// A rule was broken, or a run failed.
+const EXIT_BROKEN: u8 = 1;
+/// The command line is invalid.
+const EXIT_USAGE: u8 = 2;
+/// Maximum number of machines; each has one or two processes.
+const MAX_MACHINES: usize = 150;
+/// Number of networks in the loopback range that runs may use, starting at [`FIRST_NETWORK`].
+const NETWORK_COUNT: usize = 180;
+/// Second octet of the first network that runs may use.
+const FIRST_NETWORK: usize = 60;
 
 #[derive(Debug, Options)]
 struct CommandLine {
     /// print this help
     help: bool,
-    /// how many runs; each takes the seed after the last one's
+    /// number of runs; each uses the next seed
     #[options(no_short, meta = "N", default = "10")]
     runs: usize,
-    /// the first run's seed
+    /// seed of the first run
     #[options(no_short, meta = "S", default = "1")]
     seed: u64,
-    /// runs at a time
+    /// number of concurrent runs
     #[options(no_short, meta = "N", default = "4")]
     parallel: usize,
-    /// machines of a run, three of them with a controller
+    /// machines per run, three of them with a controller
     #[options(no_short, meta = "N", default = "5")]
     machines: usize,
-    /// disruptions begin within so many seconds
+    /// time in seconds within which bursts of disruptions begin
     #[options(no_short, meta = "S", default = "10")]
     seconds: u64,
-    /// where the programs are; beside this one if not given
+    /// directory of the programs; by default that of this program
     #[options(no_short, meta = "DIR")]
     programs: Option<PathBuf>,
-    /// where the logs of broken runs stay
+    /// directory for the logs of broken runs
     #[options(no_short, meta = "DIR", default = "target/soak")]
     out: PathBuf,
 }
@@ -54,36 +54,36 @@
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let command_line = match CommandLine::parse_args_default(&arguments) {
         Ok(command_line) => command_line,
-        Err(error) => return unusable(&error.to_string()),
+        Err(error) => return usage_error(&error.to_string()),
     };
     if command_line.help {
         println!("usage: soak [options]\n\n{}", CommandLine::usage());
         println!("\nexit codes: 0 clean, 1 a rule was broken, 2 usage");
-        return ExitCode::from(CLEAN);
+        return ExitCode::from(EXIT_CLEAN);
     }
-    let Some(programs) = command_line.programs.clone().or_else(own_folder) else {
-        return unusable("--programs: this program does not know where it is");
+    let Some(programs) = command_line.programs.clone().or_else(executable_folder) else {
+        return usage_error("--programs: cannot determine the directory of this program");
     };
-    if let Err(why) = check(&command_line, &programs) {
-        return unusable(&why);
+    if let Err(why) = validate(&command_line, &programs) {
+        return usage_error(&why);
     }
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
-        Err(error) => return unusable(&format!("no runtime: {error}")),
+        Err(error) => return usage_error(&format!("cannot start the runtime: {error}")),
     };
     let broken = runtime.block_on(async {
         tokio::select! {
             broken = run_all(&command_line, &programs) => broken,
-            // the processes are killed as their machines are dropped
-            () = interrupted() => 1,
+            // dropping the machines kills their processes
+            () = wait_for_interrupt() => 1,
         }
     });
     println!("{} runs, {broken} broken", command_line.runs);
-    ExitCode::from(if broken == 0 { CLEAN } else { BROKEN })
+    ExitCode::from(if broken == 0 { EXIT_CLEAN } else { EXIT_BROKEN })
 }
 
 /// Waits for SIGINT or SIGTERM.
-async fn interrupted() {
+async fn wait_for_interrupt() {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return std::future::pending().await;
     };
@@ -93,33 +93,33 @@
     }
 }
 
-fn unusable(why: &str) -> ExitCode {
+fn usage_error(why: &str) -> ExitCode {
     eprintln!("soak: {why}\ntry soak --help");
-    ExitCode::from(USAGE)
+    ExitCode::from(EXIT_USAGE)
 }
 
-fn own_folder() -> Option<PathBuf> {
+fn executable_folder() -> Option<PathBuf> {
     std::env::current_exe().ok()?.parent().map(Path::to_owned)
 }
 
-fn check(command_line: &CommandLine, programs: &Path) -> Result<(), String> {
+fn validate(command_line: &CommandLine, programs: &Path) -> Result<(), String> {
     for program in [Program::Controller, Program::Router] {
         let file = program_file(programs, program);
         if !file.is_file() {
-            return Err(format!("{} is not built", file.display()));
+            return Err(format!("{} does not exist; build it first", file.display()));
         }
     }
-    let fewest = soak::constants::CORE_MACHINES;
-    if !(fewest..=MACHINES_MAX).contains(&command_line.machines) {
-        return Err(format!("--machines: {fewest} to {MACHINES_MAX}"));
+    let min_machines = soak::constants::CONTROLLER_MACHINES;
+    if !(min_machines..=MAX_MACHINES).contains(&command_line.machines) {
+        return Err(format!("--machines must be from {min_machines} to {MAX_MACHINES}"));
     }
     if command_line.parallel == 0 || command_line.seconds == 0 {
-        return Err("--parallel and --seconds: 1 or more".to_owned());
+        return Err("--parallel and --seconds must be at least 1".to_owned());
     }
     Ok(())
 }
 
-/// Plays all runs; how many of them were broken.
+/// Executes all runs; returns how many of them were broken.
 async fn run_all(command_line: &CommandLine, programs: &Path) -> usize {
     let mut running = JoinSet::new();
     let mut broken = 0;
@@ -129,7 +129,7 @@
         {
             broken += usize::from(report(seed, outcome));
         }
-        let plan = plan(command_line, programs, number);
+        let plan = plan_run(command_line, programs, number);
         running.spawn(async move { (plan.seed, run(plan).await) });
     }
     while let Some(ended) = running.join_next().await {
@@ -141,20 +141,20 @@
     broken
 }
 
-fn plan(command_line: &CommandLine, programs: &Path, number: usize) -> Plan {
+fn plan_run(command_line: &CommandLine, programs: &Path, number: usize) -> Plan {
     let seed = command_line.seed.wrapping_add(number as u64);
-    let first = std::process::id() as usize;
+    let process_id = std::process::id() as usize;
     Plan {
         seed,
         machines: command_line.machines,
         span: Duration::from_secs(command_line.seconds),
-        network: (NETWORK_FIRST + (first + number) % NETWORKS) as u8,
+        network: (FIRST_NETWORK + (process_id + number) % NETWORK_COUNT) as u8,
         programs: programs.to_owned(),
         folder: command_line.out.join(format!("{}-seed-{seed}", std::process::id())),
     }
 }
 
-/// Prints how a run ended; whether it was broken.
+/// Prints the result of a run; returns whether it was broken.
 fn report(seed: u64, outcome: Result<Outcome, RunError>) -> bool {
     match outcome {
         Ok(outcome) => {
@@ -165,7 +165,7 @@
             !outcome.violations.is_empty()
         }
         Err(error) => {
-            println!("seed {seed}: could not be played: {error}");
+            println!("seed {seed}: run failed: {error}");
             true
         }
     }
--- a/crates/soak/src/operator.rs
+++ b/crates/soak/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: configurations, one on top of the other.
+//! The operator, which sends configurations, each based on the previous one.
 
 use crate::constants;
 use crate::history::{Kind, Recorder};
@@ -8,35 +8,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An operator who knows the version that is in force.
+/// An operator that tracks the current configuration version.
 pub struct Operator {
-    controls: Vec<SocketAddr>,
+    control_addresses: Vec<SocketAddr>,
     recorder: Arc<Recorder>,
     version: u64,
 }
 
 impl Operator {
-    /// An operator of a fleet without a configuration.
-    pub fn new(controls: Vec<SocketAddr>, recorder: Arc<Recorder>) -> Operator {
-        Operator { controls, recorder, version: 0 }
+    /// Creates the operator of a fleet that has no configuration yet.
+    pub fn new(control_addresses: Vec<SocketAddr>, recorder: Arc<Recorder>) -> Operator {
+        Operator { control_addresses, recorder, version: 0 }
     }
 
-    /// Puts the next configuration in force; false if nobody acknowledged it in time. It may be in force all the same, and
-    /// is sent again as it was.
-    pub async fn put_next(&mut self, limit: Duration) -> bool {
-        let (base, next) = (self.version, self.version + 1);
+    /// Sends the next configuration until it is acknowledged; returns false if that did not happen in time. It may have
+    /// taken effect nevertheless, so the next call sends the same one again.
+    pub async fn send_next(&mut self, limit: Duration) -> bool {
+        let (base, next_version) = (self.version, self.version + 1);
         let head =
             format!("POST /anisedyke/Config.Replace HTTP/1.1\r\nX-Base-Revision: {base}\r\n");
-        let body = configuration(next);
+        let body = configuration(next_version);
         let end = Instant::now() + limit;
-        let mut turn = 0;
+        let mut attempt = 0;
         while Instant::now() < end {
-            let controller = self.controls[turn % self.controls.len()];
-            turn += 1;
+            let controller = self.control_addresses[attempt % self.control_addresses.len()];
+            attempt += 1;
             let answer = http::call(controller, &head, &body, constants::CALLER_TIMEOUT).await;
             if answer.is_some_and(|answer| answer.status() == 200) {
-                self.version = next;
-                self.recorder.add(|history| history.acknowledged_version = next);
+                self.version = next_version;
+                self.recorder.add(|history| history.acknowledged_version = next_version);
                 return true;
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -44,13 +44,13 @@
         false
     }
 
-    /// Reads the configuration back, from whoever gives it first.
+    /// Reads the configuration back from the first controller that returns it.
     pub async fn read_back(&self) {
         let end = Instant::now() + constants::START_TIMEOUT;
-        let mut turn = 0;
+        let mut attempt = 0;
         while Instant::now() < end {
-            let controller = self.controls[turn % self.controls.len()];
-            turn += 1;
+            let controller = self.control_addresses[attempt % self.control_addresses.len()];
+            attempt += 1;
             let head = "GET /anisedyke/Config.Fetch HTTP/1.1\r\n";
             let answer = http::call(controller, head, "", constants::CALLER_TIMEOUT).await;
             if let Some(answer) = answer.filter(|answer| answer.status() == 200) {
@@ -63,7 +63,7 @@
     }
 }
 
-/// The routes of all requests, and one more for each version.
+/// A configuration with the routes of all requests, and one additional route for each version after the first.
 fn configuration(version: u64) -> String {
     let route = |path: &str, kind: &str| {
         serde_json::json!({"host": constants::HOST, "pathPrefix": format!("/{path}/"), "kind": kind,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,13 +1,13 @@
-//! One run, from its start to its judgement.
+//! One run, from the start of the fleet to the check of its history.
 
 use crate::checker::{Violation, check};
 use crate::client::Client;
 use crate::constants;
-use crate::disruption::{Disruption, draw, tail};
+use crate::disruption::{Disruption, draw_disruptions, quiet_period};
 use crate::engine::{Announcement, Engine};
 use crate::history::{Action, Ending, History, Program, Recorder};
 use crate::http;
-use crate::machine::{Machine, Site};
+use crate::machine::{Machine, RunContext};
 use crate::operator::Operator;
 use parking_lot::Mutex;
 use std::collections::VecDeque;
@@ -18,69 +18,69 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What a run is made of.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Draws everything.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Machines; the first few have a controller besides their router.
+    /// Number of machines; the first [`constants::CONTROLLER_MACHINES`] have a controller besides their router.
     pub machines: usize,
-    /// Disruptions begin within this time.
+    /// Bursts of disruptions begin within this time.
     pub span: Duration,
-    /// Second part of the addresses of the run.
+    /// Second octet of the run's addresses.
     pub network: u8,
-    /// Where the programs are.
+    /// Directory of the programs.
     pub programs: PathBuf,
-    /// Where settings, disks and logs go; removed behind a clean run.
+    /// Directory for settings, data and logs; removed after a clean run.
     pub folder: PathBuf,
 }
 
-/// Why a run could not be played.
+/// Why a run failed.
 #[derive(Debug, displaydoc::Display, thiserror::Error)]
 pub enum RunError {
-    /// a file or a process: {0}
+    /// file or process error: {0}
     Io(#[from] std::io::Error),
-    /// the fleet did not come up
-    NotUp,
+    /// the fleet did not become ready in time
+    StartTimeout,
 }
 
-/// How a run ended.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// One line of counts.
+    /// One line with the counts of requests and disruptions.
     pub summary: String,
-    /// What was broken.
+    /// The rules that were broken.
     pub violations: Vec<Violation>,
 }
 
-/// Clients for each machine.
+/// Clients per machine.
 const CLIENTS_PER_MACHINE: usize = 6;
 
 struct Fleet {
-    site: Arc<Site>,
+    context: Arc<RunContext>,
     machines: Arc<Vec<Arc<Machine>>>,
     operator: tokio::sync::Mutex<Operator>,
-    /// Those that serve, the oldest first.
+    /// Engines that have not departed, oldest first.
     engines: Mutex<VecDeque<Arc<Engine>>>,
     engines_started: AtomicUsize,
     rng: Mutex<fastrand::Rng>,
 }
 
-/// Plays a plan.
+/// Executes a plan.
 ///
 /// # Errors
 ///
-/// The fleet did not come up; nothing is shown then.
+/// If the fleet did not become ready in time, or a file or process operation failed; no rule was checked then.
 pub async fn run(plan: Plan) -> Result<Outcome, RunError> {
     let mut rng = fastrand::Rng::with_seed(plan.seed);
-    let planned = draw(&mut rng, plan.machines, plan.span);
+    let scheduled = draw_disruptions(&mut rng, plan.machines, plan.span);
     let fleet = Fleet::start(&plan, rng).await?;
-    let ends = Arc::new(AtomicBool::new(false));
-    let mut clients = fleet.start_clients(&ends);
+    let stop = Arc::new(AtomicBool::new(false));
+    let mut clients = fleet.start_clients(&stop);
     tokio::time::sleep(constants::WARM_UP).await;
     let began = Instant::now();
     let mut disruptions = JoinSet::new();
-    for next in planned {
+    for next in scheduled {
         tokio::time::sleep_until(began + next.at).await;
         let fleet = fleet.clone();
         disruptions.spawn(async move { fleet.disrupt(next.disruption).await });
@@ -89,12 +89,12 @@
     while let Ok(Some(disrupted)) = tokio::time::timeout_at(limit, disruptions.join_next()).await {
         disrupted.map_err(std::io::Error::other)??;
     }
-    tokio::time::sleep(tail()).await;
-    ends.store(true, Ordering::SeqCst);
+    tokio::time::sleep(quiet_period()).await;
+    stop.store(true, Ordering::SeqCst);
     while clients.join_next().await.is_some() {}
     fleet.operator.lock().await.read_back().await;
-    fleet.machines.iter().for_each(|machine| machine.find_dead());
-    let history = fleet.site.recorder.take();
+    fleet.machines.iter().for_each(|machine| machine.record_unexpected_exits());
+    let history = fleet.context.recorder.take();
     fleet.machines.iter().for_each(|machine| machine.kill_all(Action::Killed));
     let violations = check(&history);
     if violations.is_empty() {
@@ -108,24 +108,25 @@
         let recorder = Arc::<Recorder>::default();
         let (network, programs) = (plan.network, plan.programs.clone());
         let folder = plan.folder.clone();
-        let site = Arc::new(Site { network, programs, folder, recorder: recorder.clone() });
+        let context =
+            Arc::new(RunContext { network, programs, folder, recorder: recorder.clone() });
         let mut machines = Vec::new();
         for number in 0..plan.machines {
-            let machine = Machine::new(number, site.clone())?;
+            let machine = Machine::new(number, context.clone())?;
             machine.start()?;
             machines.push(Arc::new(machine));
         }
-        let operator = Operator::new(site.controls(), recorder);
+        let operator = Operator::new(context.control_addresses(), recorder);
         let fleet = Arc::new(Fleet {
-            site,
+            context,
             machines: Arc::new(machines),
             operator: tokio::sync::Mutex::new(operator),
             engines: Mutex::default(),
             engines_started: AtomicUsize::new(0),
             rng: Mutex::new(rng),
         });
-        if !fleet.operator.lock().await.put_next(constants::START_TIMEOUT).await {
-            return Err(RunError::NotUp);
+        if !fleet.operator.lock().await.send_next(constants::START_TIMEOUT).await {
+            return Err(RunError::StartTimeout);
         }
         for _ in 0..constants::ENGINES {
             fleet.start_engine().await?;
@@ -139,12 +140,13 @@
         for machine in self.machines.iter() {
             let head = "GET /anisedyke/readyz HTTP/1.1\r\n";
             let is_ready = async || {
-                let probe = http::call(machine.readiness(), head, "", constants::CALLER_TIMEOUT);
+                let probe =
+                    http::call(machine.readiness_address(), head, "", constants::CALLER_TIMEOUT);
                 probe.await.is_some_and(|answer| answer.status() == 200)
             };
             while !is_ready().await {
                 if Instant::now() > end {
-                    return Err(RunError::NotUp);
+                    return Err(RunError::StartTimeout);
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
@@ -156,16 +158,16 @@
         self.rng.lock().fork()
     }
 
-    fn start_clients(&self, ends: &Arc<AtomicBool>) -> JoinSet<()> {
+    fn start_clients(&self, stop: &Arc<AtomicBool>) -> JoinSet<()> {
         let mut clients = JoinSet::new();
         for number in
-            0..(2 * constants::CORE_MACHINES).max(self.machines.len()) * CLIENTS_PER_MACHINE
+            0..(2 * constants::CONTROLLER_MACHINES).max(self.machines.len()) * CLIENTS_PER_MACHINE
         {
             let client = Client {
                 number,
                 machines: self.machines.clone(),
-                recorder: self.site.recorder.clone(),
-                ends: ends.clone(),
+                recorder: self.context.recorder.clone(),
+                stop: stop.clone(),
             };
             clients.spawn(client.run(self.fork_rng()));
         }
@@ -174,7 +176,7 @@
 
     async fn start_engine(&self) -> std::io::Result<()> {
         let number = self.engines_started.fetch_add(1, Ordering::SeqCst);
-        let engine = Engine::start(number, &self.site).await?;
+        let engine = Engine::start(number, &self.context).await?;
         tokio::spawn(engine.clone().send_heartbeats(self.fork_rng()));
         self.engines.lock().push_back(engine);
         Ok(())
@@ -183,29 +185,29 @@
     async fn disrupt(&self, disruption: Disruption) -> std::io::Result<()> {
         match disruption {
             Disruption::Restart { machine, pause } => {
-                self.machines[machine].restart_in_order(pause).await
+                self.machines[machine].restart_gracefully(pause).await
             }
             Disruption::Kill { machine, pause } => {
                 self.machines[machine].restart_by_kill(pause).await
             }
-            Disruption::KillCore { pause } => self.kill_core(pause).await,
+            Disruption::KillControllers { pause } => self.kill_controllers(pause).await,
             Disruption::HangUp { machine } => {
-                self.machines[machine].hang_up();
+                self.machines[machine].send_hang_up();
                 Ok(())
             }
             Disruption::Reconfigure => {
-                self.operator.lock().await.put_next(constants::START_TIMEOUT).await;
+                self.operator.lock().await.send_next(constants::START_TIMEOUT).await;
                 Ok(())
             }
             Disruption::ReplaceEngine { announcement } => self.replace_engine(announcement).await,
         }
     }
 
-    async fn kill_core(&self, pause: Duration) -> std::io::Result<()> {
-        let core = &self.machines[..constants::CORE_MACHINES];
-        core.iter().for_each(|machine| machine.kill_all(Action::Killed));
+    async fn kill_controllers(&self, pause: Duration) -> std::io::Result<()> {
+        let controller_machines = &self.machines[..constants::CONTROLLER_MACHINES];
+        controller_machines.iter().for_each(|machine| machine.kill_all(Action::Killed));
         let mut restarts = JoinSet::new();
-        for machine in core {
+        for machine in controller_machines {
             let machine = machine.clone();
             restarts.spawn(async move { machine.restart_by_kill(pause).await });
         }
@@ -219,32 +221,32 @@
         self.start_engine().await?;
         let oldest = self.engines.lock().pop_front();
         if let Some(engine) = oldest {
-            engine.leave(announcement, self.fork_rng()).await;
+            engine.depart(announcement, self.fork_rng()).await;
         }
         Ok(())
     }
 }
 
 fn summary(history: &History) -> String {
-    let with_status = |wanted: u16| {
-        let is_wanted = |ending: &Ending| matches!(ending, Ending::Answered { status, .. } if *status == wanted);
-        history.requests.iter().filter(|request| is_wanted(&request.ending)).count()
+    let status_count = |expected: u16| {
+        let is_match = |ending: &Ending| matches!(ending, Ending::Answered { status, .. } if *status == expected);
+        history.requests.iter().filter(|request| is_match(&request.ending)).count()
     };
-    let done = |wanted: Action| {
-        let is_wanted = |action| action == wanted;
+    let action_count = |expected: Action| {
+        let is_match = |action| action == expected;
         let routers = history.processes.iter().filter(|event| event.program == Program::Router);
-        routers.filter(|event| is_wanted(event.action)).count()
+        routers.filter(|event| is_match(event.action)).count()
     };
     format!(
         "{} requests: {} served, {} refused, {} 502, {} 504; {} departures, {} configurations; routers: {} terminated, {} killed",
         history.requests.len(),
-        with_status(200),
-        with_status(503),
-        with_status(502),
-        with_status(504),
+        status_count(200),
+        status_count(503),
+        status_count(502),
+        status_count(504),
         history.departures.len(),
         history.acknowledged_version,
-        done(Action::Terminated),
-        done(Action::Killed)
+        action_count(Action::Terminated),
+        action_count(Action::Killed)
     )
 }
