--- a/crates/simulation/src/constants.rs
+++ b/crates/simulation/src/constants.rs
@@ -25,7 +25,7 @@
 /// ms; an operator's first pause before it resends an update; doubles with each attempt.
 pub const RESEND_BACKOFF_MS: u64 = 60;
 /// ms; an operator's longest pause before it resends an update.
-pub const RESEND_BACKOFF_MAX_MS: u64 = 1000;
+pub const MAX_RESEND_BACKOFF_MS: u64 = 1000;
 /// attempts; an operator abandons an update after this many without a definite response.
 pub const MAX_SEND_ATTEMPTS: usize = 12;
 /// ms; mean pause between two updates of one operator.
@@ -42,7 +42,7 @@
 /// of an election, a recovery and a link's reconnection together.
 pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(12);
 /// s; maximum duration of one fault.
-pub const FAULT_MAX_DURATION: Duration = Duration::from_secs(12);
+pub const MAX_FAULT_DURATION: Duration = Duration::from_secs(12);
 /// port; where controllers accept links from each other.
 pub const PEER_PORT: u16 = 7100;
 /// port; the `control` address in the settings. Simulated callers call the controller directly.
--- a/crates/simulation/src/engine_workload.rs
+++ b/crates/simulation/src/engine_workload.rs
@@ -15,8 +15,8 @@
 /// A drain or a deregistration that was acknowledged.
 pub struct DepartedEngine {
     engine: String,
-    by: usize,
-    at: Micros,
+    acknowledged_by: usize,
+    acknowledged_at: Micros,
 }
 
 /// How an engine announces its departure.
@@ -50,9 +50,12 @@
         tokio::time::sleep(Duration::from_millis(constants::HEARTBEAT_MS)).await;
         if engine.world.now() < departure_at {
             engine.send_ready().await;
-        } else if let Some(by) = engine.announce_departure(announcement).await {
-            departed =
-                Some(DepartedEngine { engine: engine.id.clone(), by, at: engine.world.now() });
+        } else if let Some(acknowledged_by) = engine.announce_departure(announcement).await {
+            departed = Some(DepartedEngine {
+                engine: engine.id.clone(),
+                acknowledged_by,
+                acknowledged_at: engine.world.now(),
+            });
         }
     }
     while engine.delayed_heartbeats.join_next().await.is_some() {}
@@ -137,8 +140,8 @@
         let ready = state == Some(EngineState::Ready);
         observations.push(DrainObservation {
             engine: departed.engine.clone(),
-            acknowledged_by: departed.by,
-            acknowledged: departed.at,
+            acknowledged_by: departed.acknowledged_by,
+            acknowledged: departed.acknowledged_at,
             machine: machine.number,
             ready,
         });
--- a/crates/simulation/src/fault/mix.rs
+++ b/crates/simulation/src/fault/mix.rs
@@ -53,7 +53,7 @@
     type Err = UnknownFaultMix;
 
     fn from_str(text: &str) -> Result<FaultMix, UnknownFaultMix> {
-        let point = FaultMix::VARIANTS.into_iter().find(|point| point.name() == text);
-        point.ok_or_else(|| UnknownFaultMix(text.to_owned()))
+        let mix = FaultMix::VARIANTS.into_iter().find(|mix| mix.name() == text);
+        mix.ok_or_else(|| UnknownFaultMix(text.to_owned()))
     }
 }
--- a/crates/simulation/src/fault/plan.rs
+++ b/crates/simulation/src/fault/plan.rs
@@ -27,12 +27,12 @@
 
 impl Plan {
     /// Draws a plan from a seed.
-    pub fn random(seed: u64, point: FaultMix) -> Plan {
+    pub fn random(seed: u64, mix: FaultMix) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let shape = RunShape::draw(point, &mut rng);
+        let shape = RunShape::draw(mix, &mut rng);
         let mut plan = Plan {
             seed,
-            point,
+            point: mix,
             members: shape.members,
             standbys: shape.standbys,
             operators: shape.operators,
--- a/crates/simulation/src/fault/shape.rs
+++ b/crates/simulation/src/fault/shape.rs
@@ -5,7 +5,7 @@
 
 /// The parameters of a run, and the number of faults that are drawn for it.
 pub(super) struct RunShape {
-    pub(super) point: FaultMix,
+    pub(super) mix: FaultMix,
     pub(super) members: usize,
     pub(super) standbys: usize,
     pub(super) operators: usize,
@@ -15,17 +15,17 @@
 
 impl RunShape {
     /// Draws the parameters of a run.
-    pub(super) fn draw(point: FaultMix, rng: &mut fastrand::Rng) -> RunShape {
+    pub(super) fn draw(mix: FaultMix, rng: &mut fastrand::Rng) -> RunShape {
         let members = if rng.bool() { 3 } else { 5 };
         let default = RunShape {
-            point,
+            mix,
             members,
             standbys: rng.usize(0..=1),
             operators: rng.usize(1..=2),
             update_interval_ms: constants::UPDATE_INTERVAL_MS,
             fault_attempts: rng.usize(3..=8),
         };
-        match point {
+        match mix {
             FaultMix::Isolation | FaultMix::Calls | FaultMix::All => default,
             FaultMix::Race => {
                 RunShape { operators: rng.usize(2..=4), update_interval_ms: 80, ..default }
@@ -39,7 +39,7 @@
     pub(super) fn draw_fault(&self, plan: &Plan, rng: &mut fastrand::Rng) -> Fault {
         let begin = constants::WARM_UP.as_millis() as u64;
         let span = constants::FAULT_WINDOW.as_millis() as u64;
-        let max_duration = constants::FAULT_MAX_DURATION.as_millis() as u64;
+        let max_duration = constants::MAX_FAULT_DURATION.as_millis() as u64;
         let short = rng.bool();
         let for_ms = if short { rng.u64(20..1500) } else { rng.u64(1500..max_duration) };
         let machine = rng.usize(0..plan.members);
@@ -62,7 +62,7 @@
         let one_way = FaultKind::OneWay { from: machine, to: other };
         let reset = FaultKind::Reset { one: machine, other };
         let disk_losses = [FaultKind::LoseDisk { machine }, FaultKind::Replace { machine }];
-        let mut candidates = match self.point {
+        let mut candidates = match self.mix {
             FaultMix::Isolation => {
                 vec![isolation, one_way, slow_links, FaultKind::Freeze { machine }]
             }
@@ -76,7 +76,7 @@
                 disk_losses,
             ),
         };
-        if self.point == FaultMix::SecondLoss {
+        if self.mix == FaultMix::SecondLoss {
             candidates.push(FaultKind::Leave { machine });
             candidates.push(FaultKind::Kill { machine });
         }
--- a/crates/simulation/src/fault/tests.rs
+++ b/crates/simulation/src/fault/tests.rs
@@ -4,9 +4,9 @@
 
 #[test]
 fn a_seed_always_gives_the_same_plan() {
-    for point in FaultMix::VARIANTS {
-        assert_eq!(Plan::random(7, point), Plan::random(7, point));
-        assert_ne!(Plan::random(7, point), Plan::random(8, point));
+    for mix in FaultMix::VARIANTS {
+        assert_eq!(Plan::random(7, mix), Plan::random(7, mix));
+        assert_ne!(Plan::random(7, mix), Plan::random(8, mix));
     }
 }
 
@@ -49,8 +49,8 @@
 
 #[test]
 fn mixes_are_parsed_from_their_names() {
-    for point in FaultMix::VARIANTS {
-        assert_eq!(point.name().parse::<FaultMix>().ok(), Some(point));
+    for mix in FaultMix::VARIANTS {
+        assert_eq!(mix.name().parse::<FaultMix>().ok(), Some(mix));
     }
     assert!("nonesuch".parse::<FaultMix>().is_err());
 }
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -147,7 +147,7 @@
     pub panics: Vec<String>,
     /// When the last fault ended.
     pub calm_from: Micros,
-    /// Reads that began after all faults and all workloads had ended.
+    /// Final reads, which began after the last acknowledgement and the end of all faults.
     pub last_reads: Vec<Read>,
     /// Whether the run lasted until the end of the progress timeout after the last fault.
     pub finished: bool,
--- a/crates/simulation/src/link_workload.rs
+++ b/crates/simulation/src/link_workload.rs
@@ -85,8 +85,8 @@
         if !world.network.is_listening(echo_address)
             && let Ok(listener) = transport.listen(echo_address)
         {
-            if let Some(former) = server_task.take() {
-                former.abort();
+            if let Some(previous) = server_task.take() {
+                previous.abort();
             }
             server_task = Some(tokio::spawn(serve_peers(listener, echo.clone())));
         }
--- a/crates/simulation/src/operator_workload.rs
+++ b/crates/simulation/src/operator_workload.rs
@@ -39,8 +39,8 @@
     let mut operator =
         Operator { world, number, rng, base: 0, updates_created: 0, acknowledged: Vec::new() };
     while !operator.world.is_over() {
-        let backoff = operator.rng.u64(interval_ms / 2..interval_ms * 3 / 2);
-        tokio::time::sleep(Duration::from_millis(backoff)).await;
+        let pause = operator.rng.u64(interval_ms / 2..interval_ms * 3 / 2);
+        tokio::time::sleep(Duration::from_millis(pause)).await;
         let update = operator.next_update();
         operator.send(update).await;
     }
@@ -93,7 +93,7 @@
                 return;
             }
             tokio::time::sleep(Duration::from_millis(backoff / 2 + self.rng.u64(0..backoff))).await;
-            backoff = (backoff * 2).min(constants::RESEND_BACKOFF_MAX_MS);
+            backoff = (backoff * 2).min(constants::MAX_RESEND_BACKOFF_MS);
         }
         self.refresh_base().await;
     }
--- a/crates/simulation/src/read_workload.rs
+++ b/crates/simulation/src/read_workload.rs
@@ -35,7 +35,7 @@
 pub async fn read_once(world: &Arc<World>, machine: &Arc<Machine>) -> Option<Version> {
     let invoked = world.now();
     let body = fetch(world, machine).await?;
-    record(world, machine.number, &body, invoked)
+    record_read(world, machine.number, &body, invoked)
 }
 
 /// Reads from a machine until it answers or [`constants::FINAL_READ_TIMEOUT`] is over; used at the end of a run.
@@ -56,7 +56,7 @@
     let is_stale = world.injected_bug == Some(InjectedBug::StaleRead);
     let call = async move |controller: Arc<Controller>| {
         if is_stale {
-            return current(&controller);
+            return local_configuration(&controller);
         }
         control_plane::service::configuration::fetch(controller.consensus()).await.ok()
     };
@@ -64,7 +64,7 @@
 }
 
 /// The configuration in a controller's local state, which may be outdated.
-fn current(controller: &Controller) -> Option<Bytes> {
+fn local_configuration(controller: &Controller) -> Option<Bytes> {
     let register = controller
         .consensus()
         .with_acceptor(|acceptor| acceptor.register(state_machine::CONFIG).cloned())?;
@@ -80,7 +80,7 @@
     Some(Read { machine, version, invoked, completed: world.now() })
 }
 
-fn record(world: &World, machine: usize, body: &[u8], invoked: u64) -> Option<Version> {
+fn record_read(world: &World, machine: usize, body: &[u8], invoked: u64) -> Option<Version> {
     let read = parse_read(world, machine, body, invoked)?;
     let version = read.version;
     world.history.lock().reads.push(read);
@@ -122,7 +122,7 @@
         }
         let invoked = world.now();
         if let Some(newest) = fetch_newest(link, current.as_ref()).await {
-            record(world, machine.number, &newest.body, invoked);
+            record_read(world, machine.number, &newest.body, invoked);
             current = Some(newest);
         }
     }
--- a/crates/simulation/tests/determinism.rs
+++ b/crates/simulation/tests/determinism.rs
@@ -4,8 +4,8 @@
 
 #[test]
 fn a_seed_always_gives_the_same_history() {
-    for point in [FaultMix::All, FaultMix::SecondLoss] {
-        let plan = Plan::random(41, point);
+    for mix in [FaultMix::All, FaultMix::SecondLoss] {
+        let plan = Plan::random(41, mix);
         let first = simulation::run(&plan, None).expect("runtime starts");
         let again = simulation::run(&plan, None).expect("runtime starts");
         assert!(first.history.writes.len() > 20, "{} updates", first.history.writes.len());
--- a/crates/simulation/tests/seeds.rs
+++ b/crates/simulation/tests/seeds.rs
@@ -3,13 +3,13 @@
 use simulation::fault::{FaultMix, Plan};
 use std::hash::{BuildHasher, Hasher};
 
-fn assert_clean(point: FaultMix, seeds: impl IntoIterator<Item = u64>) {
+fn assert_clean(mix: FaultMix, seeds: impl IntoIterator<Item = u64>) {
     for seed in seeds {
-        let plan = Plan::random(seed, point);
+        let plan = Plan::random(seed, mix);
         let outcome = simulation::run(&plan, None).expect("runtime starts");
         assert!(!outcome.history.writes.is_empty());
         let broken = &outcome.violations;
-        assert!(broken.is_empty(), "seed {seed} of {}: {broken:#?}", point.name());
+        assert!(broken.is_empty(), "seed {seed} of {}: {broken:#?}", mix.name());
     }
 }
 
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -95,7 +95,7 @@
     let duration = request.ended - request.sent;
     let is_lost = match error {
         ReadError::Malformed => true,
-        ReadError::ClosedWithin => !is_cut_at_the_end(request, history),
+        ReadError::ClosedWithin => !was_cut_off_by_grace_period(request, history),
         ReadError::ClosedBefore => {
             index.arrived.contains(request.attempt.as_str())
                 || duration > constants::UNFORWARDED_RESPONSE_LIMIT
@@ -132,7 +132,7 @@
 
 /// Whether the response was cut off near the end of its router's grace period. This is allowed only if the request was
 /// sent early enough, within [`constants::LATE_REQUEST_THRESHOLD`].
-fn is_cut_at_the_end(request: &Request, history: &History) -> bool {
+fn was_cut_off_by_grace_period(request: &Request, history: &History) -> bool {
     let near_end = constants::GRACE_PERIOD * 5 / 6;
     router_events(request, history, Action::Terminated).any(|terminated| {
         request.sent <= terminated + constants::LATE_REQUEST_THRESHOLD
--- a/crates/soak/src/constants.rs
+++ b/crates/soak/src/constants.rs
@@ -40,7 +40,7 @@
 /// ms; interval between two events of a stream.
 pub const EVENT_INTERVAL: Duration = Duration::from_millis(50);
 /// ms; interval at which a process that was sent SIGTERM is polled for its exit.
-pub const EXIT_POLL: Duration = Duration::from_millis(10);
+pub const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Name of the engines' service.
 pub const SERVICE: &str = "s";
 /// Host name of all routes.
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -29,7 +29,7 @@
     address: SocketAddr,
     recorder: Arc<Recorder>,
     control_addresses: Vec<SocketAddr>,
-    calls: AtomicU64,
+    call_seq: AtomicU64,
     is_departing: AtomicBool,
 }
 
@@ -47,7 +47,7 @@
             address,
             recorder: context.recorder.clone(),
             control_addresses: context.control_addresses(),
-            calls: AtomicU64::new(0),
+            call_seq: AtomicU64::new(0),
             is_departing: AtomicBool::new(false),
         });
         let serving = engine.clone();
@@ -111,7 +111,7 @@
     /// Sends heartbeats, some of them delayed, until the engine departs.
     pub async fn send_heartbeats(self: Arc<Engine>, mut rng: fastrand::Rng) {
         while !self.is_departing.load(Ordering::SeqCst) {
-            let call = self.next_call();
+            let call = self.next_call_seq();
             let controller = self.control_addresses[rng.usize(0..self.control_addresses.len())];
             let is_delayed = rng.u8(0..5) == 0;
             let engine = self.clone();
@@ -133,7 +133,7 @@
     pub async fn depart(&self, announcement: Announcement, mut rng: fastrand::Rng) {
         self.is_departing.store(true, Ordering::SeqCst);
         loop {
-            let call = self.next_call();
+            let call = self.next_call_seq();
             let controller = self.control_addresses[rng.usize(0..self.control_addresses.len())];
             let is_acknowledged = match announcement {
                 Announcement::Drain => self.heartbeat(controller, "draining", call).await,
@@ -148,8 +148,8 @@
         }
     }
 
-    fn next_call(&self) -> u64 {
-        self.calls.fetch_add(1, Ordering::SeqCst) + 1
+    fn next_call_seq(&self) -> u64 {
+        self.call_seq.fetch_add(1, Ordering::SeqCst) + 1
     }
 
     async fn heartbeat(&self, controller: SocketAddr, state: &str, call: u64) -> bool {
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    fn slot(&self, program: Program) -> &Mutex<Option<Child>> {
+    fn child_slot(&self, program: Program) -> &Mutex<Option<Child>> {
         match program {
             Program::Controller => &self.controller,
             Program::Router => &self.router,
@@ -161,7 +161,7 @@
                 .stdout(log.try_clone()?)
                 .stderr(log)
                 .spawn()?;
-            *self.slot(*program).lock() = Some(child);
+            *self.child_slot(*program).lock() = Some(child);
             self.record(*program, Action::Started);
         }
         Ok(())
@@ -177,7 +177,7 @@
         self.send_signal(Signal::TERM, Action::Terminated);
         let end = tokio::time::Instant::now() + constants::GRACE_PERIOD;
         while self.reap_exited() > 0 && tokio::time::Instant::now() < end {
-            tokio::time::sleep(constants::EXIT_POLL).await;
+            tokio::time::sleep(constants::EXIT_POLL_INTERVAL).await;
         }
         self.kill_all(Action::KilledAfterGrace);
         self.start_after(pause).await
@@ -209,7 +209,7 @@
 
     fn send_signal(&self, signal: Signal, action: Action) {
         for program in self.programs() {
-            if let Some(child) = &*self.slot(*program).lock() {
+            if let Some(child) = &*self.child_slot(*program).lock() {
                 self.record(*program, action);
                 let _ = kill_process(Pid::from_child(child), signal);
             }
@@ -220,7 +220,7 @@
     fn reap_exited(&self) -> usize {
         let mut running = 0;
         for program in self.programs() {
-            let mut slot = self.slot(*program).lock();
+            let mut slot = self.child_slot(*program).lock();
             let Some(child) = &mut *slot else { continue };
             match child.try_wait() {
                 Ok(None) => running += 1,
@@ -238,7 +238,7 @@
     pub fn kill_all(&self, action: Action) {
         self.reap_exited();
         for program in self.programs() {
-            if let Some(mut child) = self.slot(*program).lock().take() {
+            if let Some(mut child) = self.child_slot(*program).lock().take() {
                 self.record(*program, action);
                 let _ = child.kill();
                 let _ = child.wait();
@@ -250,7 +250,7 @@
     pub fn record_unexpected_exits(&self) {
         if let Ok(_guard) = self.restart_lock.try_lock() {
             for program in self.programs() {
-                let mut slot = self.slot(*program).lock();
+                let mut slot = self.child_slot(*program).lock();
                 let has_ended =
                     slot.as_mut().is_some_and(|child| !matches!(child.try_wait(), Ok(None)));
                 if has_ended {
