--- a/crates/data-plane/src/counters.rs
+++ b/crates/data-plane/src/counters.rs
@@ -47,15 +47,15 @@
     /// Prompt tokens that the chosen engine was not known to have cached.
     pub missing_tokens: AtomicU64,
     /// Dispatches that name a KV source which is known to hold the missing prefix.
-    pub transfers: AtomicU64,
+    pub known_source_dispatches: AtomicU64,
     /// Dispatches that name a KV source which is only presumed to hold the missing prefix.
-    pub guesses: AtomicU64,
+    pub presumed_source_dispatches: AtomicU64,
     /// Dispatches that name a store for the engine to send KV blocks to.
-    pub sinks: AtomicU64,
+    pub sink_dispatches: AtomicU64,
     /// Dispatches whose prompt is known to be at least partly in a KV store.
-    pub stored: AtomicU64,
+    pub stored_prefix_dispatches: AtomicU64,
     /// Tokens of shared prefix parts that were missing at the engine and had no known source.
-    pub shared_missing: AtomicU64,
+    pub missing_shared_tokens: AtomicU64,
     /// Responses to prefill-heavy requests.
     pub prefill_heavy_responses: AtomicU64,
     /// Sum of the times to the head of these responses, in microseconds.
@@ -73,8 +73,9 @@
             "connections" => get(&counters.engine_connections), "forgotten" => get(&counters.idle_resets),
             "links_rejected" => self.fleet_view.links_rejected(),
             "parts_held" => get(&counters.cached_tokens),
-            "parts_missing" => get(&counters.missing_tokens), "moves" => get(&counters.transfers),
-            "guesses" => get(&counters.guesses), "sinks" => get(&counters.sinks), "stored" => get(&counters.stored),
-            "shared_missing" => get(&counters.shared_missing), "index" => self.fleet_view.prefix_view.current_index().entries());
+            "parts_missing" => get(&counters.missing_tokens), "moves" => get(&counters.known_source_dispatches),
+            "guesses" => get(&counters.presumed_source_dispatches), "sinks" => get(&counters.sink_dispatches),
+            "stored" => get(&counters.stored_prefix_dispatches),
+            "shared_missing" => get(&counters.missing_shared_tokens), "index" => self.fleet_view.prefix_view.current_index().entries());
     }
 }
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -1,6 +1,6 @@
 //! Keeps the configuration up to date. At most one fetch is in progress at a time, and it requests the newest version.
 
-use super::routing_table::Table;
+use super::routing_table::RoutingTable;
 use crate::Router;
 use fleet_core::configuration::ConfigError;
 use fleet_core::digest::BodyDigest;
@@ -147,7 +147,7 @@
         self.request_full = compiled.is_err();
         let (current, routing_table) = compiled?;
         self.current = Some(current);
-        if router.fleet_view.set_table(routing_table) {
+        if router.fleet_view.set_routing_table(routing_table) {
             fleet_core::log_event!(router.log, Event::ConfigInForce, "version" => version,
                 "bytes" => bytes, "took_ms" => started_at.elapsed().as_millis() as u64);
         }
@@ -159,9 +159,9 @@
 fn decode_and_compile(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
-) -> Result<(ConfigBody, Table), FetchError> {
+) -> Result<(ConfigBody, RoutingTable), FetchError> {
     let current = rebuild(response, current)?;
-    let routing_table = Table::compile(&current.body, response.isolation)?;
+    let routing_table = RoutingTable::compile(&current.body, response.isolation)?;
     Ok((current, routing_table))
 }
 
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -69,7 +69,7 @@
     }
 
     /// Queues an update, which is applied before the index is next used.
-    pub fn put(&self, update: ViewUpdate) {
+    pub fn queue_update(&self, update: ViewUpdate) {
         self.pending_updates.lock().push(update);
         self.has_pending.store(true, Ordering::Release);
     }
@@ -88,7 +88,7 @@
 
     /// Records that a dispatch of this router has left a prompt in the cache of a holder. Shared parts that the index didn't
     /// list there are queued to be reported.
-    pub fn sent(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
+    pub fn record_dispatch(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
         let index = self.current_index();
         let position = index.admit(holder);
         let Some(cell) = index.cell(position.cell) else { return };
@@ -240,6 +240,6 @@
     if update.reset {
         fleet_core::log_event!(router.log, Event::ReaderReset, "cursor" => position.cursor());
     }
-    router.fleet_view.prefix_view.put(update);
+    router.fleet_view.prefix_view.queue_update(update);
     if position.cursor() < head { Fetch::More } else { Fetch::Done }
 }
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -175,7 +175,7 @@
     match body {
         Body::FleetUpdate(update) => {
             log_new_targets(&router.log, &router.fleet_view, &update);
-            router.fleet_view.apply(&update);
+            router.fleet_view.apply_update(&update);
         }
         Body::LoadReport(loads) => router.fleet_view.update_loads(&loads),
         _ => {}
--- a/crates/data-plane/src/fleet_view/load_reports.rs
+++ b/crates/data-plane/src/fleet_view/load_reports.rs
@@ -46,9 +46,9 @@
             }
             drop(state);
             let total = totals.get(&engine.key).copied().unwrap_or_default();
-            let mut work = engine.work();
-            work.others = total.less(&work.last_published);
-            work.others_at = Some(now);
+            let mut activity = engine.activity();
+            activity.other_routers_load = total.less(&activity.last_reported);
+            activity.other_routers_load_at = Some(now);
         }
         let interactive = totals.values().map(|load| load.interactive).sum();
         self.endpoints.record_interactive(interactive, engines, slots);
@@ -57,9 +57,9 @@
     fn own_loads(&self) -> ByEngine {
         let mut own = ByEngine::default();
         for engine in self.engines.read().values() {
-            let mut work = engine.work();
-            work.last_published = work.own();
-            own.entry(engine.key).or_default().add(&work.last_published);
+            let mut activity = engine.activity();
+            activity.last_reported = activity.own();
+            own.entry(engine.key).or_default().add(&activity.last_reported);
         }
         own
     }
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -43,7 +43,7 @@
 
 /// State of the fleet, as controllers report it and as this router observes it. No part of it reverts to an older state.
 pub struct FleetView {
-    routing_table: parking_lot::RwLock<Option<Arc<routing_table::Table>>>,
+    routing_table: parking_lot::RwLock<Option<Arc<routing_table::RoutingTable>>>,
     /// The highest configuration version that a controller announced.
     announced_config: tokio::sync::watch::Sender<u64>,
     /// All known engines.
@@ -83,12 +83,12 @@
     }
 
     /// The compiled configuration in force; none before the first one was fetched.
-    pub fn routing_table(&self) -> Option<Arc<routing_table::Table>> {
+    pub fn routing_table(&self) -> Option<Arc<routing_table::RoutingTable>> {
         self.routing_table.read().clone()
     }
 
     /// Puts a configuration in force. Returns false, and changes nothing, if the same version or a newer one already is.
-    pub fn set_table(&self, newer: routing_table::Table) -> bool {
+    pub fn set_routing_table(&self, newer: routing_table::RoutingTable) -> bool {
         let mut current = self.routing_table.write();
         if current.as_ref().is_some_and(|routing_table| routing_table.version >= newer.version) {
             return false;
@@ -183,8 +183,8 @@
     }
 
     /// Records the version of a model's weights that a response of an engine reported.
-    pub fn saw_weights(&self, engine: &EngineHandle, model: &str, version: u64) {
-        if engine.saw_weights(model, version) {
+    pub fn record_weights(&self, engine: &EngineHandle, model: &str, version: u64) {
+        if engine.record_weights(model, version) {
             self.endpoints.invalidate();
         }
     }
@@ -220,7 +220,7 @@
     }
 
     /// Applies an update from a controller.
-    pub fn apply(&self, update: &FleetUpdate) {
+    pub fn apply_update(&self, update: &FleetUpdate) {
         for engine in &update.engines {
             self.update_engine(engine);
         }
--- a/crates/data-plane/src/fleet_view/routing_table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -14,7 +14,7 @@
 }
 
 /// One configuration, compiled for lookups by host, API key and service name.
-pub struct Table {
+pub struct RoutingTable {
     /// Version of the configuration.
     pub version: u64,
     /// Generation of the isolation key that non-isolated tenants share.
@@ -34,22 +34,22 @@
 
 /// How often a request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryMode {
     /// Up to the maximum number of attempts of the route.
-    Freely,
+    Unrestricted,
     /// More than once only by resuming after the last event that the client has received.
-    ByResuming,
+    ResumeOnly,
     /// At most once.
     Never,
 }
 
-impl Table {
+impl RoutingTable {
     /// Parses, validates and compiles a configuration.
     ///
     /// # Errors
     ///
     /// The body can't be parsed, or the configuration is invalid.
-    pub fn compile(body: &[u8], isolation: u64) -> Result<Table, ConfigError> {
+    pub fn compile(body: &[u8], isolation: u64) -> Result<RoutingTable, ConfigError> {
         let configuration = Configuration::read(body)?;
         let mut routes: hashbrown::HashMap<String, Vec<Arc<Route>>, ahash::RandomState> =
             hashbrown::HashMap::default();
@@ -89,7 +89,7 @@
             .into_iter()
             .map(|service| (service.name.clone(), service))
             .collect();
-        Ok(Table {
+        Ok(RoutingTable {
             version: configuration.revision,
             isolation,
             limits: configuration.limits,
@@ -146,7 +146,7 @@
 
     /// Selects a service of a route by weight, with `random` drawn uniformly from all values of `u64`; none if all weights
     /// are 0.
-    pub fn pick<'a>(&self, route: &'a Route, random: u64) -> Option<&'a str> {
+    pub fn pick_service<'a>(&self, route: &'a Route, random: u64) -> Option<&'a str> {
         let shares = route.shares();
         let total: u64 = shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut remaining = random.checked_rem(total)?;
@@ -161,11 +161,11 @@
 }
 
 /// How often a request of this route may be executed.
-pub fn repeat(route: &Route) -> Repeat {
+pub fn retry_mode(route: &Route) -> RetryMode {
     match route.kind {
-        Kind::Safe => Repeat::Freely,
-        Kind::Streaming if route.resumable => Repeat::ByResuming,
-        Kind::Streaming | Kind::Unsafe => Repeat::Never,
+        Kind::Safe => RetryMode::Unrestricted,
+        Kind::Streaming if route.resumable => RetryMode::ResumeOnly,
+        Kind::Streaming | Kind::Unsafe => RetryMode::Never,
     }
 }
 
--- a/crates/data-plane/src/fleet_view/routing_table_tests.rs
+++ b/crates/data-plane/src/fleet_view/routing_table_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn compiled() -> Table {
+fn compiled() -> RoutingTable {
     let configuration = serde_json::json!({
         "revision": 3,
         "routes": [
@@ -13,7 +13,7 @@
         "services": [{"name": "s", "maxConns": 5}, {"name": "u"}, {"name": "k", "kvStore": "10.0.0.1:80"}],
         "tenants": [{"name": "t", "apiKeys": ["k1"]}],
     });
-    Table::compile(configuration.to_string().as_bytes(), 1).unwrap()
+    RoutingTable::compile(configuration.to_string().as_bytes(), 1).unwrap()
 }
 
 #[test]
@@ -29,8 +29,8 @@
 fn picks_services_by_weight_and_finds_tenants_and_stores() {
     let table = compiled();
     let route = table.route("h.example", "/a/b/").unwrap();
-    assert!((0..10).all(|random| table.pick(route, random) == Some("s")));
-    assert_eq!(repeat(route), Repeat::ByResuming);
+    assert!((0..10).all(|random| table.pick_service(route, random) == Some("s")));
+    assert_eq!(retry_mode(route), RetryMode::ResumeOnly);
     assert_eq!(table.tenant("k1").unwrap().name, "t");
     assert!(table.tenant("k2").is_none());
     assert_eq!(table.stores()[0].name, "k");
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -38,8 +38,8 @@
 
 /// The complete state of a router.
 ///
-/// Lock order: routing table, engine map, the `Work` of one engine, queue of invalidations, prompt index. Locks of
-/// two engines are never held together.
+/// Lock order: routing table, engine map, the `EngineActivity` of one engine, queue of invalidations, prompt index.
+/// Locks of two engines are never held together.
 pub struct Router {
     /// Identity of this process: role, address, zone and incarnation.
     pub node: fleet_core::node::Node,
--- a/crates/data-plane/src/load_balancer/candidates.rs
+++ b/crates/data-plane/src/load_balancer/candidates.rs
@@ -37,8 +37,8 @@
 impl Liveness {
     fn of(heartbeat_missed: bool, health: Health) -> Liveness {
         match (heartbeat_missed, health) {
-            (false, Health::Sound | Health::Unproven) => Liveness::Alive,
-            (false, Health::Ejected) | (true, Health::Sound) => Liveness::Uncertain,
+            (false, Health::Healthy | Health::Unproven) => Liveness::Alive,
+            (false, Health::Ejected) | (true, Health::Healthy) => Liveness::Uncertain,
             (true, Health::Unproven | Health::Ejected) => Liveness::ProbablyDead,
         }
     }
@@ -87,9 +87,9 @@
     /// Returns the engine as a candidate if its weights allow it to run the request.
     fn candidate(&self, index: usize, endpoint: &Endpoint, now: Instant) -> Option<Candidate> {
         let target_version = self.bound.as_ref().and_then(VersionBound::target_version);
-        let has_rollout_mark = endpoint.engine.has_rollout_mark(now);
+        let has_recent_rollout_state = endpoint.engine.has_recent_rollout_state(now);
         let is_updating = |model| fleet::is_updating(&endpoint.state, model, target_version);
-        if has_rollout_mark && self.model.is_some_and(is_updating) {
+        if has_recent_rollout_state && self.model.is_some_and(is_updating) {
             return None;
         }
         let version = self.model.and_then(|model| fleet::version_of(&endpoint.state, model));
@@ -104,7 +104,8 @@
         Some(Candidate {
             endpoint: index,
             version,
-            draining_streams: has_rollout_mark && self.model.is_some_and(is_draining_streams),
+            draining_streams: has_recent_rollout_state
+                && self.model.is_some_and(is_draining_streams),
             liveness: Liveness::of(endpoint.state.heartbeat_missed, endpoint.engine.health(now)),
         })
     }
--- a/crates/data-plane/src/load_balancer/candidates_tests.rs
+++ b/crates/data-plane/src/load_balancer/candidates_tests.rs
@@ -17,17 +17,17 @@
 
 #[test]
 fn if_all_engines_miss_heartbeats_those_whose_connections_broke_are_dropped() {
-    use Health::{Ejected, Sound, Unproven};
-    assert_eq!(retained(&[(true, Sound), (true, Ejected), (true, Sound)]), [0, 2]);
-    assert_eq!(retained(&[(true, Sound), (true, Unproven)]), [0]);
-    assert_eq!(retained(&[(true, Ejected), (false, Ejected), (true, Sound)]), [1, 2]);
+    use Health::{Ejected, Healthy, Unproven};
+    assert_eq!(retained(&[(true, Healthy), (true, Ejected), (true, Healthy)]), [0, 2]);
+    assert_eq!(retained(&[(true, Healthy), (true, Unproven)]), [0]);
+    assert_eq!(retained(&[(true, Ejected), (false, Ejected), (true, Healthy)]), [1, 2]);
 }
 
 #[test]
 fn engines_with_heartbeats_that_are_not_ejected_are_preferred() {
-    use Health::{Ejected, Sound, Unproven};
-    assert_eq!(retained(&[(true, Sound), (false, Sound), (false, Ejected)]), [1]);
-    assert_eq!(retained(&[(true, Sound), (false, Unproven), (true, Unproven)]), [1]);
+    use Health::{Ejected, Healthy, Unproven};
+    assert_eq!(retained(&[(true, Healthy), (false, Healthy), (false, Ejected)]), [1]);
+    assert_eq!(retained(&[(true, Healthy), (false, Unproven), (true, Unproven)]), [1]);
 }
 
 #[test]
--- a/crates/data-plane/src/load_balancer/cost.rs
+++ b/crates/data-plane/src/load_balancer/cost.rs
@@ -5,7 +5,7 @@
 
 use super::request_profile::{RequestProfile, TransferEstimate};
 use crate::fleet_view::endpoints::Endpoint;
-use crate::pool::Work;
+use crate::pool::EngineActivity;
 use fleet_core::constants;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -41,11 +41,11 @@
 }
 
 impl Occupancy {
-    fn of(work: &Work, endpoint: &Endpoint, now: Instant) -> Occupancy {
+    fn of(activity: &EngineActivity, endpoint: &Endpoint, now: Instant) -> Occupancy {
         let is_recent = |at| now.duration_since(at) < constants::REPORTED_LOAD_TIMEOUT;
-        let reported = work.reported.filter(|reported| is_recent(reported.at));
+        let reported = activity.reported.filter(|reported| is_recent(reported.at));
         Occupancy {
-            running: reported.map_or(0, |load| load.running).max(work.all(now).runs),
+            running: reported.map_or(0, |load| load.running).max(activity.total_load(now).runs),
             waiting: reported.map_or(0, |load| load.waiting),
             slots: endpoint.state.slots,
         }
@@ -90,11 +90,11 @@
 }
 
 /// Cost of a nearly full KV memory: requests are preempted, and their prompts computed again.
-fn memory_pressure_ms(request: &RequestProfile, work: &Work) -> f64 {
+fn memory_pressure_ms(request: &RequestProfile, activity: &EngineActivity) -> f64 {
     if request.capacity == 0 {
         return 0.0;
     }
-    let utilization = (work.tokens + request.prompt.load()) as f64 / request.capacity as f64;
+    let utilization = (activity.tokens + request.prompt.load()) as f64 / request.capacity as f64;
     if utilization <= MEMORY_PRESSURE_FROM {
         return 0.0;
     }
@@ -104,9 +104,9 @@
 /// Expected time until a request dispatched now begins at an engine: the prompts ahead of it have to be computed, and
 /// a run has to end for each request that waits for a slot.
 pub fn expected_wait(endpoint: &Endpoint, now: Instant) -> Duration {
-    let work = endpoint.engine.work();
-    let occupancy = Occupancy::of(&work, endpoint, now);
-    let prefill_ms = work.all(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS;
+    let activity = endpoint.engine.activity();
+    let occupancy = Occupancy::of(&activity, endpoint, now);
+    let prefill_ms = activity.total_load(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS;
     let ms = prefill_ms
         + f64::from(occupancy.waiting) * constants::QUEUED_REQUEST_COST_MS
         + occupancy.slot_wait_ms();
@@ -121,20 +121,20 @@
     transfer: Option<&TransferEstimate>,
     now: Instant,
 ) -> Cost {
-    let work = endpoint.engine.work();
-    let occupancy = Occupancy::of(&work, endpoint, now);
+    let activity = endpoint.engine.activity();
+    let occupancy = Occupancy::of(&activity, endpoint, now);
     let prefill = Prefill::of(request, cached, transfer);
     let mut ms = prefill.ms
-        + work.all(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS
+        + activity.total_load(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS
         + f64::from(occupancy.running) * constants::RUNNING_REQUEST_COST_MS
         + f64::from(occupancy.waiting) * constants::QUEUED_REQUEST_COST_MS;
     ms += occupancy.slot_wait_ms();
     if !endpoint.same_zone {
         ms += constants::ZONE_COST_MS;
     }
-    let is_connected = work.has_idle_connection(now, request.subset.max_idle);
+    let is_connected = activity.has_idle_connection(now, request.subset.max_idle);
     ms += request.subset.cost_ms(endpoint.distance, is_connected);
-    ms += memory_pressure_ms(request, &work);
+    ms += memory_pressure_ms(request, &activity);
     if request.prompt.is_prefill_heavy() != endpoint.prefill_heavy {
         ms += constants::WRONG_GROUP_COST_MS;
     }
--- a/crates/data-plane/src/load_balancer/kv_transfer.rs
+++ b/crates/data-plane/src/load_balancer/kv_transfer.rs
@@ -117,7 +117,8 @@
         mut endpoints: SmallVec<[&Endpoint; 16]>,
         tokens: u64,
     ) {
-        endpoints.sort_by_key(|endpoint| (endpoint.engine.work().transfers, !endpoint.same_zone));
+        endpoints
+            .sort_by_key(|endpoint| (endpoint.engine.activity().transfers, !endpoint.same_zone));
         for endpoint in endpoints.into_iter().take(constants::MAX_SOURCES_PER_DEPTH) {
             self.sources.push(Source {
                 address: endpoint.engine.address.to_string(),
@@ -125,7 +126,7 @@
                 zone: endpoint.state.zone.clone(),
                 mbps: request.link_mbps,
                 tokens,
-                transfers: endpoint.engine.work().transfers,
+                transfers: endpoint.engine.activity().transfers,
             });
         }
     }
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::fleet_view::FleetView;
 use crate::fleet_view::endpoints::{Endpoint, Viewpoint};
-use crate::fleet_view::routing_table::{Table, Tenant};
+use crate::fleet_view::routing_table::{RoutingTable, Tenant};
 use crate::pool::EngineHandle;
 use crate::{Counters, Router};
 use candidates::{AllowedWeights, Candidate};
@@ -64,7 +64,7 @@
 /// full.
 pub fn choose_engine(
     router: &Router,
-    routing_table: &Table,
+    routing_table: &RoutingTable,
     service: &str,
     tenant: Option<&Tenant>,
     prompt: &Prompt,
@@ -79,7 +79,7 @@
     if candidates.is_empty() {
         return Err(NoEndpoint::Unknown);
     }
-    let max_idle = router.idle_timeouts.of(service).safe_idle_time(now);
+    let max_idle = router.idle_timeouts.for_service(service).safe_idle_time(now);
     let subset = Subset::new(router.fleet_view.routers(), max_idle);
     let request =
         RequestProfile::new(routing_table, service, prompt, index, viewpoint.zone, subset);
@@ -200,7 +200,7 @@
         let source = self
             .prefix_cache(candidate)
             .and_then(|prefix_cache| prefix_cache.sources.best_for(request, endpoint, cached));
-        let assume_cached = is_affinity_target && !endpoint.engine.is_warming(now);
+        let assume_cached = is_affinity_target && !endpoint.engine.is_warming_up(now);
         let tokens = CachedTokens {
             indexed: cached,
             assumed: if assume_cached { request.prompt.shared() } else { 0 },
@@ -213,7 +213,7 @@
         if candidate.draining_streams && !request.prompt.is_prefill_heavy() {
             cost.ms += constants::STREAM_DRAIN_COST_MS;
         }
-        if is_affinity_target && source.is_some() && endpoint.engine.is_warming(now) {
+        if is_affinity_target && source.is_some() && endpoint.engine.is_warming_up(now) {
             cost.ms -= constants::WARM_UP_AFFINITY_BONUS_MS;
         }
         BestCandidate { candidate, cost, source }
@@ -275,13 +275,15 @@
             .is_some_and(|prefix_cache| prefix_cache.sources.is_stored());
         counters.missing_tokens.fetch_add(prefill_tokens, Ordering::Relaxed);
         counters.cached_tokens.fetch_add(cached, Ordering::Relaxed);
-        counters.transfers.fetch_add(u64::from(best.source.is_some()), Ordering::Relaxed);
-        counters.stored.fetch_add(u64::from(is_stored), Ordering::Relaxed);
-        counters.sinks.fetch_add(u64::from(has_sink), Ordering::Relaxed);
+        counters
+            .known_source_dispatches
+            .fetch_add(u64::from(best.source.is_some()), Ordering::Relaxed);
+        counters.stored_prefix_dispatches.fetch_add(u64::from(is_stored), Ordering::Relaxed);
+        counters.sink_dispatches.fetch_add(u64::from(has_sink), Ordering::Relaxed);
         if has_source && best.source.is_none() {
             let shared = prompt.shared().saturating_sub(self.cached_tokens(best.candidate));
-            counters.guesses.fetch_add(1, Ordering::Relaxed);
-            counters.shared_missing.fetch_add(shared, Ordering::Relaxed);
+            counters.presumed_source_dispatches.fetch_add(1, Ordering::Relaxed);
+            counters.missing_shared_tokens.fetch_add(shared, Ordering::Relaxed);
         }
     }
 }
--- a/crates/data-plane/src/load_balancer/prefix_cache.rs
+++ b/crates/data-plane/src/load_balancer/prefix_cache.rs
@@ -53,9 +53,9 @@
 
 fn prefix_cache(context: &SelectionContext, weights: Weights, isolation: &str) -> PrefixCache {
     let salt = invalidation::salt::salt_text(weights.model, weights.version, isolation);
-    let pairs = context.request.prompt.pairs();
-    let chain = context.index.chain(&salt, pairs.iter().copied());
-    let shared = chain.len().min(pairs.len().saturating_sub(1));
+    let part_sizes = context.request.prompt.part_sizes();
+    let chain = context.index.chain(&salt, part_sizes.iter().copied());
+    let shared = chain.len().min(part_sizes.len().saturating_sub(1));
     if shared > 0 {
         context.index.learn(&salt, &Chain(chain.0[..shared].into()));
     }
--- a/crates/data-plane/src/load_balancer/prompt.rs
+++ b/crates/data-plane/src/load_balancer/prompt.rs
@@ -20,7 +20,7 @@
     /// Number of prompt tokens; 0 if unknown.
     pub prompt_tokens: u64,
     /// Maximum number of output tokens; 0 if unknown.
-    pub put_out: u64,
+    pub output_tokens: u64,
 }
 
 fn header_text<'a>(headers: &'a http::HeaderMap, name: &str) -> Option<&'a str> {
@@ -29,20 +29,20 @@
 
 impl Prompt {
     /// Parses the headers; a header that is missing or malformed leaves its fields at their defaults.
-    pub fn read(headers: &http::HeaderMap) -> Prompt {
+    pub fn from_headers(headers: &http::HeaderMap) -> Prompt {
         let parts =
             header_text(headers, "x-prompt-prefix").and_then(parse_parts).unwrap_or_default();
         let token_counts = header_text(headers, "x-token-count").and_then(|text| {
             let (input, output) = text.split_once(',')?;
             Some((input.trim().parse::<u64>().ok()?, output.trim().parse::<u64>().ok()?))
         });
-        let (prompt_tokens, put_out) = token_counts.unwrap_or((0, 0));
+        let (prompt_tokens, output_tokens) = token_counts.unwrap_or((0, 0));
         const MAX_TOKENS: u64 = 1 << 32;
         Prompt {
             model: header_text(headers, "x-model").map(str::to_owned),
             parts,
             prompt_tokens: prompt_tokens.min(MAX_TOKENS),
-            put_out: put_out.min(MAX_TOKENS),
+            output_tokens: output_tokens.min(MAX_TOKENS),
         }
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// The id and the size in tokens of each part, in the form that the prompt index takes.
-    pub fn pairs(&self) -> smallvec::SmallVec<[(u64, u64); 8]> {
+    pub fn part_sizes(&self) -> smallvec::SmallVec<[(u64, u64); 8]> {
         self.parts.iter().map(|part| (part.id, part.tokens)).collect()
     }
 
@@ -71,12 +71,12 @@
     /// Whether prefill dominates over decode. Such requests are kept apart from long streams, which prefill slows down.
     pub fn is_prefill_heavy(&self) -> bool {
         self.prompt_tokens.max(self.tokens())
-            > self.put_out * fleet_core::constants::PREFILL_HEAVY_RATIO
+            > self.output_tokens * fleet_core::constants::PREFILL_HEAVY_RATIO
     }
 
     /// Number of prompt and output tokens.
     pub fn load(&self) -> u64 {
-        self.prompt_tokens.max(self.tokens()) + self.put_out
+        self.prompt_tokens.max(self.tokens()) + self.output_tokens
     }
 }
 
--- a/crates/data-plane/src/load_balancer/prompt_tests.rs
+++ b/crates/data-plane/src/load_balancer/prompt_tests.rs
@@ -7,7 +7,7 @@
     for (name, value) in pairs {
         headers.insert(*name, http::HeaderValue::from_bytes(value.as_bytes()).unwrap());
     }
-    Prompt::read(&headers)
+    Prompt::from_headers(&headers)
 }
 
 #[test]
--- a/crates/data-plane/src/load_balancer/request_profile.rs
+++ b/crates/data-plane/src/load_balancer/request_profile.rs
@@ -2,7 +2,7 @@
 
 use super::prompt::Prompt;
 use crate::fleet_view::endpoints::EndpointSet;
-use crate::fleet_view::routing_table::Table;
+use crate::fleet_view::routing_table::RoutingTable;
 use fleet_core::configuration::Service;
 use fleet_core::constants;
 use prompt_index::{At, Index};
@@ -79,7 +79,7 @@
 impl<'a> RequestProfile<'a> {
     /// For a prompt at a service. Stores that don't respond, and are therefore not in the index, are left out.
     pub fn new(
-        routing_table: &'a Table,
+        routing_table: &'a RoutingTable,
         service: &str,
         prompt: &'a Prompt,
         index: &Index,
--- a/crates/data-plane/src/pool/connection.rs
+++ b/crates/data-plane/src/pool/connection.rs
@@ -133,7 +133,7 @@
     options: CheckoutOptions<'_>,
 ) -> Result<PooledConnection, ConnectionError> {
     let now = Instant::now();
-    let idle_timeout = router.idle_timeouts.of(options.service);
+    let idle_timeout = router.idle_timeouts.for_service(options.service);
     let max_idle_time =
         if options.repeatable { Duration::MAX } else { idle_timeout.safe_idle_time(now) };
     if let Some(idle) = engine.checkout_idle(now, max_idle_time) {
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -38,11 +38,11 @@
 
 /// The load of one engine and its idle connections, as far as this router knows.
 #[derive(Default)]
-pub struct Work {
+pub struct EngineActivity {
     /// Dispatches of this router that have not ended.
-    pub runs: u32,
+    pub in_flight: u32,
     /// Prompt tokens of this router's dispatches that are not yet prefilled.
-    pub unread: u64,
+    pub pending_prefill_tokens: u64,
     /// Prompt and output tokens of this router's dispatches that have not ended.
     pub tokens: u64,
     /// KV transfers from this engine that this router's dispatches caused and that have not ended.
@@ -50,11 +50,11 @@
     /// Dispatches of this router to interactive routes that have not ended.
     pub interactive: u32,
     /// This router's load as it last reported it.
-    pub last_published: Load,
+    pub last_reported: Load,
     /// Load of all other routers.
-    pub others: Load,
+    pub other_routers_load: Load,
     /// When the load of the other routers was received.
-    pub others_at: Option<Instant>,
+    pub other_routers_load_at: Option<Instant>,
     /// Idle connections, the most recently used one at the back.
     idle: VecDeque<IdleConnection>,
     /// Shortest idle time after which the engine closed a connection; cleared when it responds again.
@@ -70,18 +70,24 @@
     warm_up_latencies: (u64, Duration),
 }
 
-impl Work {
+impl EngineActivity {
     /// Load from this router.
     pub fn own(&self) -> Load {
-        Load { unread: self.unread, runs: self.runs, interactive: self.interactive }
+        Load {
+            unread: self.pending_prefill_tokens,
+            runs: self.in_flight,
+            interactive: self.interactive,
+        }
     }
 
     /// Load from all routers; other routers' part counts only while its report is recent.
-    pub fn all(&self, now: Instant) -> Load {
+    pub fn total_load(&self, now: Instant) -> Load {
         let mut total = self.own();
-        if self.others_at.is_some_and(|at| now.duration_since(at) < constants::LOAD_REPORT_TIMEOUT)
+        if self
+            .other_routers_load_at
+            .is_some_and(|at| now.duration_since(at) < constants::LOAD_REPORT_TIMEOUT)
         {
-            total.add(&self.others);
+            total.add(&self.other_routers_load);
         }
         total
     }
@@ -107,8 +113,8 @@
     state: parking_lot::RwLock<Engine>,
     /// When the roll-out last changed its state.
     rollout_state_changed_at: parking_lot::Mutex<Instant>,
-    work: parking_lot::Mutex<Work>,
-    /// Open connections, in use or idle. Not in `work`, since connections are also dropped while that lock is held.
+    activity: parking_lot::Mutex<EngineActivity>,
+    /// Open connections, in use or idle. Not in `activity`, since connections are also dropped while that lock is held.
     pub(super) open_connections: AtomicU32,
 }
 
@@ -116,7 +122,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// It has responded since its last connection failure, or never had one.
-    Sound,
+    Healthy,
     /// A connection failed, and its ejection has ended; it has not responded since.
     Unproven,
     /// A connection failed recently, and the engine is ejected: it gets no requests.
@@ -134,7 +140,7 @@
             is_new: engine.call <= constants::NEW_ENGINE_CALLS,
             state: parking_lot::RwLock::new(engine.clone()),
             rollout_state_changed_at: parking_lot::Mutex::new(Instant::now()),
-            work: parking_lot::Mutex::default(),
+            activity: parking_lot::Mutex::default(),
             open_connections: AtomicU32::new(0),
         })
     }
@@ -149,14 +155,14 @@
         }
         drop(known);
         if state.state() == EngineState::Deregistered {
-            self.work().idle.clear();
+            self.activity().idle.clear();
         }
         is_changed
     }
 
     /// Whether its roll-out state is recent. Older ones are ignored, since the controller that set them may have
     /// failed.
-    pub fn has_rollout_mark(&self, now: Instant) -> bool {
+    pub fn has_recent_rollout_state(&self, now: Instant) -> bool {
         now.duration_since(*self.rollout_state_changed_at.lock()) < constants::ROLLOUT_STATE_TIMEOUT
     }
 
@@ -166,13 +172,13 @@
     }
 
     /// Records a weight version seen in a response; true if it is newer than the known one.
-    pub fn saw_weights(&self, model: &str, version: u64) -> bool {
+    pub fn record_weights(&self, model: &str, version: u64) -> bool {
         fleet_core::fleet::version_of(&self.state(), model).is_some_and(|s| s < version)
             && fleet_core::fleet::raise(&mut self.state.write(), model, version)
     }
 
     /// Whether it has started recently: it is then not assumed to hold prompt parts that it was not seen to cache.
-    pub fn is_warming(&self, now: Instant) -> bool {
+    pub fn is_warming_up(&self, now: Instant) -> bool {
         self.is_new && now < self.first_seen + constants::WARM_UP_PERIOD
     }
 
@@ -182,31 +188,31 @@
         if !self.is_new {
             return None;
         }
-        let mut work = self.work();
-        if work.warm_up_latencies.0 >= constants::WARM_UP_RESPONSES {
+        let mut activity = self.activity();
+        if activity.warm_up_latencies.0 >= constants::WARM_UP_RESPONSES {
             return None;
         }
-        work.warm_up_latencies.0 += 1;
-        work.warm_up_latencies.1 += latency;
-        (work.warm_up_latencies.0 == constants::WARM_UP_RESPONSES)
-            .then(|| work.warm_up_latencies.1 / constants::WARM_UP_RESPONSES as u32)
+        activity.warm_up_latencies.0 += 1;
+        activity.warm_up_latencies.1 += latency;
+        (activity.warm_up_latencies.0 == constants::WARM_UP_RESPONSES)
+            .then(|| activity.warm_up_latencies.1 / constants::WARM_UP_RESPONSES as u32)
     }
 
     /// Its load and idle connections, locked.
-    pub fn work(&self) -> parking_lot::MutexGuard<'_, Work> {
-        self.work.lock()
+    pub fn activity(&self) -> parking_lot::MutexGuard<'_, EngineActivity> {
+        self.activity.lock()
     }
 
     /// Whether it is ejected at this time.
     pub fn is_ejected(&self, now: Instant) -> bool {
-        self.work().ejected_until.is_some_and(|until| now < until)
+        self.activity().ejected_until.is_some_and(|until| now < until)
     }
 
     /// Its health at this time.
     pub fn health(&self, now: Instant) -> Health {
-        let work = self.work();
-        match work.ejected_until {
-            None => Health::Sound,
+        let activity = self.activity();
+        match activity.ejected_until {
+            None => Health::Healthy,
             Some(until) if now < until => Health::Ejected,
             Some(_) => Health::Unproven,
         }
@@ -214,22 +220,22 @@
 
     /// Ejects it after a connection failure; the ejection time doubles each time up to a limit.
     pub fn record_failure(&self, now: Instant) {
-        let mut work = self.work();
-        if work.ejected_until.is_some_and(|until| now < until) {
+        let mut activity = self.activity();
+        if activity.ejected_until.is_some_and(|until| now < until) {
             return;
         }
-        work.ejection_time = (work.ejection_time * 2)
+        activity.ejection_time = (activity.ejection_time * 2)
             .clamp(constants::BASE_EJECTION_TIME, constants::MAX_EJECTION_TIME);
-        work.ejected_until = Some(now + work.ejection_time);
+        activity.ejected_until = Some(now + activity.ejection_time);
     }
 
     /// Clears its failures after a response. Returns the shortest idle time after which it closed a connection, if it
     /// did: the engine is alive, so its idle time-out was the cause.
     pub fn record_success(&self) -> Option<Duration> {
-        let mut work = self.work();
-        work.ejection_time = Duration::ZERO;
-        work.ejected_until = None;
-        work.suspected_idle_close.take()
+        let mut activity = self.activity();
+        activity.ejection_time = Duration::ZERO;
+        activity.ejected_until = None;
+        activity.suspected_idle_close.take()
     }
 
     /// Records that it closed a connection after `idle_time`. Ignored if the connection was hardly idle, so that the
@@ -239,9 +245,9 @@
         if idle_time < constants::IDLE_TIMEOUT_MIN || self.state().state() != EngineState::Ready {
             return;
         }
-        let mut work = self.work();
-        work.suspected_idle_close =
-            Some(work.suspected_idle_close.map_or(idle_time, |known| known.min(idle_time)));
+        let mut activity = self.activity();
+        activity.suspected_idle_close =
+            Some(activity.suspected_idle_close.map_or(idle_time, |known| known.min(idle_time)));
     }
 
     /// Takes the most recently used connection, unless it has been idle for longer than `max_idle_time`.
@@ -250,34 +256,34 @@
         now: Instant,
         max_idle_time: Duration,
     ) -> Option<IdleConnection> {
-        let mut work = self.work();
-        work.idle.retain(|idle| idle.is_open(now));
-        let newest = work.idle.iter().rposition(IdleConnection::is_ready)?;
-        if work.idle[newest].idle_time(now) > max_idle_time {
+        let mut activity = self.activity();
+        activity.idle.retain(|idle| idle.is_open(now));
+        let newest = activity.idle.iter().rposition(IdleConnection::is_ready)?;
+        if activity.idle[newest].idle_time(now) > max_idle_time {
             return None;
         }
-        work.idle.remove(newest)
+        activity.idle.remove(newest)
     }
 
     pub(super) fn put_idle(&self, idle: IdleConnection) {
-        let mut work = self.work();
-        if work.idle.len() >= constants::MAX_IDLE_CONNECTIONS {
-            work.idle.pop_front();
+        let mut activity = self.activity();
+        if activity.idle.len() >= constants::MAX_IDLE_CONNECTIONS {
+            activity.idle.pop_front();
         }
-        work.idle.push_back(idle);
+        activity.idle.push_back(idle);
     }
 
     /// Closes the oldest idle connection; false if there is none.
     pub(super) fn drop_oldest_idle(&self) -> bool {
-        self.work().idle.pop_front().is_some()
+        self.activity().idle.pop_front().is_some()
     }
 
     pub(super) fn drop_all_idle(&self) {
-        self.work().idle.clear();
+        self.activity().idle.clear();
     }
 
     pub(super) fn drop_expired_idle(&self, now: Instant) {
-        self.work().idle.retain(|idle| idle.is_open(now));
+        self.activity().idle.retain(|idle| idle.is_open(now));
     }
 }
 
--- a/crates/data-plane/src/pool/idle_timeout.rs
+++ b/crates/data-plane/src/pool/idle_timeout.rs
@@ -80,7 +80,7 @@
 
 impl IdleTimeouts {
     /// The estimate for a service.
-    pub fn of(&self, service: &str) -> Arc<IdleTimeout> {
+    pub fn for_service(&self, service: &str) -> Arc<IdleTimeout> {
         self.services.lock().entry_ref(service).or_default().clone()
     }
 }
--- a/crates/data-plane/src/pool/idle_timeout_tests.rs
+++ b/crates/data-plane/src/pool/idle_timeout_tests.rs
@@ -52,7 +52,7 @@
 fn services_have_separate_estimates() {
     let idle_timeouts = IdleTimeouts::default();
     let now = Instant::now();
-    idle_timeouts.of("a").record_idle_close(ms(500), now);
-    assert_eq!(idle_timeouts.of("a").safe_idle_time(now), ms(300));
-    assert_eq!(idle_timeouts.of("b").safe_idle_time(now), constants::IDLE_TIMEOUT_DEFAULT);
+    idle_timeouts.for_service("a").record_idle_close(ms(500), now);
+    assert_eq!(idle_timeouts.for_service("a").safe_idle_time(now), ms(300));
+    assert_eq!(idle_timeouts.for_service("b").safe_idle_time(now), constants::IDLE_TIMEOUT_DEFAULT);
 }
--- a/crates/data-plane/src/pool/mod.rs
+++ b/crates/data-plane/src/pool/mod.rs
@@ -9,7 +9,7 @@
 pub mod engine;
 pub mod idle_timeout;
 
-pub use engine::{EngineHandle, Health, ReportedLoad, Work};
+pub use engine::{EngineActivity, EngineHandle, Health, ReportedLoad};
 
 use fleet_core::constants;
 use fleet_core::wire::EngineState;
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -7,7 +7,7 @@
 use super::stage::{Accepted, ClientRequest, Dispatched, Responding};
 use crate::Router;
 use crate::fleet_view::FleetView;
-use crate::fleet_view::routing_table::Repeat;
+use crate::fleet_view::routing_table::RetryMode;
 use crate::load_balancer::{self, Choice};
 use crate::pool::connection::{
     self, CheckoutOptions, ConnectionError, PooledConnection, RequestBody, RespondingConnection,
@@ -73,7 +73,7 @@
         let options = CheckoutOptions {
             service: &request.service,
             max_connections: connection_share(&router.fleet_view, request),
-            repeatable: request.repeat != Repeat::Never,
+            repeatable: request.retry_mode != RetryMode::Never,
         };
         let checking_out = connection::checkout(router, &choice.engine, options);
         match run_until(router, send_deadline(request), checking_out).await {
@@ -246,7 +246,7 @@
         let sent = SentRequest {
             attempt_id: &request.attempt_id,
             method: &request.method,
-            repeat: request.repeat,
+            retry_mode: request.retry_mode,
             first_on_connection: self.on_new_connection,
         };
         match response_check::check(head, &sent) {
--- a/crates/data-plane/src/proxy/dispatch_load.rs
+++ b/crates/data-plane/src/proxy/dispatch_load.rs
@@ -18,14 +18,14 @@
     /// Counts a dispatch that is about to be sent.
     pub fn start(choice: &Choice, tokens: u64, interactive: bool) -> DispatchLoad {
         if let Some(source) = &choice.source_engine {
-            source.work().transfers += 1;
+            source.activity().transfers += 1;
         }
         let interactive = u32::from(interactive);
-        let mut work = choice.engine.work();
-        work.runs += 1;
-        work.interactive += interactive;
-        work.unread += choice.prefill_tokens;
-        work.tokens += tokens;
+        let mut activity = choice.engine.activity();
+        activity.in_flight += 1;
+        activity.interactive += interactive;
+        activity.pending_prefill_tokens += choice.prefill_tokens;
+        activity.tokens += tokens;
         DispatchLoad {
             engine: choice.engine.clone(),
             source: choice.source_engine.clone(),
@@ -38,9 +38,9 @@
     /// Removes the prefill load and the KV transfer once the prompt has been prefilled; the running request still
     /// counts.
     pub fn finish_prefill(&mut self) {
-        self.engine.work().unread -= std::mem::take(&mut self.pending_prefill);
+        self.engine.activity().pending_prefill_tokens -= std::mem::take(&mut self.pending_prefill);
         if let Some(source) = self.source.take() {
-            source.work().transfers -= 1;
+            source.activity().transfers -= 1;
         }
     }
 }
@@ -48,9 +48,9 @@
 impl Drop for DispatchLoad {
     fn drop(&mut self) {
         self.finish_prefill();
-        let mut work = self.engine.work();
-        work.runs -= 1;
-        work.interactive -= self.interactive;
-        work.tokens -= self.tokens;
+        let mut activity = self.engine.activity();
+        activity.in_flight -= 1;
+        activity.interactive -= self.interactive;
+        activity.tokens -= self.tokens;
     }
 }
--- a/crates/data-plane/src/proxy/passive_health.rs
+++ b/crates/data-plane/src/proxy/passive_health.rs
@@ -22,12 +22,12 @@
 ) {
     let load = headers::text(head, &headers::INSTANCE_LOAD);
     if let Some(reported) = load.and_then(|text| ReportedLoad::parse(text, Instant::now())) {
-        engine.work().reported = Some(reported);
+        engine.activity().reported = Some(reported);
     }
     let version = headers::text(head, &headers::WEIGHT_VERSIONS);
     let version = version.and_then(|text| text.trim().parse().ok());
     if let (Some(model), Some(version)) = (model, version) {
-        view.saw_weights(engine, model, version);
+        view.record_weights(engine, model, version);
     }
 }
 
@@ -41,14 +41,21 @@
     latency: Duration,
 ) {
     if let Some(idle_time) = choice.engine.record_success() {
-        router.idle_timeouts.of(&request.service).record_idle_close(idle_time, Instant::now());
+        router
+            .idle_timeouts
+            .for_service(&request.service)
+            .record_idle_close(idle_time, Instant::now());
     }
     router.counters.responses.fetch_add(1, Ordering::Relaxed);
     if request.prompt.is_prefill_heavy() {
         record_prefill_heavy_latency(&router.log, &router.counters, &choice.engine, latency);
     }
     if let Some(salt) = choice.salt.as_ref().filter(|_| status.is_success()) {
-        router.fleet_view.prefix_view.sent(&choice.engine.id, salt, &request.prompt.pairs());
+        router.fleet_view.prefix_view.record_dispatch(
+            &choice.engine.id,
+            salt,
+            &request.prompt.part_sizes(),
+        );
     }
 }
 
--- a/crates/data-plane/src/proxy/relay.rs
+++ b/crates/data-plane/src/proxy/relay.rs
@@ -7,7 +7,7 @@
 use super::stage::{ClientRequest, Responding};
 use super::{headers, passive_health};
 use crate::Router;
-use crate::fleet_view::routing_table::Repeat;
+use crate::fleet_view::routing_table::RetryMode;
 use bytes::Bytes;
 use fleet_core::constants;
 use http::{Response, header};
@@ -44,7 +44,7 @@
         responding.connection.release();
         return response;
     }
-    let resumable = responding.request.repeat == Repeat::ByResuming && status.is_success();
+    let resumable = responding.request.retry_mode == RetryMode::ResumeOnly && status.is_success();
     if resumable {
         response.headers_mut().remove(header::CONTENT_LENGTH);
     }
@@ -125,7 +125,7 @@
 /// Records the time that a complete response took.
 fn record_response_time(response_times: &ResponseTimes, request: &ClientRequest) {
     let duration = request.accepted_at.elapsed();
-    response_times.record(&request.service, request.prompt.put_out, duration);
+    response_times.record(&request.service, request.prompt.output_tokens, duration);
 }
 
 fn increment(counter: &AtomicU64) {
--- a/crates/data-plane/src/proxy/request.rs
+++ b/crates/data-plane/src/proxy/request.rs
@@ -6,7 +6,7 @@
 use super::response::{Failure, Rejection, ResponseBody};
 use super::stage::{Accepted, ClientRequest};
 use crate::Router;
-use crate::fleet_view::routing_table::{Table, Tenant, repeat};
+use crate::fleet_view::routing_table::{RoutingTable, Tenant, retry_mode};
 use crate::load_balancer::prompt::Prompt;
 use bytes::Bytes;
 use fleet_core::configuration::Route;
@@ -29,7 +29,7 @@
 
 /// Reads and validates a complete request, and checks that the configuration allows it.
 async fn admit(router: &Router, request: Request<Incoming>) -> Result<Accepted, Rejection> {
-    let arrived = Instant::now();
+    let arrived_at = Instant::now();
     let routing_table = router.fleet_view.routing_table().ok_or(Rejection::NotReady)?;
     let (head, body) = request.into_parts();
     check_framing(&head)?;
@@ -37,21 +37,21 @@
     let tenant = find_tenant(&routing_table, &route, &head.headers)?;
     let attempt_id = head.headers.get(headers::ATTEMPT_ID).cloned().ok_or(Rejection::BadRequest)?;
     let timeout = headers::parse_deadline(&head.headers).ok_or(Rejection::BadRequest)?;
-    let deadline = arrived + timeout.min(Duration::from_millis(route.timeout_ms));
+    let deadline = arrived_at + timeout.min(Duration::from_millis(route.timeout_ms));
     let body = read_body(body, routing_table.limits.max_body_bytes, deadline).await?;
     let service =
-        routing_table.pick(&route, router.random()).ok_or(Rejection::NotReady)?.to_owned();
-    let prompt = Prompt::read(&head.headers);
-    if !router.can_complete(&service, prompt.put_out) {
+        routing_table.pick_service(&route, router.random()).ok_or(Rejection::NotReady)?.to_owned();
+    let prompt = Prompt::from_headers(&head.headers);
+    if !router.can_complete(&service, prompt.output_tokens) {
         router.counters.rejected_at_end.fetch_add(1, Ordering::Relaxed);
         return Err(Rejection::ShuttingDown);
     }
     router.counters.requests.fetch_add(1, Ordering::Relaxed);
-    router.arrived(&service);
+    router.record_request(&service);
     let mut forwarded_headers = head.headers;
     headers::strip_request(&mut forwarded_headers);
     Ok(Accepted::new(ClientRequest {
-        repeat: repeat(&route),
+        retry_mode: retry_mode(&route),
         routing_table,
         route,
         tenant,
@@ -83,13 +83,13 @@
     Ok(())
 }
 
-fn find_route(routing_table: &Table, head: &Parts) -> Result<Arc<Route>, Rejection> {
+fn find_route(routing_table: &RoutingTable, head: &Parts) -> Result<Arc<Route>, Rejection> {
     let host = headers::text(&head.headers, &header::HOST).unwrap_or("");
     routing_table.route(host, head.uri.path()).cloned().ok_or(Rejection::NoRoute)
 }
 
 fn find_tenant(
-    routing_table: &Table,
+    routing_table: &RoutingTable,
     route: &Route,
     headers: &HeaderMap,
 ) -> Result<Option<Arc<Tenant>>, Rejection> {
--- a/crates/data-plane/src/proxy/response_check.rs
+++ b/crates/data-plane/src/proxy/response_check.rs
@@ -2,7 +2,7 @@
 //! the end of the body can be verified. Only this module creates the proofs that `stage` requires.
 
 use super::headers;
-use crate::fleet_view::routing_table::Repeat;
+use crate::fleet_view::routing_table::RetryMode;
 use http::response::Parts;
 use http::{HeaderValue, Method, StatusCode, Version, header};
 
@@ -63,7 +63,7 @@
     /// The method, which decides whether the response has a body.
     pub method: &'a Method,
     /// Whether the request may run more than once.
-    pub repeat: Repeat,
+    pub retry_mode: RetryMode,
     /// No earlier request was sent on this connection, so the response cannot belong to one.
     pub first_on_connection: bool,
 }
@@ -111,7 +111,7 @@
     if head.status.is_success() && !head.headers.contains_key(headers::SERVER_SEAL) {
         return Err(InvalidResponse::Unsealed);
     }
-    if implies_not_executed(head.status) && sent.repeat == Repeat::Never {
+    if implies_not_executed(head.status) && sent.retry_mode == RetryMode::Never {
         return Err(InvalidResponse::UnprovenRejection);
     }
     if !has_provable_end(head, sent.method) {
--- a/crates/data-plane/src/proxy/response_check_tests.rs
+++ b/crates/data-plane/src/proxy/response_check_tests.rs
@@ -11,11 +11,11 @@
     builder.body(()).unwrap().into_parts().0
 }
 
-fn verdict(head: Parts, repeat: Repeat) -> Verdict {
+fn verdict(head: Parts, retry_mode: RetryMode) -> Verdict {
     let sent = SentRequest {
         attempt_id: &HeaderValue::from_static("a"),
         method: &Method::POST,
-        repeat,
+        retry_mode,
         first_on_connection: false,
     };
     check(head, &sent)
@@ -27,12 +27,12 @@
 fn unproven_rejections_are_not_relayed_for_non_repeatable_requests() {
     for status in 200..600 {
         let implies_not_executed = [408, 421, 429, 503].contains(&status);
-        let plain = verdict(head(status, &SEALED), Repeat::Never);
+        let plain = verdict(head(status, &SEALED), RetryMode::Never);
         assert_eq!(matches!(plain, Verdict::Relay(_)), !implies_not_executed, "{status}");
         assert_eq!(matches!(plain, Verdict::NotExecuted(_)), status == 421, "{status}");
         let mut marked = head(status, &SEALED);
         marked.headers.insert(headers::NOT_EXECUTED, HeaderValue::from_static("1"));
-        let proven = matches!(verdict(marked, Repeat::Never), Verdict::NotExecuted(_));
+        let proven = matches!(verdict(marked, RetryMode::Never), Verdict::NotExecuted(_));
         assert_eq!(proven, !(200..300).contains(&status), "{status}");
     }
 }
@@ -40,7 +40,8 @@
 #[test]
 fn relayed_heads_keep_the_status_of_the_engine() {
     for status in [200, 204, 302, 400, 404, 429, 500, 503, 504] {
-        let Verdict::Relay(mut relayed) = verdict(head(status, &SEALED), Repeat::Freely) else {
+        let Verdict::Relay(mut relayed) = verdict(head(status, &SEALED), RetryMode::Unrestricted)
+        else {
             panic!("{status} is not relayed");
         };
         assert_eq!(relayed.status().as_u16(), status);
@@ -67,7 +68,7 @@
         (EndUnprovable, 200, vec![id, seal, length, ("transfer-encoding", "chunked")]),
     ];
     for (expected, status, pairs) in cases {
-        match verdict(head(status, &pairs), Repeat::Never) {
+        match verdict(head(status, &pairs), RetryMode::Never) {
             Verdict::Invalid(got) => assert_eq!(got, expected, "{status} {pairs:?}"),
             other => panic!("{status} {pairs:?}: {other:?}"),
         }
--- a/crates/data-plane/src/proxy/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -9,7 +9,7 @@
 use super::in_flight::InFlightGuard;
 use super::response::{self, Failure, Rejection, ResponseBody};
 use super::response_check::{NotExecuted, RelayableHead};
-use crate::fleet_view::routing_table::{Repeat, Table, Tenant};
+use crate::fleet_view::routing_table::{RetryMode, RoutingTable, Tenant};
 use crate::load_balancer::prompt::Prompt;
 use crate::pool::connection::{NotSent, RespondingConnection};
 use crate::shutdown::Phase;
@@ -27,7 +27,7 @@
 /// A request that was read completely and is allowed by the configuration.
 pub struct ClientRequest {
     /// The configuration under which it is handled from start to end.
-    pub routing_table: Arc<Table>,
+    pub routing_table: Arc<RoutingTable>,
     /// The route that it matched.
     pub route: Arc<Route>,
     /// The tenant whose API key it carries; `None` on a public route without a key.
@@ -37,7 +37,7 @@
     /// What its headers say about its prompt.
     pub prompt: Prompt,
     /// Whether it may run more than once.
-    pub repeat: Repeat,
+    pub retry_mode: RetryMode,
     /// When it had been read completely.
     pub accepted_at: Instant,
     /// The client's deadline or the route's time-out, whichever comes first.
@@ -74,7 +74,7 @@
 
     /// Takes one retry from the budget; false if none is left or allowed.
     fn spend_retry(&self, router: &Router) -> bool {
-        let allowed = self.has_attempts_left() && router.spend(&self.service);
+        let allowed = self.has_attempts_left() && router.try_spend_retry(&self.service);
         if allowed {
             router.counters.retries.fetch_add(1, Ordering::Relaxed);
         }
@@ -186,7 +186,7 @@
     ///
     /// Returns the request unchanged if it may not be dispatched again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Dispatched> {
-        if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
+        if self.request.retry_mode == RetryMode::Never || !self.request.spend_retry(router) {
             return Err(self);
         }
         Ok(Accepted { request: self.request, may_have_run: true })
@@ -212,7 +212,8 @@
 impl Responding {
     /// Whether the response is a server error and the request may be dispatched to another engine instead.
     pub fn is_retryable(&self) -> bool {
-        let allowed = self.request.repeat != Repeat::Never && self.request.has_attempts_left();
+        let allowed =
+            self.request.retry_mode != RetryMode::Never && self.request.has_attempts_left();
         allowed && self.head.status().is_server_error()
     }
 
@@ -222,7 +223,7 @@
     ///
     /// Returns the response if the request may not be dispatched again.
     pub fn retry(self, router: &Router) -> Result<Accepted, Box<Responding>> {
-        if self.request.repeat == Repeat::Never || !self.request.spend_retry(router) {
+        if self.request.retry_mode == RetryMode::Never || !self.request.spend_retry(router) {
             return Err(Box::new(self));
         }
         Ok(Accepted { request: self.request, may_have_run: true })
--- a/crates/data-plane/src/retry_budget.rs
+++ b/crates/data-plane/src/retry_budget.rs
@@ -86,14 +86,14 @@
     }
 
     /// Records a request of a client for this service.
-    pub fn arrived(&self, service: &str) {
+    pub fn record_request(&self, service: &str) {
         let policy = self.retry_budget_policy();
         let mut budgets = self.budgets.by_service.lock();
         budgets.entry_ref(service).or_default().record_request(Instant::now(), &policy);
     }
 
     /// Charges one retry to the budget of this service. Returns false, and charges nothing, if the budget is exhausted.
-    pub fn spend(&self, service: &str) -> bool {
+    pub fn try_spend_retry(&self, service: &str) -> bool {
         let policy = self.retry_budget_policy();
         let mut budgets = self.budgets.by_service.lock();
         budgets.entry_ref(service).or_default().try_spend(Instant::now(), &policy)
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -74,7 +74,7 @@
         let router = Router::assemble(settings, slog::Logger::root(slog::Discard, slog::o!()));
         let members = ips.map(|ip| Member { ip: ip.to_string(), ..Default::default() }).into();
         let membership = Some(Membership { epoch: 1, members });
-        router.fleet_view.apply(&FleetUpdate { membership, ..Default::default() });
+        router.fleet_view.apply_update(&FleetUpdate { membership, ..Default::default() });
         tokio::spawn(links::run_link_maintenance(router.clone()));
         tokio::spawn(config_fetch::run_config_fetch(router.clone()));
         let mut peers = Vec::new();
--- a/crates/data-plane/tests/engines/harness.rs
+++ b/crates/data-plane/tests/engines/harness.rs
@@ -1,7 +1,7 @@
 //! A router on the loopback interface, stub engines that follow scripts, and a raw HTTP client.
 
 use data_plane::Router;
-use data_plane::fleet_view::routing_table::Table;
+use data_plane::fleet_view::routing_table::RoutingTable;
 use fleet_core::wire::{Engine, FleetUpdate, TargetWeights, Weights};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -188,13 +188,15 @@
             "limits": {"maxHeaderBytes": 8192, "maxBodyBytes": 1000, "headerTimeoutMs": 3000, "idleTimeoutMs": 9000},
             "tenants": [{"name": "t1", "apiKeys": ["k1"]}, {"name": "t2", "apiKeys": ["k2"], "isolated": true}],
         });
-        router.fleet_view.set_table(Table::compile(config.to_string().as_bytes(), 4).unwrap());
+        router
+            .fleet_view
+            .set_routing_table(RoutingTable::compile(config.to_string().as_bytes(), 4).unwrap());
         let update = FleetUpdate {
             engines: engines.iter().map(|stub| engine_state(stub)).collect(),
             weights: vec![TargetWeights { model: "m".into(), version: 2, age_ms: 0 }],
             ..Default::default()
         };
-        router.fleet_view.apply(&update);
+        router.fleet_view.apply_update(&update);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let router_address = listener.local_addr().unwrap();
         tokio::spawn(data_plane::proxy::run_client_listener(router.clone(), listener));
--- a/crates/data-plane/tests/engines/idle_connections.rs
+++ b/crates/data-plane/tests/engines/idle_connections.rs
@@ -122,7 +122,7 @@
         engines: vec![super::harness::engine_state(&other)],
         ..Default::default()
     };
-    fleet.router.fleet_view.apply(&update);
+    fleet.router.fleet_view.apply_update(&update);
     advance_time(ms(3000)).await;
     send_ok(&fleet, "/safe/").await;
     assert_eq!((resetting.received_count(), other.received_count()), (3, 0));
--- a/crates/data-plane/tests/engines/main.rs
+++ b/crates/data-plane/tests/engines/main.rs
@@ -111,7 +111,7 @@
         engine.call = 2;
         edit(&mut engine);
         let weights = vec![TargetWeights { model: "m".into(), version: 3, age_ms }];
-        fleet.router.fleet_view.apply(&FleetUpdate {
+        fleet.router.fleet_view.apply_update(&FleetUpdate {
             engines: vec![engine],
             weights,
             ..Default::default()
@@ -334,30 +334,35 @@
     let prefill_heavy = request("/once/", "")
         .replace("aa:10,bb:10,cc:10", "aa:2000,bb:3000,cc:100")
         .replace("30,5", "5100,5");
-    fleet.router.fleet_view.prefix_view.put(data_plane::fleet_view::invalidations::ViewUpdate {
-        reset: false,
-        snapshot: vec![CachedParts {
-            holder: "e1".into(),
-            salt: "m|2|#4".into(),
-            parts: vec![0xaa, 0xbb],
-            cached_tokens: vec![2000, 3000],
-        }],
-        entries: Vec::new(),
-    });
+    fleet.router.fleet_view.prefix_view.queue_update(
+        data_plane::fleet_view::invalidations::ViewUpdate {
+            reset: false,
+            snapshot: vec![CachedParts {
+                holder: "e1".into(),
+                salt: "m|2|#4".into(),
+                parts: vec![0xaa, 0xbb],
+                cached_tokens: vec![2000, 3000],
+            }],
+            entries: Vec::new(),
+        },
+    );
     let mut engine = harness::engine_state(&old);
     engine.call = 2;
     engine.set_state(EngineState::Draining);
     fleet
         .router
         .fleet_view
-        .apply(&FleetUpdate { engines: vec![engine.clone()], ..Default::default() });
+        .apply_update(&FleetUpdate { engines: vec![engine.clone()], ..Default::default() });
     assert_eq!(status(&fleet.send_raw(prefill_heavy.as_bytes()).await), 200);
     assert_eq!((old.received_count(), new.received_count()), (0, 1));
     let source = new.received.lock()[0].header("x-kv-source").map(str::to_owned);
     assert_eq!(source, Some(old.address.to_string()));
     engine.call = 3;
     engine.set_state(EngineState::Deregistered);
-    fleet.router.fleet_view.apply(&FleetUpdate { engines: vec![engine], ..Default::default() });
+    fleet
+        .router
+        .fleet_view
+        .apply_update(&FleetUpdate { engines: vec![engine], ..Default::default() });
     let other = prefill_heavy.replace("cc:100", "cd:100").replace("bb:", "be:");
     assert_eq!(status(&fleet.send_raw(other.as_bytes()).await), 200);
     assert_eq!(new.received.lock()[1].header("x-kv-source"), None);
--- a/crates/data-plane/tests/engines/outdated_weights.rs
+++ b/crates/data-plane/tests/engines/outdated_weights.rs
@@ -14,7 +14,7 @@
 /// Announces version 3, so that the weights of the harness's engines are outdated.
 fn announce_newer_weights(fleet: &Fleet) {
     let weights = vec![TargetWeights { model: "m".into(), version: 3, age_ms: 0 }];
-    fleet.router.fleet_view.apply(&FleetUpdate { weights, ..Default::default() });
+    fleet.router.fleet_view.apply_update(&FleetUpdate { weights, ..Default::default() });
 }
 
 /// Sends a request to an engine that never responds, and lets the version bound pass. Returns the status, and how
@@ -32,7 +32,10 @@
         wait_until(|| silent.received_count() == 1).await;
         let mut newest = engine_state(&updated);
         newest.weights = vec![Weights { model: "m".into(), version: 3 }];
-        fleet.router.fleet_view.apply(&FleetUpdate { engines: vec![newest], ..Default::default() });
+        fleet
+            .router
+            .fleet_view
+            .apply_update(&FleetUpdate { engines: vec![newest], ..Default::default() });
         advance_time(BOUND - constants::VERSION_CUTOFF_MARGIN).await;
     };
     let (response, ()) = tokio::join!(sending, pass_bound);
--- a/crates/data-plane/tests/engines/responses.rs
+++ b/crates/data-plane/tests/engines/responses.rs
@@ -288,7 +288,7 @@
         let fleet = Fleet::start(&[&stub]).await;
         fleet.send("/once/", "").await;
         let engine = fleet.router.fleet_view.engines.read()["e1"].clone();
-        let running = engine.work().reported.map(|reported| reported.running);
+        let running = engine.activity().reported.map(|reported| reported.running);
         assert_eq!(running, recorded, "{id}");
     }
 }
--- a/crates/data-plane/tests/invalidations.rs
+++ b/crates/data-plane/tests/invalidations.rs
@@ -34,7 +34,7 @@
         index.cells().iter().any(|cell| !cell.query(&chain, &HolderBitmap::ALL).groups.is_empty())
     };
     assert!(!holds(&prefix_view));
-    prefix_view.put(ViewUpdate {
+    prefix_view.queue_update(ViewUpdate {
         reset: true,
         snapshot: vec![CachedParts {
             holder: "e".into(),
@@ -51,7 +51,7 @@
         part: 4,
         cached_tokens: 0,
     });
-    prefix_view.put(ViewUpdate {
+    prefix_view.queue_update(ViewUpdate {
         reset: false,
         snapshot: Vec::new(),
         entries: vec![RingEntry { scope: 0, what: Some(eviction) }],
--- a/crates/data-plane/tests/load_reports.rs
+++ b/crates/data-plane/tests/load_reports.rs
@@ -48,21 +48,21 @@
     let fleet_view = data_plane::fleet_view::FleetView::new();
     let engine_update =
         Engine { id: "e".into(), address: "10.0.0.9:80".into(), ..Default::default() };
-    fleet_view.apply(&FleetUpdate { engines: vec![engine_update], ..Default::default() });
+    fleet_view.apply_update(&FleetUpdate { engines: vec![engine_update], ..Default::default() });
     let engine = fleet_view.engines.read()["e"].clone();
     {
-        let mut work = engine.work();
-        work.runs = 2;
-        work.last_published = work.own();
-        work.runs = 3;
+        let mut activity = engine.activity();
+        activity.in_flight = 2;
+        activity.last_reported = activity.own();
+        activity.in_flight = 3;
     }
     let reported_load = fleet_core::load::Load { unread: 640, runs: 5, interactive: 0 };
     let sum = std::iter::once((engine.key, reported_load)).collect();
     fleet_view.update_loads(&fleet_core::load::pack(&sum));
     let now = tokio::time::Instant::now();
-    let all = engine.work().all(now);
-    assert_eq!((all.runs, all.unread), (6, 640));
-    let expired = engine.work().all(now + fleet_core::constants::LOAD_REPORT_TIMEOUT);
+    let total = engine.activity().total_load(now);
+    assert_eq!((total.runs, total.unread), (6, 640));
+    let expired = engine.activity().total_load(now + fleet_core::constants::LOAD_REPORT_TIMEOUT);
     assert_eq!(
         (expired.runs, expired.unread),
         (3, 0),
--- a/crates/data-plane/tests/version_bound.rs
+++ b/crates/data-plane/tests/version_bound.rs
@@ -2,7 +2,7 @@
 //! acknowledgement of the first version that the engine lacks, whatever is announced or restarted since.
 
 use data_plane::Router;
-use data_plane::fleet_view::routing_table::Table;
+use data_plane::fleet_view::routing_table::RoutingTable;
 use data_plane::load_balancer::choose_engine;
 use data_plane::load_balancer::prompt::Prompt;
 use fleet_core::settings::Settings;
@@ -18,7 +18,7 @@
 }
 
 /// A router that knows one engine with version 1 of the model, and a configuration with the engine's service.
-fn router() -> (Arc<Router>, Arc<Table>) {
+fn router() -> (Arc<Router>, Arc<RoutingTable>) {
     let text = "nodeName=r1\nip=127.0.0.1\nzone=z\nportRange=1,9\nbounds.versionMs=8000\n";
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let router = Router::assemble(Settings::parse(text).unwrap(), log);
@@ -30,9 +30,11 @@
             "kvTokenBytes": 300_000, "linkMbps": 1_000_000.0}}],
         "limits": {"maxHeaderBytes": 8192, "maxBodyBytes": 1000, "headerTimeoutMs": 3000, "idleTimeoutMs": 9000},
     });
-    let table = Table::compile(configuration.to_string().as_bytes(), 1).unwrap();
-    router.fleet_view.set_table(table);
-    router.fleet_view.apply(&FleetUpdate { engines: vec![engine(1, 1)], ..Default::default() });
+    let table = RoutingTable::compile(configuration.to_string().as_bytes(), 1).unwrap();
+    router.fleet_view.set_routing_table(table);
+    router
+        .fleet_view
+        .apply_update(&FleetUpdate { engines: vec![engine(1, 1)], ..Default::default() });
     let table = router.fleet_view.routing_table().unwrap();
     (router, table)
 }
@@ -52,17 +54,17 @@
 
 fn announce_target(router: &Router, version: u64, age_ms: u64) {
     let weights = vec![TargetWeights { model: "m".into(), version, age_ms }];
-    router.fleet_view.apply(&FleetUpdate { weights, ..Default::default() });
+    router.fleet_view.apply_update(&FleetUpdate { weights, ..Default::default() });
 }
 
 fn prompt() -> Prompt {
     let mut headers = http::HeaderMap::new();
     headers.insert("x-model", http::HeaderValue::from_static("m"));
     headers.insert("x-token-count", http::HeaderValue::from_static("30,5"));
-    Prompt::read(&headers)
+    Prompt::from_headers(&headers)
 }
 
-fn can_dispatch((router, table): &(Arc<Router>, Arc<Table>)) -> bool {
+fn can_dispatch((router, table): &(Arc<Router>, Arc<RoutingTable>)) -> bool {
     choose_engine(router, table, "s", None, &prompt(), &[]).is_ok()
 }
 
@@ -89,7 +91,10 @@
     announce_target(&fixture.0, 2, 0);
     tokio::time::advance(ms(4400)).await;
     announce_target(&fixture.0, 3, 0);
-    fixture.0.fleet_view.apply(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
+    fixture
+        .0
+        .fleet_view
+        .apply_update(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
     tokio::time::advance(BOUND - ms(4400)).await;
     assert!(
         can_dispatch(&fixture),
@@ -112,7 +117,10 @@
 async fn the_newest_weights_have_no_bound() {
     let fixture = router();
     announce_target(&fixture.0, 2, 0);
-    fixture.0.fleet_view.apply(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
+    fixture
+        .0
+        .fleet_view
+        .apply_update(&FleetUpdate { engines: vec![engine(2, 2)], ..Default::default() });
     tokio::time::advance(BOUND * 10).await;
     assert!(can_dispatch(&fixture));
 }
--- a/crates/router/tests/version_bound.rs
+++ b/crates/router/tests/version_bound.rs
@@ -7,7 +7,7 @@
 
 use control_plane::cluster_state::{ClusterStateStore, StateChange};
 use data_plane::Router;
-use data_plane::fleet_view::routing_table::Table;
+use data_plane::fleet_view::routing_table::RoutingTable;
 use data_plane::load_balancer::choose_engine;
 use data_plane::load_balancer::prompt::Prompt;
 use fleet_core::constants;
@@ -76,7 +76,9 @@
             "service": "s", "maxAttempts": 1}],
         "services": [{"name": "s", "maxConns": 100}],
     });
-    router.fleet_view.set_table(Table::compile(configuration.to_string().as_bytes(), 1).unwrap());
+    router
+        .fleet_view
+        .set_routing_table(RoutingTable::compile(configuration.to_string().as_bytes(), 1).unwrap());
     router
 }
 
@@ -158,7 +160,7 @@
             let (position, update) = controller.store.update_since(controller.sent_position);
             controller.sent_position = Some(position);
             if let Some(update) = update {
-                self.router.fleet_view.apply(&update);
+                self.router.fleet_view.apply_update(&update);
             }
         }
     }
@@ -166,7 +168,7 @@
     fn router_selects_engine(&self) -> bool {
         let mut headers = http::HeaderMap::new();
         headers.insert("x-model", http::HeaderValue::from_static("m"));
-        let prompt = Prompt::read(&headers);
+        let prompt = Prompt::from_headers(&headers);
         let table = self.router.fleet_view.routing_table().unwrap();
         choose_engine(&self.router, &table, "s", None, &prompt, &[]).is_ok()
     }
