--- a/crates/control-plane/src/index_owner/feed.rs
+++ b/crates/control-plane/src/index_owner/feed.rs
@@ -3,7 +3,7 @@
 use super::published::PublishedIndex;
 use fleet_core::constants;
 use fleet_core::wire::{RingRequest, RingResponse};
-use invalidation::ring::Read;
+use invalidation::ring::ReadResult;
 use tokio::time::Instant;
 
 /// Kind of a ring reader.
@@ -21,7 +21,7 @@
     /// to retry later.
     pub fn answer(&self, request: &RingRequest, reader: Reader) -> RingResponse {
         self.readers.lock().insert(request.reader, Instant::now());
-        self.entries(request).unwrap_or_else(|| self.refill(request.reader, reader))
+        self.entries(request).unwrap_or_else(|| self.snapshot_response(request.reader, reader))
     }
 
     /// Entries and findings after the reader's cursor; `None` if the cursor is unknown here or was overrun.
@@ -35,9 +35,9 @@
             self.ring.cursor(request.reader).filter(|cursor| cursor.next() == request.cursor)?;
         let snapshot = self.index.lock().findings_since(request.found);
         let entries = match self.ring.read(&cursor, constants::RING_LAG_THRESHOLD as usize) {
-            Read::Nothing => Vec::new(),
-            Read::Entries(entries) => entries,
-            Read::Reset(_) => return None,
+            ReadResult::UpToDate => Vec::new(),
+            ReadResult::Entries(entries) => entries,
+            ReadResult::Reset(_) => return None,
         };
         let head = Some(self.head());
         Some(RingResponse { head, reset: false, cursor: cursor.next(), entries, snapshot })
@@ -45,7 +45,7 @@
 
     /// A snapshot, or a response without a head while a new owner is still learning from the holders, or while the
     /// snapshots in flight already use up the bandwidth.
-    fn refill(&self, reader_id: u64, reader: Reader) -> RingResponse {
+    fn snapshot_response(&self, reader_id: u64, reader: Reader) -> RingResponse {
         let now = Instant::now();
         let (snapshot, cursor) = {
             let index = self.index.lock();
@@ -53,7 +53,7 @@
             if now < self.serves_from || !(is_granted || reader == Reader::Relay) {
                 return RingResponse::default();
             }
-            (index.snapshot(), self.ring.enter(reader_id).1)
+            (index.snapshot(), self.ring.register_reader(reader_id).1)
         };
         let head = Some(self.head());
         RingResponse { head, reset: true, cursor, snapshot, entries: Vec::new() }
--- a/crates/control-plane/src/index_owner/index.rs
+++ b/crates/control-plane/src/index_owner/index.rs
@@ -3,7 +3,7 @@
 use fleet_core::constants;
 use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry};
 use invalidation::cache::Cache;
-use invalidation::draft::Local;
+use invalidation::pending_change::LocalCache;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -43,27 +43,27 @@
     findings_total: u64,
 }
 
-impl Local<RingEntry> for Index {
+impl LocalCache<RingEntry> for Index {
     fn apply(&mut self, entry: &RingEntry) {
         invalidation::cache::apply(self, entry, |_| true);
     }
 
     /// Removing an entry is idempotent.
-    fn reflush(&mut self, entry: &RingEntry) {
+    fn invalidate_again(&mut self, entry: &RingEntry) {
         self.apply(entry);
     }
 }
 
 impl Cache for Index {
     /// Adds a holder that responds but is not known to cache anything yet.
-    fn meet(&mut self, holder: &str) {
+    fn add_holder(&mut self, holder: &str) {
         if !self.holders.contains_key(holder) {
             let (holder, _) = self.intern(holder, None);
             self.add_finding(holder, Arc::from(""), 0, 0);
         }
     }
 
-    fn found(&mut self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
+    fn register_part(&mut self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
         let cached = cached.unwrap_or(0);
         if !self.shared_parts.contains(&part) {
             let unshared_part = (Arc::from(holder), Arc::from(salt), cached);
@@ -77,7 +77,7 @@
         }
     }
 
-    fn evict(&mut self, holder: &str, salt: &str, part: u64, _: u64) {
+    fn evict_part(&mut self, holder: &str, salt: &str, part: u64, _: u64) {
         if let Some(parts) = self.holders.get_mut(holder).and_then(|salts| salts.get_mut(salt)) {
             parts.remove(&part);
         }
@@ -88,7 +88,7 @@
         }
     }
 
-    fn drop_holder(&mut self, holder: &str) {
+    fn remove_holder(&mut self, holder: &str) {
         self.holders.remove(holder);
         for generation in &mut self.unshared {
             generation.retain(|_, locations| {
@@ -98,13 +98,13 @@
         }
     }
 
-    fn drop_salts(&mut self, is_void: &dyn Fn(&str) -> bool) {
+    fn remove_salts(&mut self, is_invalid: &dyn Fn(&str) -> bool) {
         for salts in self.holders.values_mut() {
-            salts.retain(|salt, _| !is_void(salt));
+            salts.retain(|salt, _| !is_invalid(salt));
         }
         for generation in &mut self.unshared {
             generation.retain(|_, locations| {
-                locations.retain(|(_, salt, _)| !is_void(salt));
+                locations.retain(|(_, salt, _)| !is_invalid(salt));
                 !locations.is_empty()
             });
         }
@@ -170,10 +170,15 @@
                 .flatten()
                 .collect();
             for (holder, salt, cached) in unshared {
-                self.found(&holder, &salt, *part, Some(cached).filter(|tokens| *tokens > 0));
+                self.register_part(
+                    &holder,
+                    &salt,
+                    *part,
+                    Some(cached).filter(|tokens| *tokens > 0),
+                );
             }
         }
-        invalidation::cache::refill(self, found);
+        invalidation::cache::apply_snapshot(self, found);
     }
 
     fn add_finding(&mut self, holder: Arc<str>, salt: Arc<str>, part: u64, cached: u64) {
@@ -238,11 +243,11 @@
     /// Applies a batch of events of one holder, and returns the invalidations of the shared parts that it evicted.
     pub fn apply_events(&mut self, holder: &str, batch: &KvEvents) -> Vec<Invalidation> {
         let mut invalidations = Vec::new();
-        self.meet(holder);
+        self.add_holder(holder);
         for (_, sign, salt, id, cached, _) in &batch.events {
             let Ok(part) = u64::from_str_radix(id, 16) else { continue };
             if sign == "+" {
-                self.found(holder, salt, part, Some(*cached));
+                self.register_part(holder, salt, part, Some(*cached));
             } else if self.shared_parts.contains(&part) {
                 invalidations.push(Invalidation::Part(PartLocation {
                     holder: holder.to_owned(),
@@ -251,7 +256,7 @@
                     cached_tokens: *cached,
                 }));
             } else {
-                self.evict(holder, salt, part, *cached);
+                self.evict_part(holder, salt, part, *cached);
             }
         }
         invalidations
--- a/crates/control-plane/src/index_owner/index_tests.rs
+++ b/crates/control-plane/src/index_owner/index_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use fleet_core::wire::Weights;
-use invalidation::draft::Draft;
+use invalidation::pending_change::PendingChange;
 use invalidation::ring::Ring;
 
 fn events(list: &str) -> KvEvents {
@@ -26,11 +26,11 @@
         PartLocation { holder: "h".into(), salt: "m|1|#1".into(), part: 0xff, cached_tokens: 0 };
     assert_eq!(invalidations, vec![Invalidation::Part(part)]);
     let ring = Ring::new(8, 4, 4);
-    let mut draft = Draft::open(&mut index);
+    let mut change = PendingChange::begin(&mut index);
     for what in invalidations {
-        draft.add(RingEntry { scope: 0, what: Some(what) });
+        change.add(RingEntry { scope: 0, what: Some(what) });
     }
-    draft.commit(&ring);
+    change.commit(&ring);
     assert_eq!(ring.head(), 1);
     let snapshot: Vec<CachedParts> = index.snapshot();
     let cached: Vec<_> =
@@ -70,14 +70,14 @@
 fn unshared_parts_are_bounded_and_dropped_with_their_holder() {
     let mut index = Index::default();
     for i in 0..constants::UNSHARED_PARTS_CAPACITY as u64 * 3 {
-        index.found("a", "m|1|#1", i, None);
+        index.register_part("a", "m|1|#1", i, None);
     }
     let count = index.unshared.iter().map(|generation| generation.len()).sum::<usize>();
     assert!(
         count <= 2 * constants::UNSHARED_PARTS_CAPACITY
             && count > constants::UNSHARED_PARTS_CAPACITY / 2
     );
-    index.drop_holder("a");
+    index.remove_holder("a");
     assert!(index.unshared.iter().all(|generation| generation.is_empty()));
 }
 
@@ -103,7 +103,7 @@
     index.record_found(&[cached("stays", vec![u64::MAX])]);
     for part in 0..constants::SHARED_PARTS_CAPACITY as u64 * 3 {
         index.record_found(&[cached("h", vec![part])]);
-        index.evict("h", "m|1|#1", part, 0);
+        index.evict_part("h", "m|1|#1", part, 0);
     }
     assert!(
         index.shared_parts.len() <= constants::SHARED_PARTS_CAPACITY,
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -9,7 +9,7 @@
 use crate::process::Process;
 use fleet_core::constants;
 use fleet_core::wire::{Body, FleetUpdate, Invalidation, RingEntry, RingHead};
-use invalidation::draft::Draft;
+use invalidation::pending_change::PendingChange;
 use invalidation::ring::Ring;
 use parking_lot::Mutex;
 use std::sync::Arc;
@@ -72,11 +72,11 @@
     pub fn commit(&self, entries: impl IntoIterator<Item = Invalidation>) {
         let lagging = {
             let mut index = self.index.lock();
-            let mut draft = Draft::open(&mut *index);
+            let mut change = PendingChange::begin(&mut *index);
             for invalidation in entries {
-                draft.add(RingEntry { scope: 0, what: Some(invalidation) });
+                change.add(RingEntry { scope: 0, what: Some(invalidation) });
             }
-            draft.commit(&self.ring)
+            change.commit(&self.ring)
         };
         for reader in lagging {
             let nudge = FleetUpdate { nudge: true, ..Default::default() };
@@ -102,7 +102,7 @@
             is_live
         });
         for reader in inactive {
-            self.ring.drop_reader(reader);
+            self.ring.remove_reader(reader);
         }
     }
 }
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -22,7 +22,7 @@
 use fleet_core::log::Event;
 use fleet_core::node::id_of;
 use fleet_core::wire::{Body, CachedPrefixes, FleetUpdate, RingHead};
-use invalidation::reader::{RingPosition, ViewUpdate, step};
+use invalidation::reader::{RingPosition, ViewUpdate, apply_response};
 use parking_lot::Mutex;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -152,7 +152,7 @@
         let response = link.call(Body::RingRequest(request), timeout).await;
         let Ok(Body::RingResponse(response)) = response else { return false };
         let head = response.head.as_ref().map_or(0, |head| head.head);
-        let Some((next, update)) = step(self.position, response) else { return false };
+        let Some((next, update)) = apply_response(self.position, response) else { return false };
         self.position = next;
         self.last_response = Some(Instant::now());
         let Some(update) = update else { return false };
--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::pool::EngineHandle;
 use fleet_core::constants;
 use fleet_core::wire::{Engine, EngineState};
-use prompt_index::{At, Index};
+use prompt_index::{Index, IndexLocation};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -13,7 +13,7 @@
     /// Handle of the engine, with its current load and health.
     pub engine: Arc<EngineHandle>,
     /// Position of the engine in the prompt index.
-    pub index_position: At,
+    pub index_location: IndexLocation,
     /// State that controllers had reported when the set was built.
     pub state: Engine,
     /// Whether the engine is in the router's zone.
@@ -76,8 +76,8 @@
 struct CacheKey {
     /// Number of updates of engines.
     engine_updates: u64,
-    /// Number of reassignments of positions in the prompt index.
-    index_moves: u64,
+    /// Number of reassignments of locations in the prompt index.
+    location_changes: u64,
 }
 
 /// The engines of one service.
@@ -101,7 +101,7 @@
         let mut endpoints: Vec<Endpoint> = engines
             .into_iter()
             .map(|(engine, state)| Endpoint {
-                index_position: index.admit(&engine.id),
+                index_location: index.admit(&engine.id),
                 same_zone: state.zone == viewpoint.zone,
                 prefill_heavy: false,
                 distance: viewpoint.distance(&engine.id, state.zone == viewpoint.zone),
@@ -112,14 +112,14 @@
             .collect();
         Self::assign_prefill_heavy(&mut endpoints, interactive);
         let cells =
-            endpoints.iter().map(|endpoint| endpoint.index_position.cell + 1).max().unwrap_or(0);
+            endpoints.iter().map(|endpoint| endpoint.index_location.cell + 1).max().unwrap_or(0);
         let mut endpoint_by_holder = vec![[NO_ENDPOINT; 256]; cells];
         for (i, endpoint) in endpoints.iter().enumerate() {
-            endpoint_by_holder[endpoint.index_position.cell]
-                [usize::from(endpoint.index_position.no.index)] = i as u16;
+            endpoint_by_holder[endpoint.index_location.cell]
+                [usize::from(endpoint.index_location.slot.index)] = i as u16;
         }
         EndpointSet {
-            key: CacheKey { engine_updates, index_moves: index.moves() },
+            key: CacheKey { engine_updates, location_changes: index.location_changes() },
             endpoints,
             endpoint_by_holder,
         }
@@ -198,7 +198,7 @@
     ) -> Arc<EndpointSet> {
         let key = CacheKey {
             engine_updates: self.engine_updates.load(Ordering::Acquire),
-            index_moves: index.moves(),
+            location_changes: index.location_changes(),
         };
         if let Some(endpoint_set) =
             self.cached.lock().get(service).filter(|endpoint_set| endpoint_set.key == key)
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -8,7 +8,7 @@
 use fleet_core::log::Event;
 use fleet_core::wire::{Body, CachedParts, CachedPrefixes};
 use invalidation::cache::Cache;
-pub use invalidation::reader::{RingPosition, ViewUpdate, step};
+pub use invalidation::reader::{RingPosition, ViewUpdate, apply_response};
 use prompt_index::Index;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,24 +18,24 @@
 struct IndexCache<'a>(&'a Index);
 
 impl Cache for IndexCache<'_> {
-    fn meet(&mut self, holder: &str) {
+    fn add_holder(&mut self, holder: &str) {
         self.0.admit(holder);
     }
 
-    fn found(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>) {
-        self.0.registered(holder, salt, part, cached_tokens);
+    fn register_part(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>) {
+        self.0.register_part(holder, salt, part, cached_tokens);
     }
 
-    fn evict(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64) {
-        self.0.evicted(holder, salt, part, cached_tokens);
+    fn evict_part(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64) {
+        self.0.evict_part(holder, salt, part, cached_tokens);
     }
 
-    fn drop_holder(&mut self, holder: &str) {
+    fn remove_holder(&mut self, holder: &str) {
         self.0.remove(holder);
     }
 
-    fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool) {
-        self.0.void(void);
+    fn remove_salts(&mut self, is_invalid: &dyn Fn(&str) -> bool) {
+        self.0.invalidate_salts(is_invalid);
     }
 
     fn reset(&mut self) {
@@ -90,15 +90,15 @@
     /// list there are queued to be reported.
     pub fn record_dispatch(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
         let index = self.current_index();
-        let position = index.admit(holder);
-        let Some(cell) = index.cell(position.cell) else { return };
+        let location = index.admit(holder);
+        let Some(cell) = index.cell(location.cell) else { return };
         let shared = &parts[..parts.len().saturating_sub(1)];
         let chain = index.chain(salt, parts.iter().copied());
-        index.learn(salt, &chain);
-        let holder_only = prompt_index::HolderBitmap::one(position.no.index);
-        let depth = cell.query(&chain, &holder_only).of(position.no.index);
+        index.insert_chain(salt, &chain);
+        let holder_only = prompt_index::HolderBitmap::single(location.slot.index);
+        let depth = cell.query(&chain, &holder_only).depth_of(location.slot.index);
         for (part, _) in &parts[depth.min(parts.len())..] {
-            index.registered(holder, salt, *part, None);
+            index.register_part(holder, salt, *part, None);
         }
         if depth < shared.len() {
             self.queue_finding(holder, salt, &shared[depth..]);
@@ -234,7 +234,7 @@
         return Fetch::NoAnswer;
     };
     let head = response.head.as_ref().map_or(0, |head| head.head);
-    let Some((next, update)) = step(*position, response) else { return Fetch::Done };
+    let Some((next, update)) = apply_response(*position, response) else { return Fetch::Done };
     *position = next;
     let Some(update) = update else { return Fetch::Done };
     if update.reset {
--- a/crates/data-plane/src/load_balancer/kv_transfer.rs
+++ b/crates/data-plane/src/load_balancer/kv_transfer.rs
@@ -89,9 +89,9 @@
 
     fn add_stores(&mut self, request: &RequestProfile, cell: usize, hits: &Depths, chain: &Chain) {
         for (rank, store) in
-            request.stores.iter().enumerate().filter(|(_, store)| store.index_position.cell == cell)
+            request.stores.iter().enumerate().filter(|(_, store)| store.index_location.cell == cell)
         {
-            let tokens = chain.tokens(hits.of(store.index_position.no.index));
+            let tokens = chain.tokens(hits.depth_of(store.index_location.slot.index));
             if rank == 0 {
                 self.stored_tokens = tokens;
             }
--- a/crates/data-plane/src/load_balancer/prefix_cache.rs
+++ b/crates/data-plane/src/load_balancer/prefix_cache.rs
@@ -52,12 +52,12 @@
 }
 
 fn prefix_cache(context: &SelectionContext, weights: Weights, isolation: &str) -> PrefixCache {
-    let salt = invalidation::salt::salt_text(weights.model, weights.version, isolation);
+    let salt = invalidation::salt::format_salt(weights.model, weights.version, isolation);
     let part_sizes = context.request.prompt.part_sizes();
     let chain = context.index.chain(&salt, part_sizes.iter().copied());
     let shared = chain.len().min(part_sizes.len().saturating_sub(1));
     if shared > 0 {
-        context.index.learn(&salt, &Chain(chain.0[..shared].into()));
+        context.index.insert_chain(&salt, &Chain(chain.0[..shared].into()));
     }
     let mut depths = vec![0u16; context.endpoint_set.endpoints.len()];
     let mut sources = Sources::default();
--- a/crates/data-plane/src/load_balancer/request_profile.rs
+++ b/crates/data-plane/src/load_balancer/request_profile.rs
@@ -5,7 +5,7 @@
 use crate::fleet_view::routing_table::RoutingTable;
 use fleet_core::configuration::Service;
 use fleet_core::constants;
-use prompt_index::{At, Index};
+use prompt_index::{Index, IndexLocation};
 use smallvec::SmallVec;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -123,7 +123,7 @@
     /// Bandwidth of its link, in Mbit/s.
     pub mbps: f64,
     /// Position of the store in the prompt index.
-    pub index_position: At,
+    pub index_location: IndexLocation,
     /// Rendezvous hash of the store and a prompt part; the store with the highest rank is preferred. All routers compute
     /// the same rank.
     pub rank: u64,
@@ -137,7 +137,7 @@
             address,
             zone: service.zone.as_deref().unwrap_or_default(),
             mbps: service.link_mbps,
-            index_position: index.at(address)?,
+            index_location: index.location(address)?,
             rank: fleet_core::node::stable_hash(&[address.as_bytes(), &part.to_be_bytes()]),
         })
     }
--- a/crates/invalidation/src/cache.rs
+++ b/crates/invalidation/src/cache.rs
@@ -1,4 +1,4 @@
-//! Applies ring entries and snapshots to a cache: the [`View`](crate::view::View) of this crate, the index
+//! Applies ring entries and snapshots to a cache: the [`CacheView`](crate::view::CacheView) of this crate, the index
 //! owner's index, or a router's prompt index.
 
 use crate::salt::parse_salt;
@@ -7,19 +7,19 @@
 /// A record of which prompt parts each holder (an engine or a store) has cached.
 pub trait Cache {
     /// Adds a holder that is known to answer, even if it has cached nothing.
-    fn meet(&mut self, holder: &str);
+    fn add_holder(&mut self, holder: &str);
     /// Records that a holder has cached `cached_tokens` tokens of a part; `None` means the whole part.
-    fn found(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>);
+    fn register_part(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>);
     /// Records that a holder has at most `cached_tokens` tokens of a part left.
-    fn evict(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64);
+    fn evict_part(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64);
     /// Removes a holder and everything it has cached.
-    fn drop_holder(&mut self, holder: &str);
-    /// Removes everything cached under the salts for which `void` returns true.
-    fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool);
+    fn remove_holder(&mut self, holder: &str);
+    /// Removes everything cached under the salts for which `is_invalid` returns true.
+    fn remove_salts(&mut self, is_invalid: &dyn Fn(&str) -> bool);
     /// Clears the cache, because the reader was overrun or the ring has a new incarnation.
     fn reset(&mut self);
     /// Updates state derived from the cache; called after the entry itself has been applied.
-    fn derive(&mut self, _entry: &RingEntry) {}
+    fn entry_applied(&mut self, _entry: &RingEntry) {}
 }
 
 /// Whether a salt names the same model with an older version of its weights.
@@ -42,26 +42,26 @@
     }
     match &entry.what {
         Some(Invalidation::Part(PartLocation { holder, salt, part, cached_tokens })) => {
-            cache.evict(holder, salt, *part, *cached_tokens);
+            cache.evict_part(holder, salt, *part, *cached_tokens);
         }
-        Some(Invalidation::Holder(holder)) => cache.drop_holder(holder),
+        Some(Invalidation::Holder(holder)) => cache.remove_holder(holder),
         Some(Invalidation::Weights(weights)) => {
-            cache.drop_salts(&|salt| has_older_weights(salt, weights))
+            cache.remove_salts(&|salt| has_older_weights(salt, weights))
         }
         Some(Invalidation::Isolation(generation)) => {
-            cache.drop_salts(&|salt| has_older_isolation(salt, *generation));
+            cache.remove_salts(&|salt| has_older_isolation(salt, *generation));
         }
         None => {}
     }
-    cache.derive(entry);
+    cache.entry_applied(entry);
     true
 }
 
 /// Adds the parts listed in a snapshot. An empty salt only reports that the holder answers, and a token count of
 /// 0 stands for the whole part.
-pub fn refill(cache: &mut impl Cache, snapshot: &[CachedParts]) {
+pub fn apply_snapshot(cache: &mut impl Cache, snapshot: &[CachedParts]) {
     for parts_of_holder in snapshot {
-        cache.meet(&parts_of_holder.holder);
+        cache.add_holder(&parts_of_holder.holder);
         if parts_of_holder.salt.is_empty() {
             continue;
         }
@@ -71,7 +71,12 @@
                 .get(index)
                 .copied()
                 .filter(|cached_tokens| *cached_tokens > 0);
-            cache.found(&parts_of_holder.holder, &parts_of_holder.salt, *part, cached_tokens);
+            cache.register_part(
+                &parts_of_holder.holder,
+                &parts_of_holder.salt,
+                *part,
+                cached_tokens,
+            );
         }
     }
 }
--- a/crates/invalidation/src/lib.rs
+++ b/crates/invalidation/src/lib.rs
@@ -3,13 +3,13 @@
 //!
 //! The crate does no I/O: the index owner writes the ring ([`ring`]) and serves router requests from it. The effect of
 //! an entry on a cache is defined by a trait ([`cache`]) that the index owner, the routers and the tests implement. A
-//! change publishes nothing before it commits ([`draft`]).
+//! change publishes nothing before it commits ([`pending_change`]).
 
 // A process that carries traffic must not panic on a missing value; tests may.
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used, clippy::print_stdout))]
 
 pub mod cache;
-pub mod draft;
+pub mod pending_change;
 pub mod reader;
 pub mod ring;
 pub mod salt;
--- a/crates/invalidation/src/draft.rs
+++ b/crates/invalidation/src/pending_change.rs
@@ -2,23 +2,23 @@
 
 /// A change in progress: its entries are applied to the writer's own cache immediately, and published to
 /// readers only on commit.
-pub struct Draft<'a, T, L: Local<T>> {
+pub struct PendingChange<'a, T, L: LocalCache<T>> {
     entries: Vec<T>,
     local: &'a mut L,
 }
 
 /// The writer's own cache.
-pub trait Local<T> {
+pub trait LocalCache<T> {
     /// Applies an entry before the commit, because the writer's next step must see the change.
     fn apply(&mut self, entry: &T);
     /// Invalidates again what an entry of an aborted change has already invalidated in this cache.
-    fn reflush(&mut self, entry: &T);
+    fn invalidate_again(&mut self, entry: &T);
 }
 
-impl<'a, T: Clone, L: Local<T>> Draft<'a, T, L> {
+impl<'a, T: Clone, L: LocalCache<T>> PendingChange<'a, T, L> {
     /// Starts a change that has no entries yet.
-    pub fn open(local: &'a mut L) -> Self {
-        Draft { entries: Vec::new(), local }
+    pub fn begin(local: &'a mut L) -> Self {
+        PendingChange { entries: Vec::new(), local }
     }
 
     /// Adds an entry and applies it to the local cache.
@@ -36,11 +36,11 @@
     /// Publishes nothing and invalidates the entries in the local cache again.
     pub fn abort(self) {
         for entry in &self.entries {
-            self.local.reflush(entry);
+            self.local.invalidate_again(entry);
         }
     }
 }
 
 #[cfg(all(test, not(feature = "checker")))]
-#[path = "draft_tests.rs"]
+#[path = "pending_change_tests.rs"]
 mod tests;
--- a/crates/invalidation/src/reader.rs
+++ b/crates/invalidation/src/reader.rs
@@ -21,7 +21,7 @@
         if self.reset {
             cache.reset();
         }
-        cache::refill(cache, &self.snapshot);
+        cache::apply_snapshot(cache, &self.snapshot);
         for entry in &self.entries {
             cache::apply(cache, entry, |_| true);
         }
@@ -74,7 +74,7 @@
 /// Advances a reader by one response: returns its next position and the update to apply, if there is one.
 /// Returns `None` if the response is unusable: it comes from an older index owner, belongs to another ring without
 /// being a reset, or has no head.
-pub fn step(
+pub fn apply_response(
     position: RingPosition,
     response: RingResponse,
 ) -> Option<(RingPosition, Option<ViewUpdate>)> {
--- a/crates/invalidation/src/ring.rs
+++ b/crates/invalidation/src/ring.rs
@@ -31,9 +31,9 @@
 
 /// The result of one read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Read<T> {
+pub enum ReadResult<T> {
     /// No new entries.
-    Nothing,
+    UpToDate,
     /// Entries were overwritten unread: the reader's cache is invalid, and its position is now this head.
     Reset(u64),
     /// The next entries, in order.
@@ -74,7 +74,7 @@
     }
 
     /// Registers a reader at the head and returns its cursor and the head. Anything it read before is invalid.
-    pub fn enter(&self, reader: u64) -> (Arc<Cursor>, u64) {
+    pub fn register_reader(&self, reader: u64) -> (Arc<Cursor>, u64) {
         let mut readers = lock(&self.readers);
         let head = lock(&self.slots).head;
         let cursor = Arc::new(Cursor {
@@ -94,7 +94,7 @@
 
     /// Removes the cursor of a stuck reader, so that it does not hold back the low watermark; returns whether the
     /// reader was registered. It must register again.
-    pub fn drop_reader(&self, reader: u64) -> bool {
+    pub fn remove_reader(&self, reader: u64) -> bool {
         lock(&self.readers).remove(&reader).is_some()
     }
 
@@ -142,9 +142,9 @@
     }
 
     /// Reads up to `limit` entries; takes no lock if nothing was published.
-    pub fn read(&self, cursor: &Cursor, limit: usize) -> Read<T> {
+    pub fn read(&self, cursor: &Cursor, limit: usize) -> ReadResult<T> {
         if !cursor.pending.load(Ordering::Acquire) {
-            return Read::Nothing;
+            return ReadResult::UpToDate;
         }
         let slots = lock(&self.slots);
         cursor.pending.store(false, Ordering::Relaxed);
@@ -152,7 +152,7 @@
             cursor.next.store(slots.head, Ordering::Relaxed);
             cursor.overrun.store(false, Ordering::Relaxed);
             cursor.lag_reported.store(false, Ordering::Relaxed);
-            return Read::Reset(slots.head);
+            return ReadResult::Reset(slots.head);
         }
         let from = cursor.next.load(Ordering::Relaxed);
         let to = slots.head.min(from + limit as u64);
@@ -163,7 +163,7 @@
         } else {
             cursor.lag_reported.store(false, Ordering::Relaxed);
         }
-        if entries.is_empty() { Read::Nothing } else { Read::Entries(entries) }
+        if entries.is_empty() { ReadResult::UpToDate } else { ReadResult::Entries(entries) }
     }
 }
 
--- a/crates/invalidation/src/ring_interleavings_tests.rs
+++ b/crates/invalidation/src/ring_interleavings_tests.rs
@@ -6,7 +6,7 @@
 fn no_entry_is_skipped_without_a_reset() {
     loom::model(|| {
         let ring = Arc::new(Ring::new(2, 2, 1));
-        let (cursor, _) = ring.enter(1);
+        let (cursor, _) = ring.register_reader(1);
         let writer = {
             let ring = ring.clone();
             loom::thread::spawn(move || {
@@ -16,9 +16,9 @@
         };
         let mut position = 0;
         let read_once = |position: &mut u64| match ring.read(&cursor, 8) {
-            Read::Nothing => {}
-            Read::Reset(head) => *position = head,
-            Read::Entries(entries) => {
+            ReadResult::UpToDate => {}
+            ReadResult::Reset(head) => *position = head,
+            ReadResult::Entries(entries) => {
                 for entry in entries {
                     assert_eq!(entry, *position);
                     *position += 1;
@@ -37,7 +37,7 @@
 fn two_writers_and_a_reader_agree_on_one_order() {
     loom::model(|| {
         let ring = Arc::new(Ring::new(4, 2, 4));
-        let (cursor, _) = ring.enter(1);
+        let (cursor, _) = ring.register_reader(1);
         let writer = {
             let ring = ring.clone();
             loom::thread::spawn(move || {
@@ -46,11 +46,11 @@
         };
         ring.publish(&[2u64]);
         let mut received = Vec::new();
-        if let Read::Entries(entries) = ring.read(&cursor, 8) {
+        if let ReadResult::Entries(entries) = ring.read(&cursor, 8) {
             received.extend(entries);
         }
         writer.join().unwrap();
-        if let Read::Entries(entries) = ring.read(&cursor, 8) {
+        if let ReadResult::Entries(entries) = ring.read(&cursor, 8) {
             received.extend(entries);
         }
         received.sort();
@@ -63,18 +63,18 @@
 fn pending_is_never_lost_between_publish_and_read() {
     loom::model(|| {
         let ring = Arc::new(Ring::new(4, 2, 4));
-        let (cursor, _) = ring.enter(1);
+        let (cursor, _) = ring.register_reader(1);
         let reader = {
             let (ring, cursor) = (ring.clone(), cursor.clone());
             loom::thread::spawn(move || match ring.read(&cursor, 8) {
-                Read::Entries(entries) => entries.len(),
+                ReadResult::Entries(entries) => entries.len(),
                 _ => 0,
             })
         };
         ring.publish(&[1u64, 2]);
         let first = reader.join().unwrap();
         let second = match ring.read(&cursor, 8) {
-            Read::Entries(entries) => entries.len(),
+            ReadResult::Entries(entries) => entries.len(),
             _ => 0,
         };
         assert_eq!(first + second, 2);
--- a/crates/invalidation/src/salt.rs
+++ b/crates/invalidation/src/salt.rs
@@ -13,7 +13,7 @@
 }
 
 /// Formats a salt, which is hashed and sent in this form.
-pub fn salt_text(model: &str, version: u64, isolation: &str) -> String {
+pub fn format_salt(model: &str, version: u64, isolation: &str) -> String {
     format!("{model}|{version}|{isolation}")
 }
 
--- a/crates/invalidation/src/view.rs
+++ b/crates/invalidation/src/view.rs
@@ -3,13 +3,13 @@
 use crate::cache::Cache;
 use fleet_core::wire::RingEntry;
 
-pub use crate::salt::{Salt, parse_salt, salt_text, shared_isolation};
+pub use crate::salt::{Salt, format_salt, parse_salt, shared_isolation};
 
 /// Hash of a salt and a part id.
 pub type PartKey = u64;
 
 /// The key of a part under a salt.
-pub fn part_of(salt: &str, part: u64) -> PartKey {
+pub fn part_key(salt: &str, part: u64) -> PartKey {
     fleet_core::node::stable_hash(&[salt.as_bytes(), &part.to_be_bytes()])
 }
 
@@ -28,7 +28,7 @@
 type Callback = Box<dyn Fn(&RingEntry) + Send + Sync>;
 
 /// The cache of one reader. Bounded per holder, with the least recently used parts evicted first.
-pub struct View {
+pub struct CacheView {
     holders: hashbrown::HashMap<String, HolderParts, ahash::RandomState>,
     salts: Vec<String>,
     salt_indexes: hashbrown::HashMap<String, u32, ahash::RandomState>,
@@ -41,10 +41,10 @@
     pub applied: u64,
 }
 
-impl View {
+impl CacheView {
     /// An empty view that keeps at most `max_parts_per_holder` parts per holder.
     pub fn new(max_parts_per_holder: usize) -> Self {
-        View {
+        CacheView {
             holders: hashbrown::HashMap::default(),
             salts: Vec::new(),
             salt_indexes: hashbrown::HashMap::default(),
@@ -80,7 +80,7 @@
         for part in parts {
             holder_parts
                 .parts
-                .insert(part_of(salt, part), CachedPart { salt: salt_index, last_used });
+                .insert(part_key(salt, part), CachedPart { salt: salt_index, last_used });
         }
         if holder_parts.parts.len() > self.max_parts_per_holder {
             let mut ages: Vec<u64> =
@@ -110,32 +110,32 @@
     }
 }
 
-impl Cache for View {
-    fn meet(&mut self, holder: &str) {
+impl Cache for CacheView {
+    fn add_holder(&mut self, holder: &str) {
         self.holders.entry_ref(holder).or_default();
     }
 
-    fn found(&mut self, holder: &str, salt: &str, part: u64, _: Option<u64>) {
+    fn register_part(&mut self, holder: &str, salt: &str, part: u64, _: Option<u64>) {
         self.learn(holder, salt, std::iter::once(part));
     }
 
-    fn evict(&mut self, holder: &str, salt: &str, part: u64, _: u64) {
+    fn evict_part(&mut self, holder: &str, salt: &str, part: u64, _: u64) {
         if let Some(holder_parts) = self.holders.get_mut(holder) {
-            holder_parts.parts.remove(&part_of(salt, part));
+            holder_parts.parts.remove(&part_key(salt, part));
         }
     }
 
-    fn drop_holder(&mut self, holder: &str) {
+    fn remove_holder(&mut self, holder: &str) {
         self.holders.remove(holder);
     }
 
-    fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool) {
-        let is_void: Vec<bool> = self.salts.iter().map(|salt| void(salt)).collect();
-        if !is_void.contains(&true) {
+    fn remove_salts(&mut self, is_invalid: &dyn Fn(&str) -> bool) {
+        let invalid_salts: Vec<bool> = self.salts.iter().map(|salt| is_invalid(salt)).collect();
+        if !invalid_salts.contains(&true) {
             return;
         }
         for holder_parts in self.holders.values_mut() {
-            holder_parts.parts.retain(|_, cached| !is_void[cached.salt as usize]);
+            holder_parts.parts.retain(|_, cached| !invalid_salts[cached.salt as usize]);
         }
     }
 
@@ -147,7 +147,7 @@
         self.resets += 1;
     }
 
-    fn derive(&mut self, entry: &RingEntry) {
+    fn entry_applied(&mut self, entry: &RingEntry) {
         for callback in &self.callbacks {
             callback(entry);
         }
--- a/crates/prompt-index/src/bitmap.rs
+++ b/crates/prompt-index/src/bitmap.rs
@@ -17,7 +17,7 @@
     pub const ALL: HolderBitmap = HolderBitmap([u64::MAX; WORDS]);
 
     /// A set of one holder.
-    pub fn one(holder: u8) -> Self {
+    pub fn single(holder: u8) -> Self {
         let mut bitmap = Self::EMPTY;
         bitmap.set(holder);
         bitmap
--- a/crates/prompt-index/src/index.rs
+++ b/crates/prompt-index/src/index.rs
@@ -8,14 +8,14 @@
 
 /// The location of a holder in the index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct At {
+pub struct IndexLocation {
     /// Index of the cell.
     pub cell: usize,
     /// The holder's slot within the cell.
-    pub no: HolderSlot,
+    pub slot: HolderSlot,
 }
 
-type Locations = hashbrown::HashMap<String, At, ahash::RandomState>;
+type Locations = hashbrown::HashMap<String, IndexLocation, ahash::RandomState>;
 type Seeds = hashbrown::HashMap<String, u64, ahash::RandomState>;
 
 /// All cells of a router. Lock order: `locations`, then `cells`, then `seeds`.
@@ -24,7 +24,7 @@
     cells: RwLock<Vec<Arc<Cell>>>,
     seeds: RwLock<Seeds>,
     cell_capacity: usize,
-    moves: AtomicU64,
+    location_changes: AtomicU64,
     /// Number of applied events that registered a part at a holder.
     pub registrations: AtomicU64,
     /// Number of applied events that evicted a part from a holder.
@@ -49,7 +49,7 @@
             cells: RwLock::new(vec![Arc::new(Cell::new(cell_capacity))]),
             seeds: RwLock::default(),
             cell_capacity,
-            moves: AtomicU64::new(1),
+            location_changes: AtomicU64::new(1),
             registrations: AtomicU64::new(0),
             evictions: AtomicU64::new(0),
             dropped_events: AtomicU64::new(0),
@@ -57,12 +57,12 @@
     }
 
     /// A counter that increases whenever a holder gets or loses its location.
-    pub fn moves(&self) -> u64 {
-        self.moves.load(Ordering::Acquire)
+    pub fn location_changes(&self) -> u64 {
+        self.location_changes.load(Ordering::Acquire)
     }
 
     /// The location of a holder; `None` if it is not in the index.
-    pub fn at(&self, holder: &str) -> Option<At> {
+    pub fn location(&self, holder: &str) -> Option<IndexLocation> {
         read(&self.locations).get(holder).copied()
     }
 
@@ -77,36 +77,38 @@
     }
 
     /// The location of a holder. A holder that has none is admitted, to a new cell if all cells are full.
-    pub fn admit(&self, holder: &str) -> At {
-        if let Some(at) = self.at(holder) {
-            return at;
+    pub fn admit(&self, holder: &str) -> IndexLocation {
+        if let Some(location) = self.location(holder) {
+            return location;
         }
         let mut locations = write(&self.locations);
-        if let Some(at) = locations.get(holder) {
-            return *at;
+        if let Some(location) = locations.get(holder) {
+            return *location;
         }
         let mut cells = write(&self.cells);
-        let at = Self::admit_to_existing_cell(&cells, holder).unwrap_or_else(|| {
+        let location = Self::admit_to_existing_cell(&cells, holder).unwrap_or_else(|| {
             cells.push(Arc::new(Cell::new(self.cell_capacity)));
             let cell = cells.len() - 1;
             match cells[cell].admit() {
-                Some(no) => At { cell, no },
+                Some(slot) => IndexLocation { cell, slot },
                 None => unreachable!("an empty cell has room"),
             }
         });
-        locations.insert(holder.to_owned(), at);
-        self.moves.fetch_add(1, Ordering::Release);
-        at
+        locations.insert(holder.to_owned(), location);
+        self.location_changes.fetch_add(1, Ordering::Release);
+        location
     }
 
     /// Selects among the cells with free slots by rendezvous hashing; `None` if all are full.
-    fn admit_to_existing_cell(cells: &[Arc<Cell>], holder: &str) -> Option<At> {
+    fn admit_to_existing_cell(cells: &[Arc<Cell>], holder: &str) -> Option<IndexLocation> {
         let score =
             |cell: usize| fleet_core::node::stable_hash(&[holder.as_bytes(), &cell.to_be_bytes()]);
         let mut candidates: Vec<usize> =
             (0..cells.len()).filter(|n| cells[*n].free_slots() > 0).collect();
         candidates.sort_by_key(|cell| score(*cell));
-        candidates.into_iter().find_map(|cell| Some(At { cell, no: cells[cell].admit()? }))
+        candidates
+            .into_iter()
+            .find_map(|cell| Some(IndexLocation { cell, slot: cells[cell].admit()? }))
     }
 
     fn seed(&self, salt: &str) -> u64 {
@@ -128,7 +130,7 @@
     }
 
     /// Inserts a chain into each cell that does not have its last block yet.
-    pub fn learn(&self, salt: &str, chain: &Chain) {
+    pub fn insert_chain(&self, salt: &str, chain: &Chain) {
         let Some(last) = chain.0.last() else { return };
         let seed = self.seed(salt);
         for cell in read(&self.cells).iter() {
@@ -140,24 +142,25 @@
 
     /// Records that a holder has cached `cached` tokens of a part; `None` means the whole part. Admits the holder if
     /// it is not in the index.
-    pub fn registered(&self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
-        let at = self.admit(holder);
+    pub fn register_part(&self, holder: &str, salt: &str, part: u64, cached: Option<u64>) {
+        let location = self.admit(holder);
         let seed = self.seed(salt);
-        let Some(cell) = self.cell(at.cell) else { return };
-        let counter = if cell.register_block(at.no, seed, chain::block_hash(seed, part), cached) {
-            &self.registrations
-        } else {
-            &self.dropped_events
-        };
+        let Some(cell) = self.cell(location.cell) else { return };
+        let counter =
+            if cell.register_block(location.slot, seed, chain::block_hash(seed, part), cached) {
+                &self.registrations
+            } else {
+                &self.dropped_events
+            };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Records that a holder has at most `cached` tokens of a part left.
-    pub fn evicted(&self, holder: &str, salt: &str, part: u64, cached: u64) {
-        let Some(at) = self.at(holder) else { return };
+    pub fn evict_part(&self, holder: &str, salt: &str, part: u64, cached: u64) {
+        let Some(location) = self.location(holder) else { return };
         let seed = self.seed(salt);
-        let Some(cell) = self.cell(at.cell) else { return };
-        let counter = if cell.evict_block(at.no, chain::block_hash(seed, part), cached) {
+        let Some(cell) = self.cell(location.cell) else { return };
+        let counter = if cell.evict_block(location.slot, chain::block_hash(seed, part), cached) {
             &self.evictions
         } else {
             &self.dropped_events
@@ -168,16 +171,16 @@
     /// Removes a holder and everything it has cached; returns whether it was in the index. If it is admitted again,
     /// it gets another slot or generation.
     pub fn remove(&self, holder: &str) -> bool {
-        let Some(at) = write(&self.locations).remove(holder) else { return false };
-        self.moves.fetch_add(1, Ordering::Release);
-        self.cell(at.cell).is_some_and(|cell| cell.remove(at.no))
+        let Some(location) = write(&self.locations).remove(holder) else { return false };
+        self.location_changes.fetch_add(1, Ordering::Release);
+        self.cell(location.cell).is_some_and(|cell| cell.remove(location.slot))
     }
 
-    /// Invalidates everything cached under the salts for which `is_void` returns true.
-    pub fn void(&self, is_void: impl Fn(&str) -> bool) {
+    /// Invalidates everything cached under the salts for which `is_invalid` returns true.
+    pub fn invalidate_salts(&self, is_invalid: impl Fn(&str) -> bool) {
         let removed_seeds: Vec<u64> = {
             let mut seeds = write(&self.seeds);
-            seeds.extract_if(|salt, _| is_void(salt)).map(|(_, seed)| seed).collect()
+            seeds.extract_if(|salt, _| is_invalid(salt)).map(|(_, seed)| seed).collect()
         };
         for cell in read(&self.cells).iter() {
             for seed in &removed_seeds {
@@ -188,11 +191,11 @@
 
     /// Removes all holders.
     pub fn reset(&self) {
-        let removed: Vec<(String, At)> = write(&self.locations).drain().collect();
-        self.moves.fetch_add(1, Ordering::Release);
-        for (_, at) in removed {
-            if let Some(cell) = self.cell(at.cell) {
-                cell.remove(at.no);
+        let removed: Vec<(String, IndexLocation)> = write(&self.locations).drain().collect();
+        self.location_changes.fetch_add(1, Ordering::Release);
+        for (_, location) in removed {
+            if let Some(cell) = self.cell(location.cell) {
+                cell.remove(location.slot);
             }
         }
     }
--- a/crates/prompt-index/src/lib.rs
+++ b/crates/prompt-index/src/lib.rs
@@ -21,5 +21,5 @@
 pub use bitmap::HolderBitmap;
 pub use cell::{Cell, HolderSlot};
 pub use chain::Chain;
-pub use index::{At, Index};
+pub use index::{Index, IndexLocation};
 pub use query::Depths;
--- a/crates/prompt-index/src/query.rs
+++ b/crates/prompt-index/src/query.rs
@@ -15,7 +15,7 @@
 
 impl Depths {
     /// Depth of one holder; 0 if it has cached nothing.
-    pub fn of(&self, holder: u8) -> usize {
+    pub fn depth_of(&self, holder: u8) -> usize {
         self.groups.iter().find(|(_, holders)| holders.has(holder)).map_or(0, |(depth, _)| *depth)
     }
 }
--- a/crates/prompt-index/tests/index.rs
+++ b/crates/prompt-index/tests/index.rs
@@ -10,7 +10,7 @@
 }
 
 fn depth(cell: &Cell, chain: &Chain, holder: HolderSlot) -> usize {
-    cell.query(chain, &HolderBitmap::ALL).of(holder.index)
+    cell.query(chain, &HolderBitmap::ALL).depth_of(holder.index)
 }
 
 #[test]
@@ -33,7 +33,7 @@
         vec![(8, vec![index(2)]), (6, vec![index(0)]), (4, vec![index(1)]), (2, vec![index(3)])]
     );
     assert!(got.lookups < 32, "{} look-ups", got.lookups);
-    let one_holder = cell.query(&prompt, &HolderBitmap::one(index(1)));
+    let one_holder = cell.query(&prompt, &HolderBitmap::single(index(1)));
     assert_eq!(one_holder.groups.len(), 1);
 }
 
@@ -168,8 +168,8 @@
     }
     assert_eq!(index.cells().len(), 3);
     let prompt = index.chain("m|1|#1", [(5, 10)]);
-    index.learn("m|1|#1", &prompt);
-    index.registered("e599", "m|1|#1", 5, None);
+    index.insert_chain("m|1|#1", &prompt);
+    index.register_part("e599", "m|1|#1", 5, None);
     let found: Vec<(usize, Vec<u8>)> = index
         .cells()
         .iter()
@@ -183,13 +183,13 @@
                 .collect::<Vec<_>>()
         })
         .collect();
-    let location = index.at("e599").unwrap();
-    assert_eq!(found, vec![(location.cell, vec![location.no.index])]);
+    let location = index.location("e599").unwrap();
+    assert_eq!(found, vec![(location.cell, vec![location.slot.index])]);
     assert!(index.remove("e599") && !index.remove("e599"));
-    assert!(index.at("e599").is_none());
-    let moves = index.moves();
-    index.registered("e599", "m|1|#1", 5, None);
-    assert!(index.moves() > moves, "it is admitted to another slot");
+    assert!(index.location("e599").is_none());
+    let changes_before = index.location_changes();
+    index.register_part("e599", "m|1|#1", 5, None);
+    assert!(index.location_changes() > changes_before, "it is admitted to another slot");
 }
 
 #[test]
@@ -198,10 +198,10 @@
     let (old, new) = ("m|1|#1", "m|2|#1");
     for salt in [old, new] {
         let prompt = index.chain(salt, [(5, 10)]);
-        index.learn(salt, &prompt);
-        index.registered("e", salt, 5, None);
+        index.insert_chain(salt, &prompt);
+        index.register_part("e", salt, 5, None);
     }
-    index.void(|salt| salt == old);
+    index.invalidate_salts(|salt| salt == old);
     while !index.scrub(100_000) {}
     let holder_count = |salt: &str| {
         let prompt = index.chain(salt, [(5, 10)]);
@@ -214,7 +214,7 @@
     assert_eq!((holder_count(old), holder_count(new)), (0, 1));
     index.reset();
     assert_eq!(holder_count(new), 0);
-    assert!(index.at("e").is_none());
+    assert!(index.location("e").is_none());
 }
 
 /// The naive model: the hashes of the blocks that one holder has cached.
@@ -274,7 +274,7 @@
             if queried.0.last().is_some_and(|block| cell.touch_chain(block.hash)) {
                 let got = cell.query(queried, &HolderBitmap::ALL);
                 for (n, slot) in live.iter().enumerate() {
-                    proptest::prop_assert_eq!(got.of(slot.index), model[n].depth(queried));
+                    proptest::prop_assert_eq!(got.depth_of(slot.index), model[n].depth(queried));
                 }
                 let (groups, blocks) = (got.groups.len().max(1) as u32, queried.len() as u32);
                 let log = u32::BITS - blocks.leading_zeros() + 1;
--- a/crates/prompt-index/tests/interleavings.rs
+++ b/crates/prompt-index/tests/interleavings.rs
@@ -18,7 +18,7 @@
         };
         live_holders.set(2);
         assert!(thread_handle.join().unwrap());
-        assert_eq!(live_holders.load(), HolderBitmap::one(2));
+        assert_eq!(live_holders.load(), HolderBitmap::single(2));
     });
 }
 
@@ -82,7 +82,7 @@
         thread_handle.join().unwrap();
         assert!(
             !cell
-                .query(&chain, &HolderBitmap::one(next.index))
+                .query(&chain, &HolderBitmap::single(next.index))
                 .groups
                 .iter()
                 .any(|(_, holders)| holders.has(next.index))
@@ -101,10 +101,12 @@
         cell.register_block(holder, 3, chain.0[0].block_hash, None);
         let thread_handle = {
             let (cell, chain) = (cell.clone(), chain.clone());
-            loom::thread::spawn(move || cell.query(&chain, &HolderBitmap::ALL).of(holder.index))
+            loom::thread::spawn(move || {
+                cell.query(&chain, &HolderBitmap::ALL).depth_of(holder.index)
+            })
         };
         assert!(cell.remove(holder));
-        assert_eq!(cell.query(&chain, &HolderBitmap::ALL).of(holder.index), 0);
+        assert_eq!(cell.query(&chain, &HolderBitmap::ALL).depth_of(holder.index), 0);
         assert!(thread_handle.join().unwrap() <= 1);
     });
 }
