--- a/crates/control-plane/src/api/config.rs
+++ b/crates/control-plane/src/api/config.rs
@@ -11,7 +11,7 @@
 ) -> Result<http::Response<dropshot::Body>, dropshot::HttpError> {
     let base = rqctx.request.headers().get("X-Base-Revision").and_then(|value| value.to_str().ok());
     // Validate the base before reading the body, so that an invalid request is rejected without receiving all of it.
-    configuration::base_of(base)?;
+    configuration::parse_base_version(base)?;
     let body = read_limited(body, fleet_core::constants::CONFIG_MAX_BYTES).await?;
     let replaced = configuration::replace(rqctx.context().consensus(), base, body).await?;
     json_response(StatusCode::OK, format!("{{\"revision\":{}}}", replaced.version))
--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -181,7 +181,7 @@
     }
 
     /// Modifies the state without recording a change: subscribers are not notified, and routers are sent nothing.
-    pub fn amend(&self, change: impl FnOnce(&mut ClusterState)) {
+    pub fn update_silently(&self, change: impl FnOnce(&mut ClusterState)) {
         self.log.lock().amend(change);
     }
 
--- a/crates/control-plane/src/consensus/acceptor/membership.rs
+++ b/crates/control-plane/src/consensus/acceptor/membership.rs
@@ -23,7 +23,7 @@
 
     /// Whether this node may grant a lease in the membership with this epoch. Like votes, grants count only within
     /// one membership.
-    pub fn may_grant(&self, membership_epoch: u64) -> bool {
+    pub fn may_grant_lease(&self, membership_epoch: u64) -> bool {
         self.votes() && membership_epoch == self.membership.epoch
     }
 
--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -103,7 +103,7 @@
     }
 
     /// The node whose ballot was promised last for this key.
-    pub fn owner(&self, key: &str) -> Option<u64> {
+    pub fn promised_node(&self, key: &str) -> Option<u64> {
         let promised = self.registers.get(key)?.promised;
         (promised.node != 0).then_some(promised.node)
     }
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -32,7 +32,9 @@
 pub async fn submit(consensus: &Arc<Consensus>, change: ChangeKind) -> ChangeResponse {
     let timeout = constants::change_timeout(value_bytes(&change));
     let decision = forward_or_decide(consensus, &change, 0);
-    tokio::time::timeout(timeout, decision).await.unwrap_or_else(|_| state_machine::unknown())
+    tokio::time::timeout(timeout, decision)
+        .await
+        .unwrap_or_else(|_| state_machine::unknown_outcome())
 }
 
 /// Submits a change that another node forwarded to this one.
@@ -40,10 +42,12 @@
     consensus: &Arc<Consensus>,
     change: &ChangeRequest,
 ) -> ChangeResponse {
-    let Some(kind) = &change.kind else { return state_machine::unknown() };
+    let Some(kind) = &change.kind else { return state_machine::unknown_outcome() };
     let timeout = constants::change_timeout(value_bytes(kind));
     let decision = forward_or_decide(consensus, kind, change.hops);
-    tokio::time::timeout(timeout, decision).await.unwrap_or_else(|_| state_machine::unknown())
+    tokio::time::timeout(timeout, decision)
+        .await
+        .unwrap_or_else(|_| state_machine::unknown_outcome())
 }
 
 /// Forwards the change to the owner or decides it here, and retries with the new owner after an election.
@@ -79,11 +83,11 @@
                 return forward_to_any(consensus, change, forwarded_to, hops).await;
             }
             Err(ProposalError::Preempted(_) | ProposalError::OwnerActive) => forwarded_to = None,
-            Err(ProposalError::NoQuorum) => return state_machine::unknown(),
+            Err(ProposalError::NoQuorum) => return state_machine::unknown_outcome(),
         }
         let backoff = consensus.process.random_backoff(constants::ELECTION_BACKOFF_MS);
         if Instant::now() + backoff >= deadline {
-            return state_machine::unknown();
+            return state_machine::unknown_outcome();
         }
         tokio::time::sleep(backoff).await;
     }
@@ -101,7 +105,7 @@
     hops: u32,
 ) -> ChangeResponse {
     if hops >= constants::MAX_CHANGE_FORWARDS {
-        return state_machine::unknown();
+        return state_machine::unknown_outcome();
     }
     for member in &consensus.membership().members {
         let Some(id) = member.id() else { continue };
@@ -112,7 +116,7 @@
             return response;
         }
     }
-    state_machine::unknown()
+    state_machine::unknown_outcome()
 }
 
 /// Forwards the change to a node. Returns its answer, or `None` if the call fails or the outcome is unknown there.
@@ -123,7 +127,7 @@
     hops: u32,
 ) -> Option<ChangeResponse> {
     let links = consensus.links_to_voters();
-    let MemberLink { link, .. } = links.into_iter().find(|link| link.member == to)?;
+    let MemberLink { link, .. } = links.into_iter().find(|link| link.member_id == to)?;
     let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
     match link.call(body, constants::owner_timeout(value_bytes(change))).await {
         Ok(Body::ChangeResponse(response)) if response.outcome() != Outcome::Unknown => {
--- a/crates/control-plane/src/consensus/membership_change_tests.rs
+++ b/crates/control-plane/src/consensus/membership_change_tests.rs
@@ -450,7 +450,7 @@
     simulation.run_among(&[a, b], |simulation, voters| simulation.change(a, voters));
     simulation.run_among(&[a, b], |simulation, voters| simulation.change(b, voters));
     assert_eq!(simulation.chosen.len(), before);
-    let may_grant = |i: usize, epoch| simulation.machines[i].acceptor.may_grant(epoch);
+    let may_grant = |i: usize, epoch| simulation.machines[i].acceptor.may_grant_lease(epoch);
     assert!(
         may_grant(a, 1) && !may_grant(b, 1),
         "no majority grants a lease in membership 1 either"
--- a/crates/control-plane/src/consensus/mod.rs
+++ b/crates/control-plane/src/consensus/mod.rs
@@ -73,7 +73,7 @@
 }
 
 /// The dependencies and the stored state of a [`Consensus`].
-pub struct ConsensusParts {
+pub struct ConsensusDependencies {
     /// Identity, settings, log and shutdown state of this node.
     pub process: Arc<Process>,
     /// Links to the other voters.
@@ -104,14 +104,14 @@
 
 impl Consensus {
     /// Restores the participant from its stored state.
-    pub fn new(parts: ConsensusParts) -> Consensus {
+    pub fn new(dependencies: ConsensusDependencies) -> Consensus {
         Consensus {
-            acceptor: Mutex::new(Acceptor::new(parts.process.node.ip, parts.state)),
-            process: parts.process,
-            links: parts.links,
-            cluster_state: parts.cluster_state,
-            config_observer: parts.config_observer,
-            disk: parts.disk,
+            acceptor: Mutex::new(Acceptor::new(dependencies.process.node.ip, dependencies.state)),
+            process: dependencies.process,
+            links: dependencies.links,
+            cluster_state: dependencies.cluster_state,
+            config_observer: dependencies.config_observer,
+            disk: dependencies.disk,
             learned: Mutex::default(),
             key_owners: KeyOwners::default(),
             contact: Mutex::default(),
@@ -145,12 +145,12 @@
 
     /// Links to the other voters of the current membership.
     pub fn links_to_voters(&self) -> Vec<MemberLink> {
-        self.links.to(&self.membership().members)
+        self.links.links_to(&self.membership().members)
     }
 
     /// Links to these members, except this node.
     pub fn links_to(&self, members: &[Member]) -> Vec<MemberLink> {
-        self.links.to(members)
+        self.links.links_to(members)
     }
 
     /// Whether the last disk write failed or a write is overdue. This node can't vote in that state.
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -110,7 +110,7 @@
         if let Some(value) = accepted.or_else(|| learned().map(|known| known.value)) {
             return Some(value);
         }
-        for MemberLink { member: voter, link } in self.links_to_voters() {
+        for MemberLink { member_id: voter, link } in self.links_to_voters() {
             if !status.is_accepted_by(key, voter, ballot) {
                 continue;
             }
--- a/crates/control-plane/src/consensus/state_machine.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -60,7 +60,7 @@
 }
 
 /// The answer to a change whose outcome is not known: it may still be chosen.
-pub fn unknown() -> ChangeResponse {
+pub fn unknown_outcome() -> ChangeResponse {
     answer(Outcome::Unknown, 0)
 }
 
@@ -175,7 +175,7 @@
 }
 
 /// The error for a change whose version is not above that of its base, which the response carries.
-pub fn error_of(request: &ReplaceConfig, response: &ChangeResponse) -> ConfigError {
+pub fn version_not_above_error(request: &ReplaceConfig, response: &ChangeResponse) -> ConfigError {
     ConfigError::VersionNotAbove { version: request.version, current: response.number }
 }
 
--- a/crates/control-plane/src/consensus/voter_calls.rs
+++ b/crates/control-plane/src/consensus/voter_calls.rs
@@ -22,16 +22,16 @@
         request: impl Fn(u64) -> Body,
     ) -> mpsc::Receiver<MemberAnswer> {
         let (answer_tx, answer_rx) = mpsc::channel(members.len().max(1));
-        for MemberLink { member, link } in self.links_to(members) {
+        for MemberLink { member_id, link } in self.links_to(members) {
             let (answer_tx, consensus, request) =
-                (answer_tx.clone(), self.clone(), request(member));
+                (answer_tx.clone(), self.clone(), request(member_id));
             tokio::spawn(async move {
                 let answer = link.call(request, timeout).await.ok();
                 if let Some(later) = answer.as_ref().and_then(later_membership) {
                     consensus.adopt(later).await;
                 }
                 // Fails if the caller has dropped the receiver because enough answers had arrived.
-                let _ = answer_tx.send((member, answer)).await;
+                let _ = answer_tx.send((member_id, answer)).await;
             });
         }
         answer_rx
--- a/crates/control-plane/src/controller.rs
+++ b/crates/control-plane/src/controller.rs
@@ -2,17 +2,19 @@
 
 use crate::cluster_state::{ClusterStateStore, StateChange};
 use crate::config_distribution::{ConfigBodies, ConfigDistribution};
-use crate::consensus::{Consensus, ConsensusParts, anti_entropy, quorum_contact, resignation};
+use crate::consensus::{
+    Consensus, ConsensusDependencies, anti_entropy, quorum_contact, resignation,
+};
 use crate::engines::registry::{self, EngineRegistry};
 use crate::environment::Environment;
-use crate::index_owner::{self, IndexOwnership, IndexOwnershipParts};
+use crate::index_owner::{self, IndexOwnership, IndexOwnershipDependencies};
 use crate::leases::{INDEX_OWNER_LEASE, LeaseManager, ROLLOUT_LEASE, run_lease_holder};
 use crate::membership::load_reports::{self, LoadReports};
 use crate::membership::peer_links::PeerLinks;
 use crate::membership::routers::Routers;
-use crate::membership::{self, MembershipManager, PeerService, PeerServiceParts};
+use crate::membership::{self, MembershipManager, PeerService, PeerServiceDependencies};
 use crate::process::Process;
-use crate::rollout::{self, Rollout, RolloutParts};
+use crate::rollout::{self, Rollout, RolloutDependencies};
 use crate::service::membership::ViewSources;
 use crate::storage::monitor::MonitoredDisk;
 use fleet_core::constants;
@@ -63,7 +65,7 @@
         let links = Arc::new(PeerLinks::new(process.clone(), transport.clone()));
         let cluster_state = Arc::new(ClusterStateStore::new());
         let config_bodies = Arc::new(ConfigBodies::default());
-        let consensus = Arc::new(Consensus::new(ConsensusParts {
+        let consensus = Arc::new(Consensus::new(ConsensusDependencies {
             process: process.clone(),
             links: links.clone(),
             cluster_state: cluster_state.clone(),
@@ -108,7 +110,7 @@
             cluster_state(),
         ));
         let load_reports = Arc::new(LoadReports::new(consensus(), routers.clone()));
-        let rollout = Rollout::new(RolloutParts {
+        let rollout = Rollout::new(RolloutDependencies {
             process: process(),
             leases: leases.clone(),
             registry: registry.clone(),
@@ -116,7 +118,7 @@
             load_reports: load_reports.clone(),
             transport: base.transport.clone(),
         });
-        let index = IndexOwnership::new(IndexOwnershipParts {
+        let index = IndexOwnership::new(IndexOwnershipDependencies {
             process: process(),
             leases: leases.clone(),
             consensus: consensus(),
@@ -181,8 +183,8 @@
         tasks
     }
 
-    fn peer_service_parts(&self) -> PeerServiceParts {
-        PeerServiceParts {
+    fn peer_service_parts(&self) -> PeerServiceDependencies {
+        PeerServiceDependencies {
             process: self.process.clone(),
             links: self.links.clone(),
             routers: self.routers.clone(),
@@ -209,7 +211,7 @@
     ///
     /// The supervisor restarts a process that has exited. If the controller exited at once, it would be restarted, and
     /// its machine would count as running while the router is still draining.
-    pub(crate) async fn leave(&self) {
+    pub(crate) async fn shut_down(&self) {
         fleet_core::log_event!(self.process.log, Event::Stopping);
         let grace = self.process.settings().bounds.grace;
         let deadline = Instant::now() + grace.saturating_sub(constants::CONTROLLER_GRACE_MARGIN);
--- a/crates/control-plane/src/engines/client.rs
+++ b/crates/control-plane/src/engines/client.rs
@@ -60,7 +60,7 @@
 }
 
 /// Client of one engine, KV store or controller; makes one call at a time.
-pub struct EngineClient {
+pub struct HttpClient {
     transport: Arc<dyn Transport>,
     local: Ipv4Addr,
     remote: SocketAddr,
@@ -69,7 +69,7 @@
 }
 
 /// A complete response.
-pub struct Answer {
+pub struct HttpResponse {
     /// HTTP status.
     pub status: http::StatusCode,
     /// Complete body.
@@ -78,15 +78,19 @@
     pub location: Option<String>,
 }
 
-impl EngineClient {
+impl HttpClient {
     /// Creates a client that connects over TCP from the address `local` to `remote`. It connects on the first call.
     pub fn new(local: Ipv4Addr, remote: SocketAddr) -> Self {
-        Self::over(Tcp::shared(), local, remote)
+        Self::with_transport(Tcp::shared(), local, remote)
     }
 
-    /// As [`EngineClient::new`], over a given transport.
-    pub fn over(transport: Arc<dyn Transport>, local: Ipv4Addr, remote: SocketAddr) -> Self {
-        EngineClient {
+    /// As [`HttpClient::new`], over a given transport.
+    pub fn with_transport(
+        transport: Arc<dyn Transport>,
+        local: Ipv4Addr,
+        remote: SocketAddr,
+    ) -> Self {
+        HttpClient {
             transport,
             local,
             remote,
@@ -96,11 +100,11 @@
     }
 
     /// Limits the size of response bodies. A larger one fails with [`CallError::InvalidMessage`].
-    pub fn with_most(self, max_response_bytes: usize) -> Self {
-        EngineClient { max_response_bytes, ..self }
+    pub fn with_max_response_bytes(self, max_response_bytes: usize) -> Self {
+        HttpClient { max_response_bytes, ..self }
     }
 
-    /// Opens a connection for [`EngineClient::send`], unless one is open already.
+    /// Opens a connection for [`HttpClient::send`], unless one is open already.
     ///
     /// # Errors
     ///
@@ -120,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// As [`EngineClient::send`], or the connection could not be established.
+    /// As [`HttpClient::send`], or the connection could not be established.
     pub async fn call(
         &mut self,
         method: http::Method,
@@ -128,7 +132,7 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let response = async {
             self.open().await?;
             self.exchange(method, path, headers, body).await
@@ -151,7 +155,7 @@
         headers: &[(&str, &str)],
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         tokio::time::timeout(timeout, self.exchange(method, path, headers, body))
             .await
             .map_err(|_| CallError::Timeout)?
@@ -163,7 +167,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: Vec<u8>,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<HttpResponse, CallError> {
         let mut connection = self.connection.take().ok_or(CallError::ConnectionLost)?;
         let mut request = http::Request::builder()
             .method(method)
@@ -188,7 +192,7 @@
             if is_too_large { CallError::InvalidMessage } else { CallError::ConnectionLost }
         })?;
         self.connection = Some(connection);
-        Ok(Answer { status, body: body.to_bytes(), location })
+        Ok(HttpResponse { status, body: body.to_bytes(), location })
     }
 }
 
--- a/crates/control-plane/src/engines/client_tests.rs
+++ b/crates/control-plane/src/engines/client_tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-async fn listener() -> (tokio::net::TcpListener, EngineClient) {
+async fn listener() -> (tokio::net::TcpListener, HttpClient) {
     let listener = tokio::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await.unwrap();
-    let client = EngineClient::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap());
+    let client = HttpClient::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap());
     (listener, client)
 }
 
@@ -52,7 +52,7 @@
 #[tokio::test]
 async fn response_above_the_size_limit_is_rejected() {
     let (listener, client) = listener().await;
-    let mut client = client.with_most(100);
+    let mut client = client.with_max_response_bytes(100);
     let server = async {
         let (mut peer, _) = listener.accept().await.unwrap();
         for length in [100, 101] {
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -167,7 +167,7 @@
     fn remove_if_expired(&self, id: &str, age: Duration) {
         if age > constants::DEPARTURE_RETENTION {
             self.last_heartbeat.lock().remove(id);
-            self.cluster_state.amend(|state| {
+            self.cluster_state.update_silently(|state| {
                 state.engines.remove(id);
             });
         }
--- a/crates/control-plane/src/environment.rs
+++ b/crates/control-plane/src/environment.rs
@@ -3,7 +3,7 @@
 use crate::ControllerError;
 use crate::storage::RecordQueue;
 use crate::storage::format::State;
-use crate::storage::writer::{Disk, Files};
+use crate::storage::writer::{DiskWriter, StateFiles};
 use fleet_core::log::Event;
 use fleet_core::settings::Settings;
 use fleet_core::transport::{Tcp, Transport};
@@ -42,7 +42,7 @@
 
 /// The disk, and the state that was read from it.
 struct OpenedDisk {
-    disk: Disk,
+    disk: DiskWriter,
     state: State,
     /// Whether this is the very first start of the cluster. An empty disk alone doesn't show this: its contents may have been
     /// lost.
@@ -54,17 +54,17 @@
         let Some(folder) = &settings.data_dir else {
             fleet_core::log_event!(log, Event::DiskAbsent);
             let state = State::default();
-            return Ok(OpenedDisk { disk: Disk::absent(), state, first_start: false });
+            return Ok(OpenedDisk { disk: DiskWriter::absent(), state, first_start: false });
         };
-        let (files, state) = Files::open(folder).map_err(ControllerError::Disk)?;
+        let (files, state) = StateFiles::open(folder).map_err(ControllerError::Disk)?;
         let is_seed = settings.seeds.iter().any(|seed| seed.ip() == IpAddr::V4(settings.ip));
-        let first_start = files.empty && !files.damaged && settings.bootstrap && is_seed;
-        if files.damaged {
+        let first_start = files.was_empty && !files.was_damaged && settings.bootstrap && is_seed;
+        if files.was_damaged {
             fleet_core::log_event!(log, Event::SlotDamaged);
         }
-        let is_lost = files.empty && !first_start;
+        let is_lost = files.was_empty && !first_start;
         let event = if is_lost { Event::DiskEmpty } else { Event::DiskOpened };
         fleet_core::log_event!(log, event, "registers" => state.registers.len());
-        Ok(OpenedDisk { disk: Disk::start(files, log.clone()), state, first_start })
+        Ok(OpenedDisk { disk: DiskWriter::start(files, log.clone()), state, first_start })
     }
 }
--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -2,7 +2,7 @@
 
 use super::IndexOwner;
 use super::index::KvEvents;
-use crate::engines::client::EngineClient;
+use crate::engines::client::HttpClient;
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{Engine, EngineState, Invalidation};
@@ -68,7 +68,8 @@
 /// Follows one holder until the task is aborted.
 pub async fn follow(index_owner: Arc<IndexOwner>, holder: String, endpoint: HolderEndpoint) {
     let Ok(address) = endpoint.address.parse::<SocketAddr>() else { return };
-    let mut client = index_owner.client(address).with_most(constants::EVENTS_MAX_BYTES);
+    let mut client =
+        index_owner.client(address).with_max_response_bytes(constants::EVENTS_MAX_BYTES);
     let mut position: Option<Position> = None;
     let invalidate_holder = || {
         fleet_core::log_event!(index_owner.process.log, Event::HolderReset, "holder" => &holder);
@@ -107,7 +108,7 @@
 /// Fetches the events after a position. The first call uses a short wait, since it holds one of the few permits for
 /// first reads.
 async fn fetch_events(
-    client: &mut EngineClient,
+    client: &mut HttpClient,
     target: Option<&str>,
     position: Option<Position>,
 ) -> Option<KvEvents> {
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -23,7 +23,7 @@
 use crate::cluster_state::{ClusterState, ClusterStateStore, StateChange};
 use crate::config_distribution::ConfigBodies;
 use crate::consensus::{Consensus, state_machine};
-use crate::engines::client::EngineClient;
+use crate::engines::client::HttpClient;
 use crate::leases::{INDEX_OWNER_LEASE, LeaseManager};
 use crate::membership::peer_links::MemberLink;
 use crate::membership::routers::Routers;
@@ -50,7 +50,7 @@
 
 /// Dependencies of [`IndexOwnership`].
 #[derive(Clone)]
-pub struct IndexOwnershipParts {
+pub struct IndexOwnershipDependencies {
     /// The process that the index owner runs in.
     pub process: Arc<Process>,
     /// Provides the fencing token while this node holds [`INDEX_OWNER_LEASE`].
@@ -69,15 +69,15 @@
 
 /// This controller's role in publishing the index: owner while it holds the lease, otherwise possibly a relay.
 pub struct IndexOwnership {
-    parts: IndexOwnershipParts,
+    dependencies: IndexOwnershipDependencies,
     current: Mutex<Option<Arc<IndexOwner>>>,
     relay: RingRelay,
 }
 
 impl IndexOwnership {
     /// Starts as neither owner nor relay.
-    pub fn new(parts: IndexOwnershipParts) -> IndexOwnership {
-        IndexOwnership { parts, current: Mutex::default(), relay: RingRelay::default() }
+    pub fn new(dependencies: IndexOwnershipDependencies) -> IndexOwnership {
+        IndexOwnership { dependencies, current: Mutex::default(), relay: RingRelay::default() }
     }
 
     /// Records which prefixes a router's requests left cached. A relay forwards them to its readers and to the owner.
@@ -93,7 +93,7 @@
     /// then switches to another controller.
     pub fn answer_reader(&self, request: &RingRequest, reader: Reader) -> RingResponse {
         let owner = self.current.lock().clone();
-        let is_owner = self.parts.leases.fencing_token(INDEX_OWNER_LEASE).is_some();
+        let is_owner = self.dependencies.leases.fencing_token(INDEX_OWNER_LEASE).is_some();
         let published = match owner.filter(|_| is_owner) {
             Some(owner) => Some(owner.published.clone()),
             None => self.relay.published(),
@@ -106,9 +106,11 @@
         let mut followers = Followers::default();
         let mut published = PublishedInvalidations::default();
         let mut announcements = Announcements::default();
-        while self.parts.leases.fencing_token(INDEX_OWNER_LEASE) == Some(owner.fencing_token) {
+        while self.dependencies.leases.fencing_token(INDEX_OWNER_LEASE) == Some(owner.fencing_token)
+        {
             let mut invalidations = followers.follow(owner, self.holders());
-            invalidations.extend(self.parts.cluster_state.read(|state| published.collect(state)));
+            invalidations
+                .extend(self.dependencies.cluster_state.read(|state| published.collect(state)));
             owner.published.commit(invalidations);
             owner.published.drop_inactive_readers();
             let head = owner.published.head();
@@ -127,34 +129,34 @@
     /// Announces a new head to the routers that read the ring from this controller. Other routers read from relays; they
     /// learn of the ring when it starts and when they connect to this controller.
     fn announce_to_readers(&self, published: &PublishedIndex, head: RingHead) {
-        self.parts.cluster_state.amend(|state| state.ring = Some(head.clone()));
+        self.dependencies.cluster_state.update_silently(|state| state.ring = Some(head.clone()));
         published.push_to_readers(&FleetUpdate { ring: Some(head), ..Default::default() });
     }
 
     /// Announces the head of the ring to the other voters, which may relay it.
     fn announce_to_relays(&self, head: RingHead) {
-        if !relay::are_relays_needed(&self.parts.cluster_state) {
+        if !relay::are_relays_needed(&self.dependencies.cluster_state) {
             return;
         }
         let update = FleetUpdate { ring: Some(head), ..Default::default() };
-        for MemberLink { link, .. } in self.parts.consensus.links_to_voters() {
+        for MemberLink { link, .. } in self.dependencies.consensus.links_to_voters() {
             let _ = link.notify(Body::FleetUpdate(update.clone()));
         }
     }
 
     /// Current engines and stores, by engine id or store address.
     fn holders(&self) -> BTreeMap<String, HolderEndpoint> {
-        let state = &self.parts.cluster_state;
+        let state = &self.dependencies.cluster_state;
         let mut holders = state.read(|state| follower::engines(state.engines.values()));
         holders.extend(self.stores());
         holders
     }
 
     fn stores(&self) -> Vec<(String, HolderEndpoint)> {
-        let learned = self.parts.consensus.learned(state_machine::CONFIG);
+        let learned = self.dependencies.consensus.learned(state_machine::CONFIG);
         let config = learned.and_then(|known| ConfigValue::decode(known.value).ok());
         let Some(config) = config else { return Vec::new() };
-        let addresses = self.parts.config_bodies.kv_stores(&config).into_iter();
+        let addresses = self.dependencies.config_bodies.kv_stores(&config).into_iter();
         addresses
             .map(|address| (address.clone(), HolderEndpoint { address, is_engine: false }))
             .collect()
@@ -163,15 +165,19 @@
 
 /// Acts as the index owner whenever this node holds the lease.
 pub async fn run_index_owner(ownership: Arc<IndexOwnership>) {
-    let parts = &ownership.parts;
+    let dependencies = &ownership.dependencies;
     loop {
         tokio::time::sleep(constants::LEASE_CHECK_INTERVAL).await;
-        let Some(token) = parts.leases.fencing_token(INDEX_OWNER_LEASE) else { continue };
-        let owner = Arc::new(IndexOwner::new(token, parts.process.random() | 1, parts.clone()));
+        let Some(token) = dependencies.leases.fencing_token(INDEX_OWNER_LEASE) else { continue };
+        let owner = Arc::new(IndexOwner::new(
+            token,
+            dependencies.process.random() | 1,
+            dependencies.clone(),
+        ));
         *ownership.current.lock() = Some(owner.clone());
-        fleet_core::log_event!(parts.process.log, Event::RingStarted,
+        fleet_core::log_event!(dependencies.process.log, Event::RingStarted,
             "fence" => token, "incarnation" => owner.published.incarnation);
-        parts.cluster_state.append(StateChange::Ring(owner.published.head()));
+        dependencies.cluster_state.append(StateChange::Ring(owner.published.head()));
         ownership.run_until_lost(&owner).await;
         *ownership.current.lock() = None;
     }
@@ -190,12 +196,16 @@
 }
 
 impl IndexOwner {
-    fn new(fencing_token: u64, incarnation: u64, parts: IndexOwnershipParts) -> IndexOwner {
+    fn new(
+        fencing_token: u64,
+        incarnation: u64,
+        dependencies: IndexOwnershipDependencies,
+    ) -> IndexOwner {
         let serves_from = Instant::now() + constants::INDEX_WARM_UP;
-        let published = PublishedIndex::new(&parts, fencing_token, incarnation, serves_from);
+        let published = PublishedIndex::new(&dependencies, fencing_token, incarnation, serves_from);
         IndexOwner {
-            process: parts.process,
-            transport: parts.transport,
+            process: dependencies.process,
+            transport: dependencies.transport,
             fencing_token,
             published: Arc::new(published),
             first_reads: tokio::sync::Semaphore::new(constants::INITIAL_READ_CONCURRENCY),
@@ -208,8 +218,8 @@
         events_interval(self.holder_count.load(Ordering::Relaxed))
     }
 
-    fn client(&self, address: SocketAddr) -> EngineClient {
-        EngineClient::over(self.transport.clone(), self.process.node.ip, address)
+    fn client(&self, address: SocketAddr) -> HttpClient {
+        HttpClient::with_transport(self.transport.clone(), self.process.node.ip, address)
     }
 }
 
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -2,7 +2,7 @@
 //!
 //! The index owner fills it from the holders, a relay from the owner's ring; `feed` serves readers from it.
 
-use super::IndexOwnershipParts;
+use super::IndexOwnershipDependencies;
 use super::index::Index;
 use super::throttle::SnapshotThrottle;
 use crate::membership::routers::Routers;
@@ -35,14 +35,14 @@
 impl PublishedIndex {
     /// Creates an empty index with an empty ring.
     pub fn new(
-        parts: &IndexOwnershipParts,
+        dependencies: &IndexOwnershipDependencies,
         fencing_token: u64,
         incarnation: u64,
         serves_from: Instant,
     ) -> PublishedIndex {
         PublishedIndex {
-            process: parts.process.clone(),
-            routers: parts.routers.clone(),
+            process: dependencies.process.clone(),
+            routers: dependencies.routers.clone(),
             serves_from,
             fencing_token,
             incarnation,
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -14,7 +14,7 @@
 //! another relay or to the owner. A relay holds no state that exists only there, so its failure loses nothing.
 
 use super::published::PublishedIndex;
-use super::{IndexOwnership, IndexOwnershipParts};
+use super::{IndexOwnership, IndexOwnershipDependencies};
 use crate::cluster_state::{ClusterStateStore, StateChange};
 use crate::leases::INDEX_OWNER_LEASE;
 use fleet_core::constants;
@@ -69,18 +69,18 @@
 
     /// Whether relays are needed and this controller can be one: a voter that doesn't own the index.
     fn may_relay(&self) -> bool {
-        are_relays_needed(&self.parts.cluster_state)
-            && self.parts.consensus.votes()
-            && self.parts.leases.fencing_token(INDEX_OWNER_LEASE).is_none()
+        are_relays_needed(&self.dependencies.cluster_state)
+            && self.dependencies.consensus.votes()
+            && self.dependencies.leases.fencing_token(INDEX_OWNER_LEASE).is_none()
     }
 
     fn stop_relaying(&self) {
         let Some(published) = self.relay.published.lock().take() else { return };
-        self.parts.cluster_state.amend(|state| state.ring_relay = None);
+        self.dependencies.cluster_state.update_silently(|state| state.ring_relay = None);
         let withdrawn = RingHead { fencing_token: 0, ..published.head() };
         published
             .push_to_readers(&FleetUpdate { ring_relay: Some(withdrawn), ..Default::default() });
-        fleet_core::log_event!(self.parts.process.log, Event::RelayStopped);
+        fleet_core::log_event!(self.dependencies.process.log, Event::RelayStopped);
     }
 
     /// Applies an update that was read from the owner's ring.
@@ -102,7 +102,7 @@
             self.relay.changed.notify_one();
         }
         let owner = self.relay.upstream.borrow().as_ref().map(|head| head.owner.clone());
-        if let Some(link) = owner.and_then(|owner| self.parts.link_to(&owner)) {
+        if let Some(link) = owner.and_then(|owner| self.dependencies.link_to(&owner)) {
             let _ = link.notify(Body::CachedPrefixes(found));
         }
     }
@@ -110,28 +110,30 @@
     /// Announces the new head of the relay's ring to its readers.
     fn announce_relay(&self, published: &PublishedIndex) {
         let head = published.head();
-        self.parts.cluster_state.amend(|state| state.ring_relay = Some(head.clone()));
+        self.dependencies
+            .cluster_state
+            .update_silently(|state| state.ring_relay = Some(head.clone()));
         published.push_to_readers(&FleetUpdate { ring_relay: Some(head), ..Default::default() });
     }
 
     /// Starts a new ring from a snapshot of the owner's, and announces it to all routers.
     fn start_relaying(&self, position: RingPosition, update: &ViewUpdate) {
-        let incarnation = self.parts.process.random() | 1;
+        let incarnation = self.dependencies.process.random() | 1;
         let token = position.fencing_token();
-        let published = PublishedIndex::new(&self.parts, token, incarnation, Instant::now());
+        let published = PublishedIndex::new(&self.dependencies, token, incarnation, Instant::now());
         published.index.lock().record_found(&update.snapshot);
         let head = published.head();
         *self.relay.published.lock() = Some(Arc::new(published));
-        fleet_core::log_event!(self.parts.process.log, Event::RelayStarted, "fence" => token);
-        self.parts.cluster_state.append(StateChange::RingRelay(head));
+        fleet_core::log_event!(self.dependencies.process.log, Event::RelayStarted, "fence" => token);
+        self.dependencies.cluster_state.append(StateChange::RingRelay(head));
     }
 }
 
-impl IndexOwnershipParts {
+impl IndexOwnershipDependencies {
     fn link_to(&self, owner: &str) -> Option<Arc<Link>> {
         let member = id_of(owner.parse::<Ipv4Addr>().ok()?);
         let mut links = self.consensus.links_to_voters().into_iter();
-        links.find(|link| link.member == member).map(|link| link.link)
+        links.find(|link| link.member_id == member).map(|link| link.link)
     }
 }
 
@@ -146,7 +148,7 @@
 impl Upstream {
     /// Reads once. Returns whether there is more to read.
     async fn read(&mut self, ownership: &IndexOwnership, link: &Link) -> bool {
-        let request = self.position.request(ownership.parts.process.node.incarnation);
+        let request = self.position.request(ownership.dependencies.process.node.incarnation);
         let timeout =
             if request.refill { constants::SNAPSHOT_TIMEOUT } else { constants::PHASE_TIMEOUT };
         let response = link.call(Body::RingRequest(request), timeout).await;
@@ -185,7 +187,7 @@
         // Read also without an announcement: this recovers lost messages and detects the loss of the owner.
         let _ = tokio::time::timeout(constants::RELAY_READ_INTERVAL, heads.changed()).await;
         let head = heads.borrow_and_update().clone();
-        let link = head.and_then(|head| ownership.parts.link_to(&head.owner));
+        let link = head.and_then(|head| ownership.dependencies.link_to(&head.owner));
         let Some(link) = link.filter(|_| ownership.may_relay()) else {
             upstream = Upstream::default();
             ownership.stop_relaying();
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -33,7 +33,7 @@
     incarnation: u64,
     /// Sequence number of the newest message received from this incarnation.
     number: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// A grant that has not expired.
@@ -42,7 +42,7 @@
     /// Name of the node that it was granted to.
     pub node: String,
     /// Time at which it expires.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 /// The grants of one voter, kept in memory. After a restart, and after becoming a voter, it grants no lease whose holder
@@ -75,7 +75,7 @@
         policy: LeasePolicy,
     ) -> bool {
         let grants = self.grants_by_lease.entry_ref(request.lease_name.as_str()).or_default();
-        grants.retain(|grant| now < grant.until + policy.lease);
+        grants.retain(|grant| now < grant.expires_at + policy.lease);
         let sender_index = grants.iter().position(|grant| grant.incarnation == request.incarnation);
         if sender_index.is_some_and(|index| grants[index].number >= request.number) {
             return false;
@@ -83,7 +83,7 @@
         let blocked =
             policy.commands_engines && self.blocked_until.is_some_and(|until| now < until);
         let granted_elsewhere =
-            grants.iter().any(|grant| grant.node != request.node && now < grant.until);
+            grants.iter().any(|grant| grant.node != request.node && now < grant.expires_at);
         if !request.release && (blocked || granted_elsewhere) {
             return false;
         }
@@ -94,34 +94,35 @@
         } else {
             Duration::ZERO
         };
-        let former_end = sender_index.map_or(now, |index| grants.swap_remove(index).until);
-        let until =
+        let former_end = sender_index.map_or(now, |index| grants.swap_remove(index).expires_at);
+        let expires_at =
             if request.release { former_end.min(now + in_flight_time) } else { now + policy.lease };
         let (node, incarnation, number) =
             (request.node.clone(), request.incarnation, request.number);
-        grants.push(Grant { node, incarnation, number, until });
+        grants.push(Grant { node, incarnation, number, expires_at });
         true
     }
 
     /// The unexpired grant of a lease that ends last, if there is one.
     pub fn granted(&self, lease_name: &str, now: Instant) -> Option<RunningGrant> {
         let running =
-            self.grants_by_lease.get(lease_name)?.iter().filter(|grant| now < grant.until);
-        let latest = running.max_by_key(|grant| grant.until)?;
-        Some(RunningGrant { node: latest.node.clone(), until: latest.until })
+            self.grants_by_lease.get(lease_name)?.iter().filter(|grant| now < grant.expires_at);
+        let latest = running.max_by_key(|grant| grant.expires_at)?;
+        Some(RunningGrant { node: latest.node.clone(), expires_at: latest.expires_at })
     }
 
     /// Whether no other node is known to have an unexpired grant of a lease.
     pub fn is_free(&self, lease_name: &str, node: &str, now: Instant) -> bool {
         let grants = self.grants_by_lease.get(lease_name);
-        grants.is_none_or(|all| all.iter().all(|grant| grant.node == node || now >= grant.until))
+        grants
+            .is_none_or(|all| all.iter().all(|grant| grant.node == node || now >= grant.expires_at))
     }
 }
 
 /// A lease that this node holds, with the fencing token raised for it.
 #[derive(Debug, Clone, Copy)]
 struct CurrentLease {
-    until: Instant,
+    expires_at: Instant,
     /// Time by which the leases of former holders have expired.
     usable_from: Instant,
     fencing_token: u64,
@@ -162,10 +163,11 @@
     /// What to do now.
     pub fn next_step(&self, now: Instant, policy: LeasePolicy) -> LeaseStep {
         let Some(current) = &self.lease else { return LeaseStep::Acquire };
-        if now >= current.until {
+        if now >= current.expires_at {
             return LeaseStep::Expired;
         }
-        if current.until - now <= policy.usable().mul_f64(1.0 - constants::LEASE_RENEWAL_RATIO) {
+        if current.expires_at - now <= policy.usable().mul_f64(1.0 - constants::LEASE_RENEWAL_RATIO)
+        {
             return LeaseStep::Renew;
         }
         if !current.may_act && now >= current.usable_from {
@@ -196,7 +198,7 @@
         let may_act = was_last_holder || !policy.commands_engines;
         let usable_from = if may_act { granted_at } else { granted_at + policy.usable() };
         self.lease = Some(CurrentLease {
-            until: requested_at + policy.usable(),
+            expires_at: requested_at + policy.usable(),
             usable_from,
             fencing_token,
             raise_id,
@@ -208,9 +210,9 @@
     /// held it in the meantime.
     pub fn renewed(&mut self, requested_at: Instant, now: Instant, policy: LeasePolicy) {
         if let Some(current) = &mut self.lease
-            && now < current.until
+            && now < current.expires_at
         {
-            current.until = current.until.max(requested_at + policy.usable());
+            current.expires_at = current.expires_at.max(requested_at + policy.usable());
         }
     }
 
@@ -239,9 +241,9 @@
             lease.may_act
                 && lease.fencing_token > 0
                 && now >= lease.usable_from
-                && now < lease.until
+                && now < lease.expires_at
         })?;
-        Some(FencedLease { fencing_token: current.fencing_token, until: current.until })
+        Some(FencedLease { fencing_token: current.fencing_token, expires_at: current.expires_at })
     }
 }
 
@@ -251,7 +253,7 @@
     /// Fencing token to send with each command.
     pub fencing_token: u64,
     /// Time from which no command may reach an engine.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/leases/lease_tests.rs
+++ b/crates/control-plane/src/leases/lease_tests.rs
@@ -117,12 +117,12 @@
     let start = Instant::now();
     let mut holder = LeaseHolder::new(1);
     holder.acquired(start, start, 5, true, COMMANDING);
-    let until = start + COMMANDING.usable();
-    assert_eq!(holder.fenced_lease(start), Some(FencedLease { fencing_token: 5, until }));
-    assert_eq!(holder.fenced_lease(until), None);
-    holder.renewed(start + LEASE / 2, until, COMMANDING);
+    let expires_at = start + COMMANDING.usable();
+    assert_eq!(holder.fenced_lease(start), Some(FencedLease { fencing_token: 5, expires_at }));
+    assert_eq!(holder.fenced_lease(expires_at), None);
+    holder.renewed(start + LEASE / 2, expires_at, COMMANDING);
     assert_eq!(
-        holder.next_step(until, COMMANDING),
+        holder.next_step(expires_at, COMMANDING),
         LeaseStep::Expired,
         "an answer after the expiry is ignored"
     );
@@ -170,7 +170,7 @@
         let answered = now + constants::LEASE_RENEWAL_TIMEOUT / 2;
         holder.renewed(now, answered, policy);
         assert_eq!(
-            holder.fenced_lease(answered).map(|lease| lease.until),
+            holder.fenced_lease(answered).map(|lease| lease.expires_at),
             Some(now + policy.usable())
         );
     }
--- a/crates/control-plane/src/leases/mod.rs
+++ b/crates/control-plane/src/leases/mod.rs
@@ -70,7 +70,7 @@
     pub fn grant(&self, request: &LeaseRequest) -> LeaseResponse {
         let policy = self.policy(&request.lease_name);
         let may_grant =
-            self.consensus.with_acceptor(|acceptor| acceptor.may_grant(request.membership));
+            self.consensus.with_acceptor(|acceptor| acceptor.may_grant_lease(request.membership));
         LeaseResponse {
             ok: may_grant && self.grantor.lock().handle_request(request, Instant::now(), policy),
         }
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -28,7 +28,7 @@
 pub mod routers;
 mod state_transfer;
 
-pub use peer_service::{PeerService, PeerServiceParts};
+pub use peer_service::{PeerService, PeerServiceDependencies};
 pub use reconfiguration::{initial_membership, run_join, run_replacement};
 
 use crate::consensus::Consensus;
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -16,7 +16,7 @@
 #[derive(Clone)]
 pub struct MemberLink {
     /// Node ID of the member, as used in ballots.
-    pub member: u64,
+    pub member_id: u64,
     /// The link to it.
     pub link: Arc<Link>,
 }
@@ -110,11 +110,11 @@
     }
 
     /// Links to those of these members that there is a link to; this node itself is left out.
-    pub fn to(&self, members: &[Member]) -> Vec<MemberLink> {
+    pub fn links_to(&self, members: &[Member]) -> Vec<MemberLink> {
         let links = self.links.lock();
         let link = |member: &Member| {
             let ip = member.addr()?;
-            Some(MemberLink { member: id_of(ip), link: links.get(&ip)?.clone() })
+            Some(MemberLink { member_id: id_of(ip), link: links.get(&ip)?.clone() })
         };
         members.iter().filter_map(link).collect()
     }
--- a/crates/control-plane/src/membership/peer_service.rs
+++ b/crates/control-plane/src/membership/peer_service.rs
@@ -24,7 +24,7 @@
 use tokio::sync::{Semaphore, SemaphorePermit};
 
 /// The components that handle messages.
-pub struct PeerServiceParts {
+pub struct PeerServiceDependencies {
     /// Identity, settings and log of this process.
     pub process: Arc<Process>,
     /// Links from this node, and handshakes of processes that linked to it.
@@ -51,7 +51,7 @@
 
 /// Handler of the links that routers and other controllers open to this controller.
 pub struct PeerService {
-    parts: PeerServiceParts,
+    dependencies: PeerServiceDependencies,
     /// Limits how many complete states are in flight to routers. Each stays in memory until it is sent, and hundreds of
     /// routers may link at once.
     complete_state_permits: Arc<Semaphore>,
@@ -59,20 +59,20 @@
 
 impl PeerService {
     /// Creates a service that dispatches to the given components.
-    pub fn new(parts: PeerServiceParts) -> PeerService {
+    pub fn new(dependencies: PeerServiceDependencies) -> PeerService {
         let complete_state_permits = Arc::new(Semaphore::new(constants::COMPLETE_STATES_IN_FLIGHT));
-        PeerService { parts, complete_state_permits }
+        PeerService { dependencies, complete_state_permits }
     }
 }
 
 impl PeerHandler for PeerService {
     fn connected(self: &Arc<Self>, peer: &Peer) {
-        self.parts.links.register(&peer.handshake);
+        self.dependencies.links.register(&peer.handshake);
         if peer.handshake.role == Role::Router as u32 {
-            self.parts.routers.connected(peer);
+            self.dependencies.routers.connected(peer);
             // The task ends when the link is closed.
             let updates = RouterUpdates {
-                cluster_state: self.parts.cluster_state.clone(),
+                cluster_state: self.dependencies.cluster_state.clone(),
                 complete_state_permits: self.complete_state_permits.clone(),
                 peer: peer.clone(),
             };
@@ -81,13 +81,13 @@
     }
 
     fn disconnected(self: &Arc<Self>, peer: &Peer) {
-        self.parts.routers.disconnected(peer);
+        self.dependencies.routers.disconnected(peer);
     }
 
     async fn answer(self: &Arc<Self>, peer: &Peer, body: Body) -> Option<Body> {
-        let parts = &self.parts;
-        if parts.links.is_retired(&peer.handshake) {
-            fleet_core::log_event!(parts.process.log, Event::PeerRejected,
+        let dependencies = &self.dependencies;
+        if dependencies.links.is_retired(&peer.handshake) {
+            fleet_core::log_event!(dependencies.process.log, Event::PeerRejected,
                 "from" => &peer.handshake.ip, "why" => "former incarnation");
             return None;
         }
@@ -95,34 +95,36 @@
             Body::Prepare(request) => self.prepare(&request).await,
             Body::Accept(request) => self.accept(&request).await,
             Body::PreVoteRequest(request) => {
-                Some(Body::PreVoteResponse(parts.consensus.pre_vote(&request)))
+                Some(Body::PreVoteResponse(dependencies.consensus.pre_vote(&request)))
             }
             Body::OwnerResigned(_) => self.owner_resigned(peer),
             Body::ReadBallots(request) => self.read_ballots(&request).await,
             Body::RecoverRequest(request) => self.begin_recovery(peer, &request).await,
             Body::ValueChunkRequest(request) => {
-                let chunk = parts.membership.value_chunk(&peer.handshake.ip, &request);
+                let chunk = dependencies.membership.value_chunk(&peer.handshake.ip, &request);
                 Some(Body::ValueChunk(chunk))
             }
             Body::RegisterRequest(request) => {
-                let response = register_reads::answer_read(&parts.consensus, &request);
+                let response = register_reads::answer_read(&dependencies.consensus, &request);
                 Some(Body::RegisterResponse(response))
             }
             Body::ConfigRequest(request) => {
-                Some(Body::ConfigResponse(parts.distribution.answer(&request).await))
+                Some(Body::ConfigResponse(dependencies.distribution.answer(&request).await))
             }
             Body::CommitNotice(notice) => self.commit_notice(&notice).await,
             Body::ChangeRequest(request) => self.change(&request).await,
-            Body::LeaseRequest(request) => Some(Body::LeaseResponse(parts.leases.grant(&request))),
+            Body::LeaseRequest(request) => {
+                Some(Body::LeaseResponse(dependencies.leases.grant(&request)))
+            }
             Body::EngineHeartbeats(heartbeats) => self.engine_heartbeats(heartbeats),
             Body::JoinRequest(request) => self.join(request),
             Body::RouterHeartbeat(_) => self.router_heartbeat(peer),
             Body::CachedPrefixes(found) => {
-                parts.index.record_found(found);
+                dependencies.index.record_found(found);
                 None
             }
             Body::LoadReport(report) => {
-                parts.load_reports.record(peer, report);
+                dependencies.load_reports.record(peer, report);
                 None
             }
             Body::RingRequest(request) => self.ring(peer, &request),
@@ -132,20 +134,20 @@
     }
 
     fn message_rejected(self: &Arc<Self>, error: &LinkError) {
-        let log = &self.parts.process.log;
+        let log = &self.dependencies.process.log;
         fleet_core::log_event!(log, Event::PeerRejected, "why" => error.to_string());
     }
 }
 
 impl PeerService {
     async fn prepare(&self, request: &Prepare) -> Option<Body> {
-        let vote = self.parts.consensus.vote(|acceptor| acceptor.prepare(request)).await;
+        let vote = self.dependencies.consensus.vote(|acceptor| acceptor.prepare(request)).await;
         self.record_progress(&request.key, vote.as_ref());
         vote.map(Body::Vote)
     }
 
     async fn accept(&self, request: &Accept) -> Option<Body> {
-        let vote = self.parts.consensus.vote(|acceptor| acceptor.accept(request)).await;
+        let vote = self.dependencies.consensus.vote(|acceptor| acceptor.accept(request)).await;
         self.record_progress(&request.key, vote.as_ref());
         vote.map(Body::Vote)
     }
@@ -154,27 +156,31 @@
     /// for a while.
     fn record_progress(&self, key: &str, vote: Option<&Vote>) {
         if vote.is_some_and(|vote| vote.ok) {
-            self.parts.consensus.record_progress(key);
+            self.dependencies.consensus.record_progress(key);
         }
     }
 
     fn owner_resigned(&self, peer: &Peer) -> Option<Body> {
-        resignation::record_resignation(&self.parts.consensus, peer.handshake.ip.parse().ok()?);
+        resignation::record_resignation(
+            &self.dependencies.consensus,
+            peer.handshake.ip.parse().ok()?,
+        );
         Some(Body::Acknowledged(Empty {}))
     }
 
     async fn read_ballots(&self, request: &ReadBallots) -> Option<Body> {
         let values = request.values;
-        let report = self.parts.consensus.vote(|acceptor| acceptor.read_ballots(values)).await;
+        let report =
+            self.dependencies.consensus.vote(|acceptor| acceptor.read_ballots(values)).await;
         report.map(Body::BallotReport)
     }
 
     /// Handles the start of a member's recovery. If the membership matches, messages of the member's former incarnations
     /// are dropped from now on.
     async fn begin_recovery(&self, peer: &Peer, request: &RecoverRequest) -> Option<Body> {
-        let consensus = &self.parts.consensus;
+        let consensus = &self.dependencies.consensus;
         let report = if request.membership == consensus.membership_epoch() {
-            self.parts.links.retire_incarnations(&peer.handshake.ip, request.incarnation);
+            self.dependencies.links.retire_incarnations(&peer.handshake.ip, request.incarnation);
             let recovery_epoch = request.recovery_epoch;
             consensus.vote(|acceptor| acceptor.begin_state_transfer(recovery_epoch)).await
         } else {
@@ -184,17 +190,17 @@
     }
 
     async fn commit_notice(&self, notice: &CommitNotice) -> Option<Body> {
-        self.parts.consensus.on_commit_notice(notice).await;
+        self.dependencies.consensus.on_commit_notice(notice).await;
         None
     }
 
     async fn change(&self, request: &ChangeRequest) -> Option<Body> {
-        let response = forward::submit_forwarded(&self.parts.consensus, request).await;
+        let response = forward::submit_forwarded(&self.dependencies.consensus, request).await;
         Some(Body::ChangeResponse(response))
     }
 
     fn engine_heartbeats(&self, heartbeats: EngineHeartbeats) -> Option<Body> {
-        let registry = &self.parts.registry;
+        let registry = &self.dependencies.registry;
         for engine in heartbeats.engines {
             registry.record_heartbeat(engine, HeartbeatSource::Controller);
         }
@@ -203,15 +209,15 @@
     }
 
     fn join(&self, request: JoinRequest) -> Option<Body> {
-        self.parts.membership.on_join_request(request);
-        let membership = Some(self.parts.consensus.membership());
+        self.dependencies.membership.on_join_request(request);
+        let membership = Some(self.dependencies.consensus.membership());
         Some(Body::JoinResponse(JoinResponse { membership }))
     }
 
     fn router_heartbeat(&self, peer: &Peer) -> Option<Body> {
-        let live = self.parts.routers.record_heartbeat(peer);
-        if self.parts.cluster_state.read(|state| state.routers) != live {
-            self.parts.cluster_state.append(StateChange::Routers(live));
+        let live = self.dependencies.routers.record_heartbeat(peer);
+        if self.dependencies.cluster_state.read(|state| state.routers) != live {
+            self.dependencies.cluster_state.append(StateChange::Routers(live));
         }
         Some(Body::Acknowledged(Empty {}))
     }
@@ -223,7 +229,7 @@
         }
         let is_relay = peer.handshake.role == Role::Controller as u32;
         let reader = if is_relay { Reader::Relay } else { Reader::Router };
-        Some(Body::RingResponse(self.parts.index.answer_reader(request, reader)))
+        Some(Body::RingResponse(self.dependencies.index.answer_reader(request, reader)))
     }
 
     /// Records the ring head announced by another controller that owns the index.
@@ -231,7 +237,7 @@
         if peer.handshake.role == Role::Controller as u32
             && let Some(head) = update.ring
         {
-            self.parts.index.record_owner_head(head);
+            self.dependencies.index.record_owner_head(head);
         }
         None
     }
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -240,9 +240,9 @@
     let bytes: bytes::Bytes = next.encode_to_vec().into();
     let decide = |current: &[u8]| match Membership::decode(current) {
         Ok(current) if current.epoch > membership.epoch => {
-            state_machine::Decision::Answer(state_machine::unknown())
+            state_machine::Decision::Answer(state_machine::unknown_outcome())
         }
-        _ => state_machine::Decision::Write(bytes.clone(), state_machine::unknown()),
+        _ => state_machine::Decision::Write(bytes.clone(), state_machine::unknown_outcome()),
     };
     let proposed = manager.consensus.propose_and_commit(state_machine::MEMBERSHIP, decide);
     let _ = tokio::time::timeout(constants::CHANGE_TIMEOUT * 2, proposed).await;
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -183,11 +183,11 @@
     catch_up: &mut CatchUp,
 ) -> bool {
     let members = manager.consensus.membership().members;
-    let links = manager.links.to(&members);
+    let links = manager.links.links_to(&members);
     for (index, (key, (ballot, mut ids))) in latest_ballots(reports).into_iter().enumerate() {
         let first = index % ids.len();
         ids.rotate_left(first);
-        let link = |id: &u64| links.iter().find(|link| link.member == *id);
+        let link = |id: &u64| links.iter().find(|link| link.member_id == *id);
         let sources: Vec<Arc<Link>> =
             ids.iter().filter_map(link).map(|link| link.link.clone()).collect();
         if !catch_up.fetch(&key, ballot, &sources).await {
@@ -204,10 +204,11 @@
     request: Body,
 ) -> Vec<(u64, BallotReport)> {
     let members = manager.consensus.membership().members;
-    let calls = manager.links.to(&members).into_iter().map(|MemberLink { member: id, link }| {
-        let request = request.clone();
-        async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
-    });
+    let calls =
+        manager.links.links_to(&members).into_iter().map(|MemberLink { member_id: id, link }| {
+            let request = request.clone();
+            async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
+        });
     let mut reports = Vec::new();
     for (id, answer) in futures_util::future::join_all(calls).await {
         let Ok(Body::BallotReport(report)) = answer else { continue };
--- a/crates/control-plane/src/rollout/concurrency.rs
+++ b/crates/control-plane/src/rollout/concurrency.rs
@@ -7,18 +7,18 @@
 /// Additive increase, multiplicative decrease: each fast load raises the limit by one, and a slow load multiplies it
 /// by [`constants::CONCURRENCY_DECREASE`].
 #[derive(Debug, Clone)]
-pub struct Concurrency {
+pub struct ConcurrencyLimit {
     /// Never below 1.
     limit: f64,
     fastest_load: Option<Duration>,
     last_decrease: Option<Instant>,
 }
 
-impl Concurrency {
+impl ConcurrencyLimit {
     /// The initial limit for a rollout over this many engines.
-    pub fn new(engines: usize) -> Concurrency {
+    pub fn new(engines: usize) -> ConcurrencyLimit {
         let limit = (engines as f64 * constants::ROLLOUT_INITIAL_SHARE).max(1.0);
-        Concurrency { limit, fastest_load: None, last_decrease: None }
+        ConcurrencyLimit { limit, fastest_load: None, last_decrease: None }
     }
 
     /// Adjusts the limit to the time that one engine took to load its weights.
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -14,7 +14,7 @@
 pub mod status;
 
 use crate::cluster_state::ClusterStateStore;
-use crate::engines::client::EngineClient;
+use crate::engines::client::HttpClient;
 use crate::engines::registry::EngineRegistry;
 use crate::leases::{LeaseManager, ROLLOUT_LEASE};
 use crate::membership::load_reports::LoadReports;
@@ -46,7 +46,7 @@
 }
 
 /// Dependencies of a [`Rollout`].
-pub struct RolloutParts {
+pub struct RolloutDependencies {
     /// The process that the rollout runs in.
     pub process: Arc<Process>,
     /// Provides the fencing token while this node holds [`ROLLOUT_LEASE`].
@@ -63,14 +63,14 @@
 
 impl Rollout {
     /// Starts with an empty plan.
-    pub fn new(parts: RolloutParts) -> Rollout {
+    pub fn new(dependencies: RolloutDependencies) -> Rollout {
         Rollout {
-            process: parts.process,
-            leases: parts.leases,
-            registry: parts.registry,
-            cluster_state: parts.cluster_state,
-            load_reports: parts.load_reports,
-            transport: parts.transport,
+            process: dependencies.process,
+            leases: dependencies.leases,
+            registry: dependencies.registry,
+            cluster_state: dependencies.cluster_state,
+            load_reports: dependencies.load_reports,
+            transport: dependencies.transport,
             plan: Mutex::default(),
         }
     }
@@ -225,8 +225,8 @@
             let updated = update(&rollout, &id, &target).await;
             let mut plan = rollout.plan.lock();
             match updated {
-                Ok(load) => plan.ended(&id, Instant::now(), Some(load)),
-                Err(error) => plan.failed(&id, Instant::now(), &error.to_string()),
+                Ok(load) => plan.record_update_end(&id, Instant::now(), Some(load)),
+                Err(error) => plan.record_update_failure(&id, Instant::now(), &error.to_string()),
             }
         }
     }
@@ -252,7 +252,7 @@
     let engine = &engine.ok_or(OrderError::UnknownEngine)?;
     let address = engine.address.parse().map_err(|_| OrderError::UnknownEngine)?;
     let transport = rollout.transport.clone();
-    let mut client = EngineClient::over(transport, rollout.process.node.ip, address);
+    let mut client = HttpClient::with_transport(transport, rollout.process.node.ip, address);
     publish_update_state(rollout, &engine.id, set_updating).await;
     tokio::time::sleep(constants::UPDATE_NOTICE_DELAY).await;
     let (model, version) = (target.model.as_str(), target.version);
--- a/crates/control-plane/src/rollout/order.rs
+++ b/crates/control-plane/src/rollout/order.rs
@@ -2,7 +2,7 @@
 
 use super::Rollout;
 use crate::cluster_state::ClusterState;
-use crate::engines::client::{Answer, CallError, EngineClient};
+use crate::engines::client::{CallError, HttpClient, HttpResponse};
 use crate::leases::ROLLOUT_LEASE;
 use crate::leases::lease::FencedLease;
 use fleet_core::constants;
@@ -117,8 +117,10 @@
 /// Timeout of an order, chosen so that it reaches the engine before the lease ends or not at all. `None` if too little
 /// time is left to send it.
 pub fn order_timeout(lease: FencedLease, now: Instant) -> Option<Duration> {
-    let remaining =
-        lease.until.saturating_duration_since(now).saturating_sub(constants::ORDER_DELIVERY_TIME);
+    let remaining = lease
+        .expires_at
+        .saturating_duration_since(now)
+        .saturating_sub(constants::ORDER_DELIVERY_TIME);
     (remaining >= constants::ORDER_MIN_LEASE_LEFT)
         .then(|| remaining.min(constants::ENGINE_CALL_TIMEOUT))
 }
@@ -151,7 +153,7 @@
 /// The engine executes an order that was sent even if this future is dropped.
 pub async fn execute(
     rollout: &Rollout,
-    client: &mut EngineClient,
+    client: &mut HttpClient,
     engine: &Engine,
     model: &str,
     version: u64,
@@ -182,7 +184,7 @@
 /// Acts on a report; returns how long loading took once it is complete.
 async fn advance(
     rollout: &Rollout,
-    client: &mut EngineClient,
+    client: &mut HttpClient,
     progress: &mut Progress<'_>,
     engine: &Engine,
     report: &Report,
@@ -216,7 +218,7 @@
 
 async fn send_order(
     rollout: &Rollout,
-    client: &mut EngineClient,
+    client: &mut HttpClient,
     progress: &Progress<'_>,
     engine: &Engine,
     expected: u64,
@@ -248,7 +250,7 @@
         Ok(202) => Ok(OrderOutcome::Accepted),
         Ok(200) => Ok(OrderOutcome::AlreadyApplied),
         Ok(412) => {
-            rollout.leases.refused(ROLLOUT_LEASE, lease.fencing_token);
+            rollout.leases.on_token_rejected(ROLLOUT_LEASE, lease.fencing_token);
             Err(OrderError::Fenced)
         }
         Ok(421) => Err(OrderError::WrongEngine),
@@ -257,7 +259,7 @@
 }
 
 async fn fetch_report(
-    client: &mut EngineClient,
+    client: &mut HttpClient,
     engine: &Engine,
 ) -> Result<Option<Report>, OrderError> {
     let target = [("X-Target-Instance", engine.id.as_str())];
@@ -266,7 +268,7 @@
     parse_report(client.call(http::Method::GET, path, &target, Vec::new(), timeout).await)
 }
 
-fn parse_report(response: Result<Answer, CallError>) -> Result<Option<Report>, OrderError> {
+fn parse_report(response: Result<HttpResponse, CallError>) -> Result<Option<Report>, OrderError> {
     match response {
         Ok(response) if response.status == http::StatusCode::MISDIRECTED_REQUEST => {
             Err(OrderError::WrongEngine)
--- a/crates/control-plane/src/rollout/order_tests.rs
+++ b/crates/control-plane/src/rollout/order_tests.rs
@@ -54,10 +54,10 @@
         "older weights"
     );
     let status = http::StatusCode::MISDIRECTED_REQUEST;
-    let misdirected = Answer { status, body: bytes::Bytes::new(), location: None };
+    let misdirected = HttpResponse { status, body: bytes::Bytes::new(), location: None };
     assert!(matches!(parse_report(Ok(misdirected)), Err(OrderError::WrongEngine)));
     let body = br#"{"models":[{"name":"m","revision":3}]}"#.as_slice().into();
-    let not_found = Answer { status: http::StatusCode::NOT_FOUND, body, location: None };
+    let not_found = HttpResponse { status: http::StatusCode::NOT_FOUND, body, location: None };
     assert!(matches!(parse_report(Ok(not_found)), Ok(None)), "only a 200 is a report");
 }
 
@@ -80,7 +80,7 @@
 #[test]
 fn an_order_times_out_before_the_lease_ends() {
     let now = Instant::now();
-    let lease = |ms| FencedLease { fencing_token: 1, until: now + Duration::from_millis(ms) };
+    let lease = |ms| FencedLease { fencing_token: 1, expires_at: now + Duration::from_millis(ms) };
     let timeout = |ms| order_timeout(lease(ms), now);
     assert_eq!(timeout(5000), Some(constants::ENGINE_CALL_TIMEOUT));
     assert_eq!(timeout(500), Some(Duration::from_millis(500) - constants::ORDER_DELIVERY_TIME));
--- a/crates/control-plane/src/rollout/plan.rs
+++ b/crates/control-plane/src/rollout/plan.rs
@@ -4,7 +4,7 @@
 //! through [`Step::Updating`], and is done once it reports the target weights. Interactive engines come first, to keep
 //! the time short in which users are served by a mix of old and new weights with fewer engines.
 
-use super::concurrency::Concurrency;
+use super::concurrency::ConcurrencyLimit;
 use fleet_core::constants;
 use hashbrown::HashMap;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     /// drained, its request mix no longer shows this.
     is_interactive: HashMap<String, bool>,
     /// `None` until the first call of [`Plan::next`].
-    concurrency: Option<Concurrency>,
+    concurrency: Option<ConcurrencyLimit>,
     /// Moving average of the duration of an update, retained across rollouts.
     update_duration: Duration,
     /// Error of the last failed update of each engine.
@@ -93,7 +93,7 @@
 
     /// Number of engines that may load weights at the same time; 0 before the rollout has started.
     pub fn concurrency(&self) -> usize {
-        self.concurrency.as_ref().map_or(0, Concurrency::limit)
+        self.concurrency.as_ref().map_or(0, ConcurrencyLimit::limit)
     }
 
     /// Takes over an engine whose streams are already being drained on behalf of a former lease holder.
@@ -102,7 +102,7 @@
     }
 
     /// Records the end of an update, with the time that the engine took to load the weights, or `None` if it failed.
-    pub fn ended(&mut self, id: &str, now: Instant, load: Option<Duration>) {
+    pub fn record_update_end(&mut self, id: &str, now: Instant, load: Option<Duration>) {
         let step = self.steps.remove(id);
         if let (Some(Step::Updating(since)), Some(load)) = (step, load) {
             self.update_duration = (self.update_duration * 3 + now.duration_since(since)) / 4;
@@ -113,8 +113,8 @@
     }
 
     /// Records that an update failed, and the reason.
-    pub fn failed(&mut self, id: &str, now: Instant, why: &str) {
-        self.ended(id, now, None);
+    pub fn record_update_failure(&mut self, id: &str, now: Instant, why: &str) {
+        self.record_update_end(id, now, None);
         self.errors.insert(id.to_owned(), why.to_owned());
     }
 
@@ -164,7 +164,8 @@
     }
 
     fn update_budget(&mut self, total: usize, outdated: &[OutdatedEngine]) -> UpdateBudget {
-        let concurrency = self.concurrency.get_or_insert_with(|| Concurrency::new(total)).limit();
+        let concurrency =
+            self.concurrency.get_or_insert_with(|| ConcurrencyLimit::new(total)).limit();
         let required = self.needed_concurrency(outdated.iter().map(|engine| engine.remaining));
         let share_of_engines = |share: f64| ((total as f64 * share).ceil() as usize).max(1);
         // Meeting the goal justifies updating more engines at the same time, but not to the point of overloading the
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -102,7 +102,11 @@
 }
 
 /// Explains why an engine makes no progress; `None` if nothing is wrong with it.
-pub fn stuck(state: State, step: Option<(Step, Instant)>, error: Option<&str>) -> Option<String> {
+pub fn stall_reason(
+    state: State,
+    step: Option<(Step, Instant)>,
+    error: Option<&str>,
+) -> Option<String> {
     match (state, step) {
         (State::Ready, _) => None,
         (State::HeartbeatMissed, _) => Some("sends no heartbeats".to_owned()),
@@ -163,7 +167,7 @@
         id: engine.id.clone(),
         revision: version_of(engine, model),
         state,
-        stuck: stuck(state, step, plan.error(&engine.id)),
+        stuck: stall_reason(state, step, plan.error(&engine.id)),
         zone: engine.zone.clone(),
     }
 }
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -50,8 +50,8 @@
 
     /// Shuts down gracefully, as the program does on SIGTERM: releases the leases and the ownership of keys, and sends the
     /// other controllers any engine state that they may lack.
-    pub async fn leave(&self) {
-        self.controller.leave().await;
+    pub async fn shut_down(&self) {
+        self.controller.shut_down().await;
     }
 
     /// Stops at once, as in a crash: aborts all tasks and closes all connections. Operations that were already handed over
@@ -86,7 +86,7 @@
     let server = api::serve(running.controller(), control)
         .map_err(|error| ControllerError::ApiServer(error.kind()))?;
     run_until_stopped(running.controller(), stop, reread).await;
-    running.leave().await;
+    running.shut_down().await;
     let _ = tokio::time::timeout(constants::SERVER_CLOSE_TIMEOUT, server.close()).await;
     running.abort();
     Ok(())
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// 400 if the header is missing or not a number.
-pub fn base_of(header: Option<&str>) -> Result<u64, Rejection> {
+pub fn parse_base_version(header: Option<&str>) -> Result<u64, Rejection> {
     header
         .map(str::trim)
         .filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()))
@@ -43,7 +43,7 @@
     body: Bytes,
 ) -> Result<Replaced, Rejection> {
     require_contact(consensus)?;
-    let base = base_of(base_header)?;
+    let base = parse_base_version(base_header)?;
     let configuration =
         Configuration::read(&body).map_err(|error| reject_invalid(consensus, &error))?;
     let packed = fleet_core::packing::pack(&body);
@@ -52,9 +52,10 @@
     match changed.outcome() {
         Outcome::Done => Ok(Replaced { version: change.version }),
         Outcome::Stale => Err(reject_stale_base(&changed)),
-        Outcome::Invalid => {
-            Err(reject_invalid(consensus, &state_machine::error_of(&change, &changed)))
-        }
+        Outcome::Invalid => Err(reject_invalid(
+            consensus,
+            &state_machine::version_not_above_error(&change, &changed),
+        )),
         Outcome::Unproven => Err(reject_unproven(&changed)),
         Outcome::Unknown => {
             Err(Rejection::unavailable("unknown", "no majority in time: it may yet be in force"))
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -66,7 +66,7 @@
     membership: &Membership,
 ) -> BTreeMap<u64, BallotReport> {
     let calls = consensus.links_to(&membership.members).into_iter().map(
-        |MemberLink { member: id, link }| async move {
+        |MemberLink { member_id: id, link }| async move {
             let request =
                 Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
             match link.call(request, constants::PHASE_TIMEOUT).await {
@@ -165,7 +165,7 @@
         acts: sources.leases.fencing_token(lease_name).is_some(),
         granted: granted.map(|grant| GrantView {
             node: grant.node,
-            remaining_ms: as_millis(grant.until - now),
+            remaining_ms: as_millis(grant.expires_at - now),
         }),
     })
 }
--- a/crates/control-plane/src/storage/backend.rs
+++ b/crates/control-plane/src/storage/backend.rs
@@ -44,25 +44,25 @@
 }
 
 /// A directory in the machine's file system, with its files kept open for writing.
-pub struct Folder {
+pub struct Directory {
     path: PathBuf,
     open_files: hashbrown::HashMap<String, std::fs::File>,
 }
 
-impl Folder {
+impl Directory {
     /// Opens a directory, and creates it and its missing ancestors durably.
     ///
     /// # Errors
     ///
     /// The directory can't be created or synced.
-    pub fn open(path: &Path) -> io::Result<Folder> {
+    pub fn open(path: &Path) -> io::Result<Directory> {
         let missing: Vec<&Path> =
             path.ancestors().take_while(|ancestor| !ancestor.exists()).collect();
         std::fs::create_dir_all(path)?;
         for created in missing {
             sync_directory_entries(created.parent().unwrap_or(created))?;
         }
-        Ok(Folder { path: path.to_owned(), open_files: hashbrown::HashMap::new() })
+        Ok(Directory { path: path.to_owned(), open_files: hashbrown::HashMap::new() })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut std::fs::File> {
@@ -90,7 +90,7 @@
     }
 }
 
-impl Storage for Folder {
+impl Storage for Directory {
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         default_if_missing(std::fs::File::open(self.path.join(name)).and_then(|mut file| {
             let mut content = Vec::new();
--- a/crates/control-plane/src/storage/files.rs
+++ b/crates/control-plane/src/storage/files.rs
@@ -3,7 +3,7 @@
 //! The state is the newest valid slot with the valid log records that follow it. A new slot is durable before the log
 //! is overwritten, so durable records are always in one of the two.
 
-use super::backend::{Folder, Storage};
+use super::backend::{Directory, Storage};
 use super::format::{self, Record, Slot, State};
 use super::{DiskError, io_error};
 use fleet_core::constants;
@@ -14,23 +14,23 @@
 
 /// Sizes in bytes to which the files are preallocated.
 #[derive(Clone, Copy)]
-pub struct Layout {
+pub struct FileSizes {
     /// Initial size of each slot; slots grow with the state.
     pub slot: usize,
     /// Size of the log, which is fixed.
     pub log: usize,
 }
 
-impl Default for Layout {
+impl Default for FileSizes {
     fn default() -> Self {
-        Layout { slot: constants::SLOT_BYTES, log: constants::LOG_BYTES }
+        FileSizes { slot: constants::SLOT_BYTES, log: constants::LOG_BYTES }
     }
 }
 
 /// The stored state in memory, and the files that hold it.
-pub struct Files<S = Folder> {
+pub struct StateFiles<S = Directory> {
     storage: S,
-    layout: Layout,
+    sizes: FileSizes,
     /// Sequence number of the newest slot; the log records that follow it carry the same number.
     seq: u64,
     /// Offset in the log at which the next record is written.
@@ -39,37 +39,37 @@
     /// The last write failed, so the state in memory is ahead of the files.
     is_unsaved: bool,
     /// A slot was torn or corrupt when the files were opened.
-    pub damaged: bool,
+    pub was_damaged: bool,
     /// The files held no state when they were opened.
-    pub empty: bool,
+    pub was_empty: bool,
 }
 
-impl Files {
+impl StateFiles {
     /// Opens the files of a directory, which is created if it doesn't exist.
     ///
     /// # Errors
     ///
     /// The directory can't be created, or a file can't be read: an unreadable file doesn't count as an empty disk.
-    pub fn open(dir: &Path) -> Result<(Files, State), DiskError> {
-        let directory = Folder::open(dir).map_err(io_error("create directory"))?;
-        Files::open_in(directory, Layout::default())
+    pub fn open(dir: &Path) -> Result<(StateFiles, State), DiskError> {
+        let directory = Directory::open(dir).map_err(io_error("create directory"))?;
+        StateFiles::open_in(directory, FileSizes::default())
     }
 }
 
-impl<S: Storage> Files<S> {
+impl<S: Storage> StateFiles<S> {
     /// Restores the state from the newest valid slot and the log records that follow it. Without a valid slot the disk
     /// counts as empty.
     ///
     /// # Errors
     ///
     /// A file can't be read, or the files can't be preallocated.
-    pub fn open_in(mut storage: S, layout: Layout) -> Result<(Files<S>, State), DiskError> {
+    pub fn open_in(mut storage: S, sizes: FileSizes) -> Result<(StateFiles<S>, State), DiskError> {
         let mut newest_slot: Option<(u64, State)> = None;
-        let mut damaged = false;
+        let mut was_damaged = false;
         for name in SLOTS {
             match format::read_slot(&storage.read(name).map_err(io_error("read slot"))?) {
                 Slot::Blank => {}
-                Slot::Damaged => damaged = true,
+                Slot::Damaged => was_damaged = true,
                 Slot::Valid(seq, state) => {
                     if newest_slot.as_ref().is_none_or(|(newest_seq, _)| seq > *newest_seq) {
                         newest_slot = Some((seq, state));
@@ -83,18 +83,18 @@
         let (records, log_offset) =
             if has_no_slot { (Vec::new(), 0) } else { format::read_log(&log, seq) };
         records.iter().for_each(|record| state.apply(record));
-        preallocate_all(&mut storage, layout)?;
-        let empty = state == State::default();
+        preallocate_all(&mut storage, sizes)?;
+        let was_empty = state == State::default();
         let is_unsaved = false;
-        let mut files = Files {
+        let mut files = StateFiles {
             storage,
-            layout,
+            sizes,
             seq,
             log_offset,
             state: state.clone(),
             is_unsaved,
-            damaged,
-            empty,
+            was_damaged,
+            was_empty,
         };
         if has_no_slot {
             files.write_next_slot()?;
@@ -128,7 +128,7 @@
     fn append(&mut self, record: &Record) -> Result<(), DiskError> {
         self.state.apply(record);
         let bytes = format::encode_record(self.seq, record);
-        if self.log_offset + bytes.len() > self.layout.log {
+        if self.log_offset + bytes.len() > self.sizes.log {
             return self.write_next_slot();
         }
         self.storage.write(LOG, self.log_offset as u64, &bytes).map_err(io_error("write log"))?;
@@ -172,11 +172,11 @@
 
 /// Preallocates all files and syncs the directory, so that later writes don't depend on directory entries that a power
 /// loss could undo.
-fn preallocate_all<S: Storage>(storage: &mut S, layout: Layout) -> Result<(), DiskError> {
+fn preallocate_all<S: Storage>(storage: &mut S, sizes: FileSizes) -> Result<(), DiskError> {
     for name in SLOTS {
-        preallocate(storage, name, layout.slot).map_err(io_error("preallocate slot"))?;
+        preallocate(storage, name, sizes.slot).map_err(io_error("preallocate slot"))?;
     }
-    preallocate(storage, LOG, layout.log).map_err(io_error("preallocate log"))?;
+    preallocate(storage, LOG, sizes.log).map_err(io_error("preallocate log"))?;
     storage.sync_directory().map_err(io_error("sync directory"))
 }
 
--- a/crates/control-plane/src/storage/files_tests.rs
+++ b/crates/control-plane/src/storage/files_tests.rs
@@ -33,22 +33,22 @@
 #[test]
 fn state_survives_reopening_across_many_slot_writes() {
     let dir = missing_dir("reopen");
-    let (mut files, state) = Files::open(&dir).unwrap();
-    assert!(files.empty && state.registers.is_empty());
+    let (mut files, state) = StateFiles::open(&dir).unwrap();
+    assert!(files.was_empty && state.registers.is_empty());
     for n in 1..=60 {
         files.append(&record(if n % 2 == 0 { "a" } else { "b" }, n, 100_000)).unwrap();
     }
     assert!(files.seq > 2);
     drop(files);
-    let (files, state) = Files::open(&dir).unwrap();
-    assert!(!files.empty && state.voting);
+    let (files, state) = StateFiles::open(&dir).unwrap();
+    assert!(!files.was_empty && state.voting);
     assert_eq!((accepted_epoch(&state, "a"), accepted_epoch(&state, "b")), (Some(60), Some(59)));
 }
 
 #[test]
 fn torn_log_tail_is_dropped_and_overwritten() {
     let dir = missing_dir("torn");
-    let (mut files, _) = Files::open(&dir).unwrap();
+    let (mut files, _) = StateFiles::open(&dir).unwrap();
     files.append(&record("a", 1, 10)).unwrap();
     let end_of_first = files.log_offset;
     files.append(&record("a", 2, 10)).unwrap();
@@ -57,17 +57,17 @@
     let mut bytes = std::fs::read(&log_path).unwrap();
     bytes[end_of_first + format::RECORD_HEADER_BYTES + 3] ^= 0xff;
     std::fs::write(&log_path, &bytes).unwrap();
-    let (mut files, state) = Files::open(&dir).unwrap();
+    let (mut files, state) = StateFiles::open(&dir).unwrap();
     assert_eq!(accepted_epoch(&state, "a"), Some(1));
     files.append(&record("a", 3, 10)).unwrap();
     drop(files);
-    assert_eq!(accepted_epoch(&Files::open(&dir).unwrap().1, "a"), Some(3));
+    assert_eq!(accepted_epoch(&StateFiles::open(&dir).unwrap().1, "a"), Some(3));
 }
 
 #[test]
 fn one_damaged_slot_falls_back_to_the_other_and_two_count_as_an_empty_disk() {
     let dir = missing_dir("slots");
-    let (mut files, _) = Files::open(&dir).unwrap();
+    let (mut files, _) = StateFiles::open(&dir).unwrap();
     files.append(&record("a", 1, 10)).unwrap();
     files.write_next_slot().unwrap();
     let newest = dir.join(format!("slot{}", files.seq % 2));
@@ -80,13 +80,13 @@
         std::fs::write(path, &bytes).unwrap();
     };
     corrupt(&newest);
-    let (files, state) = Files::open(&dir).unwrap();
-    assert!(files.damaged && !files.empty);
+    let (files, state) = StateFiles::open(&dir).unwrap();
+    assert!(files.was_damaged && !files.was_empty);
     assert_eq!(accepted_epoch(&state, "a"), Some(1));
     drop(files);
     corrupt(&older);
-    let (files, state) = Files::open(&dir).unwrap();
-    assert!(files.empty && files.damaged);
+    let (files, state) = StateFiles::open(&dir).unwrap();
+    assert!(files.was_empty && files.was_damaged);
     assert!(state.registers.is_empty() && !state.voting);
 }
 
@@ -100,12 +100,12 @@
     ];
     for batch_size in [1, 2, 3] {
         let dir = missing_dir(&format!("newest{batch_size}"));
-        let (mut files, _) = Files::open(&dir).unwrap();
+        let (mut files, _) = StateFiles::open(&dir).unwrap();
         for batch in records.chunks(batch_size) {
             files.append_many(batch.iter()).unwrap();
         }
         drop(files);
-        let (_, state) = Files::open(&dir).unwrap();
+        let (_, state) = StateFiles::open(&dir).unwrap();
         assert!(!state.voting, "{batch_size} at a time");
         assert_eq!(
             (accepted_epoch(&state, "a"), accepted_epoch(&state, "b"), accepted_epoch(&state, "c")),
--- a/crates/control-plane/src/storage/mod.rs
+++ b/crates/control-plane/src/storage/mod.rs
@@ -30,9 +30,9 @@
         kind: std::io::ErrorKind,
     },
     /// the disk writer thread has terminated
-    Ended,
+    WriterTerminated,
     /// this machine has no disk for stored data
-    Absent,
+    NoDisk,
 }
 
 /// Converts an error of the operating system in the step `what`.
--- a/crates/control-plane/src/storage/monitor.rs
+++ b/crates/control-plane/src/storage/monitor.rs
@@ -47,7 +47,7 @@
             // Fails if the caller has dropped its future.
             let _ = result_tx.send(pending.track(written, bytes).await);
         });
-        async move { result_rx.await.map_err(|_| DiskError::Ended)? }
+        async move { result_rx.await.map_err(|_| DiskError::WriterTerminated)? }
     }
 
     /// Whether the last write failed or a write is overdue.
--- a/crates/control-plane/src/storage/monitor_tests.rs
+++ b/crates/control-plane/src/storage/monitor_tests.rs
@@ -23,7 +23,7 @@
     fn append(&self, _: Record) -> BoxFuture<'static, Result<(), DiskError>> {
         let (result_tx, result_rx) = oneshot::channel();
         self.0.lock().push_back(result_tx);
-        Box::pin(async move { result_rx.await.map_err(|_| DiskError::Ended)? })
+        Box::pin(async move { result_rx.await.map_err(|_| DiskError::WriterTerminated)? })
     }
 
     fn is_broken(&self) -> bool {
@@ -90,7 +90,7 @@
 #[tokio::test(start_paused = true)]
 async fn outcome_of_a_write_is_returned() {
     let (slow_disk, disk) = monitored_disk();
-    for outcome in [Ok(()), Err(DiskError::Absent)] {
+    for outcome in [Ok(()), Err(DiskError::NoDisk)] {
         let stored = disk.append(record(0));
         tokio::task::yield_now().await;
         slow_disk.finish(outcome.clone());
--- a/crates/control-plane/src/storage/power_loss_tests.rs
+++ b/crates/control-plane/src/storage/power_loss_tests.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-const LAYOUT: Layout = Layout { slot: 600, log: 1200 };
+const FILE_SIZES: FileSizes = FileSizes { slot: 600, log: 1200 };
 const SECTOR: usize = 64;
 
 #[derive(Default, Clone)]
@@ -162,14 +162,15 @@
     }
 }
 
-fn reopen_after_power_loss(mut disk: SimDisk, seed: u64) -> (Files<SimDisk>, State) {
+fn reopen_after_power_loss(mut disk: SimDisk, seed: u64) -> (StateFiles<SimDisk>, State) {
     disk.random_state = seed;
     disk.lose_power();
-    Files::open_in(disk, LAYOUT).unwrap_or_else(|error| panic!("{error}"))
+    StateFiles::open_in(disk, FILE_SIZES).unwrap_or_else(|error| panic!("{error}"))
 }
 
 fn run(steps: &[Step]) -> Result<(), String> {
-    let (mut files, _) = Files::open_in(SimDisk::default(), LAYOUT).map_err(|e| e.to_string())?;
+    let (mut files, _) =
+        StateFiles::open_in(SimDisk::default(), FILE_SIZES).map_err(|e| e.to_string())?;
     let mut acknowledged = Acknowledged::default();
     for (n, step) in (1..).zip(steps) {
         match step {
@@ -214,15 +215,15 @@
         let mut disk = SimDisk { free_bytes: Some(free_bytes), ..Default::default() };
         // Errors are ignored: partly written files stay on the disk.
         for name in SLOTS {
-            let _ = preallocate(&mut disk, name, LAYOUT.slot);
+            let _ = preallocate(&mut disk, name, FILE_SIZES.slot);
         }
         let (files, _) = reopen_after_power_loss(disk, seed);
         let (mut files, state) = reopen_after_power_loss(files.storage, seed);
-        proptest::prop_assert!(files.empty, "nothing was stored, so this is still a first start");
+        proptest::prop_assert!(files.was_empty, "nothing was stored, so this is still a first start");
         proptest::prop_assert_eq!(state, State::default());
         files.persist([record(1, 2, 10)].iter()).unwrap();
         let (files, state) = reopen_after_power_loss(files.storage, seed);
-        proptest::prop_assert!(!files.empty && state.voting && state.registers.len() == 1);
+        proptest::prop_assert!(!files.was_empty && state.voting && state.registers.len() == 1);
     }
 }
 
@@ -230,12 +231,13 @@
 /// state.
 #[test]
 fn slots_grow_before_the_state_needs_them() {
-    let (mut files, _) = Files::open_in(SimDisk::default(), LAYOUT).unwrap();
+    let (mut files, _) = StateFiles::open_in(SimDisk::default(), FILE_SIZES).unwrap();
     for n in 1..20 {
         files.persist([record((n % 3) as u8, n, 300)].iter()).unwrap();
     }
-    let slot_sizes =
-        |files: &Files<SimDisk>| SLOTS.map(|name| files.storage.length(name).unwrap() as usize);
+    let slot_sizes = |files: &StateFiles<SimDisk>| {
+        SLOTS.map(|name| files.storage.length(name).unwrap() as usize)
+    };
     assert!(slot_sizes(&files).iter().all(|size| *size >= 3 * 300 * 3 / 2));
     let before = slot_sizes(&files);
     for n in 20..30 {
--- a/crates/control-plane/src/storage/writer.rs
+++ b/crates/control-plane/src/storage/writer.rs
@@ -1,6 +1,6 @@
 //! The thread that writes and syncs records. A record is durable once its result is `Ok`.
 
-pub use super::files::Files;
+pub use super::files::StateFiles;
 use super::format::Record;
 use super::{DiskError, RecordQueue};
 use fleet_core::constants;
@@ -19,41 +19,44 @@
 
 /// The queue of the writer thread, which ends once all clones of the queue are dropped.
 #[derive(Clone)]
-pub struct Disk {
+pub struct DiskWriter {
     /// `None` if the machine has no disk: every record fails.
     jobs: Option<mpsc::Sender<Job>>,
     is_broken: Arc<AtomicBool>,
 }
 
-impl Disk {
+impl DiskWriter {
     /// Starts the writer thread for these files.
-    pub fn start(files: Files, log: slog::Logger) -> Disk {
+    pub fn start(files: StateFiles, log: slog::Logger) -> DiskWriter {
         let (jobs, queue) = mpsc::channel();
         let is_broken = Arc::new(AtomicBool::new(false));
         let writer = Writer { files, queue, is_broken: is_broken.clone(), log };
-        // If the thread can't be started the queue has no receiver, and every record fails with `DiskError::Ended`.
+        // If the thread can't be started the queue has no receiver, and every record fails with
+        // `DiskError::WriterTerminated`.
         let _ = std::thread::Builder::new()
             .stack_size(constants::STACK_BYTES)
             .spawn(move || writer.run());
-        Disk { jobs: Some(jobs), is_broken }
+        DiskWriter { jobs: Some(jobs), is_broken }
     }
 
-    /// The queue of a machine without a disk: every record fails with [`DiskError::Absent`].
-    pub fn absent() -> Disk {
-        Disk { jobs: None, is_broken: Arc::new(AtomicBool::new(true)) }
+    /// The queue of a machine without a disk: every record fails with [`DiskError::NoDisk`].
+    pub fn absent() -> DiskWriter {
+        DiskWriter { jobs: None, is_broken: Arc::new(AtomicBool::new(true)) }
     }
 }
 
-impl RecordQueue for Disk {
+impl RecordQueue for DiskWriter {
     fn append(&self, record: Record) -> BoxFuture<'static, Result<(), DiskError>> {
         let (result_tx, result_rx) = oneshot::channel();
         let queued = match &self.jobs {
-            Some(jobs) => jobs.send(Job { record, result_tx }).map_err(|_| DiskError::Ended),
-            None => Err(DiskError::Absent),
+            Some(jobs) => {
+                jobs.send(Job { record, result_tx }).map_err(|_| DiskError::WriterTerminated)
+            }
+            None => Err(DiskError::NoDisk),
         };
         Box::pin(async move {
             queued?;
-            result_rx.await.map_err(|_| DiskError::Ended)?
+            result_rx.await.map_err(|_| DiskError::WriterTerminated)?
         })
     }
 
@@ -68,7 +71,7 @@
 
 /// State of the writer thread.
 struct Writer {
-    files: Files,
+    files: StateFiles,
     queue: mpsc::Receiver<Job>,
     is_broken: Arc<AtomicBool>,
     log: slog::Logger,
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -177,10 +177,10 @@
         Some("99999999999999999999"),
     ];
     for text in bad {
-        let rejection = configuration::base_of(text).expect_err("no version");
+        let rejection = configuration::parse_base_version(text).expect_err("no version");
         assert_eq!((rejection.status.as_u16(), rejection.code), (400, "no_base"), "{text:?}");
     }
-    assert_eq!(configuration::base_of(Some(" 5 ")).ok(), Some(5));
+    assert_eq!(configuration::parse_base_version(Some(" 5 ")).ok(), Some(5));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/control-plane/tests/cluster/resignation.rs
+++ b/crates/control-plane/tests/cluster/resignation.rs
@@ -61,8 +61,10 @@
         let cluster = owned_by_first(52).await;
         cluster.leave(1).await;
         assert_replaced_in_time(&cluster, node, 8).await;
-        let owner =
-            cluster.controller(2).consensus().with_acceptor(|acceptor| acceptor.owner("config"));
+        let owner = cluster
+            .controller(2)
+            .consensus()
+            .with_acceptor(|acceptor| acceptor.promised_node("config"));
         let former_owner = cluster.controller(1).node().id();
         assert!(owner.is_some_and(|id| id != former_owner), "{owner:?}");
     }
--- a/crates/control-plane/tests/harness/disk.rs
+++ b/crates/control-plane/tests/harness/disk.rs
@@ -86,8 +86,8 @@
         let (done, written) = oneshot::channel();
         let queued = self.requests.send(WriteRequest { record, done });
         Box::pin(async move {
-            queued.map_err(|_| DiskError::Ended)?;
-            written.await.map_err(|_| DiskError::Ended)
+            queued.map_err(|_| DiskError::WriterTerminated)?;
+            written.await.map_err(|_| DiskError::WriterTerminated)
         })
     }
 
--- a/crates/control-plane/tests/harness/mod.rs
+++ b/crates/control-plane/tests/harness/mod.rs
@@ -6,7 +6,7 @@
 
 use control_plane::storage::RecordQueue;
 use control_plane::storage::format::State;
-use control_plane::storage::writer::Disk;
+use control_plane::storage::writer::DiskWriter;
 use control_plane::{Controller, Environment, RunningController};
 use disk::MemoryDisk;
 use fleet_core::link::Link;
@@ -147,7 +147,7 @@
     ) {
         let queue: Arc<dyn RecordQueue> = match &disk {
             Some(disk) => disk.clone(),
-            None => Arc::new(Disk::absent()),
+            None => Arc::new(DiskWriter::absent()),
         };
         let machine = Machine::new(node, self.network.clone(), self.trace.clone());
         self.last_seed += 1;
@@ -177,7 +177,7 @@
 
     /// Makes a node give up its leases and keys, up to the point at which the program would stop its tasks.
     pub async fn leave(&self, node: usize) {
-        self.nodes[&node].running.leave().await;
+        self.nodes[&node].running.shut_down().await;
     }
 
     /// Stops a node gracefully, as SIGTERM does.
--- a/crates/control-plane/tests/program/mod.rs
+++ b/crates/control-plane/tests/program/mod.rs
@@ -1,6 +1,6 @@
 //! Runs a controller as its program does, over TCP and with files, on this machine.
 
-use control_plane::engines::client::EngineClient;
+use control_plane::engines::client::HttpClient;
 use fleet_core::program::Start;
 use fleet_core::settings::Settings;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -60,7 +60,7 @@
         body: &str,
     ) -> (u16, String) {
         loop {
-            let mut client = EngineClient::new(Ipv4Addr::LOCALHOST, self.control);
+            let mut client = HttpClient::new(Ipv4Addr::LOCALHOST, self.control);
             if client.open().await.is_err() {
                 assert!(!self.task.is_finished(), "the controller stopped");
                 tokio::task::yield_now().await;
--- a/crates/control-plane/tests/rollout_plan.rs
+++ b/crates/control-plane/tests/rollout_plan.rs
@@ -1,6 +1,6 @@
 //! The order, concurrency and steps of a roll-out, at times set by the tests.
 
-use control_plane::rollout::concurrency::Concurrency;
+use control_plane::rollout::concurrency::ConcurrencyLimit;
 use control_plane::rollout::plan::{Action, OutdatedEngine, Plan, Step};
 use fleet_core::constants;
 use std::time::Duration;
@@ -60,7 +60,7 @@
         now += constants::UPDATE_INITIAL_ESTIMATE;
         for id in updated(&actions) {
             order.push(id.to_owned());
-            plan.ended(id, now, Some(Duration::from_millis(400)));
+            plan.record_update_end(id, now, Some(Duration::from_millis(400)));
             remaining.retain(|engine| engine.id != id);
         }
         assert!(order.len() < 30);
@@ -81,7 +81,11 @@
     engines[0].interactive_runs = 0;
     let actions = plan.next(now + constants::ROLLOUT_INTERVAL * 2, 2, &engines);
     assert_eq!(updated(&actions), ["e000"]);
-    plan.ended("e000", now + constants::UPDATE_INITIAL_ESTIMATE, Some(Duration::from_millis(400)));
+    plan.record_update_end(
+        "e000",
+        now + constants::UPDATE_INITIAL_ESTIMATE,
+        Some(Duration::from_millis(400)),
+    );
     let remaining = [engines[1].clone()];
     let now = now + constants::UPDATE_INITIAL_ESTIMATE;
     assert_eq!(plan.next(now, 2, &remaining), [Action::DrainStreams("e001".into())]);
@@ -115,7 +119,7 @@
 
 #[test]
 fn concurrency_grows_with_fast_loads_and_decreases_once_per_wave_of_slow_ones() {
-    let (mut concurrency, now) = (Concurrency::new(100), Instant::now());
+    let (mut concurrency, now) = (ConcurrencyLimit::new(100), Instant::now());
     let ms = Duration::from_millis;
     let initial = concurrency.limit();
     for _ in 0..10 {
@@ -144,7 +148,7 @@
     let engines = fleet(0, 1, 0);
     assert_eq!(updated(&plan.next(now, 1, &engines)), ["e000"]);
     let concurrency = plan.concurrency();
-    plan.ended("e000", now + LONG, None);
+    plan.record_update_end("e000", now + LONG, None);
     assert_eq!(plan.concurrency(), concurrency);
     assert_eq!(updated(&plan.next(now + LONG, 1, &engines)), ["e000"]);
 }
@@ -182,7 +186,7 @@
         let begun = plan.next(now, 10, &engines);
         for id in updated(&begun) {
             order.push(id.to_owned());
-            plan.ended(id, now, Some(Duration::from_millis(400)));
+            plan.record_update_end(id, now, Some(Duration::from_millis(400)));
             engines.retain(|engine| engine.id != id);
         }
         assert!(!begun.is_empty(), "{order:?}");
@@ -238,7 +242,7 @@
     for (number, id) in updated(&begun).into_iter().enumerate() {
         let load = if number == 0 { ms(400) } else { ms(4000) };
         let ended = now + constants::CONCURRENCY_DECREASE_INTERVAL * (number as u32 + 1);
-        plan.ended(id, ended, Some(load));
+        plan.record_update_end(id, ended, Some(load));
     }
     assert!(updated(&plan.next(now + LONG, 100, &engines)).len() <= 2 * plan.concurrency());
     assert!(plan.concurrency() < 5, "{}", plan.concurrency());
--- a/crates/control-plane/tests/rollout_status.rs
+++ b/crates/control-plane/tests/rollout_status.rs
@@ -1,7 +1,7 @@
 //! The status of engines in a roll-out, as shown to operators.
 
 use control_plane::rollout::plan::Step;
-use control_plane::rollout::status::{State, state_of, stuck};
+use control_plane::rollout::status::{State, stall_reason, state_of};
 use fleet_core::constants;
 use fleet_core::wire::{Engine, Weights};
 use std::time::Duration;
@@ -32,19 +32,19 @@
     let started_at = Instant::now();
     let updating = |ms| Some((Step::Updating(started_at), started_at + Duration::from_millis(ms)));
     assert_eq!(
-        stuck(State::Updating, updating(100), Some("late")),
+        stall_reason(State::Updating, updating(100), Some("late")),
         None,
         "the update is being retried"
     );
-    let slow = stuck(
+    let slow = stall_reason(
         State::Updating,
         updating(constants::UPDATE_STUCK_THRESHOLD.as_millis() as u64 + 1),
         None,
     );
     assert_eq!(slow.as_deref(), Some("turns since 4001 ms"));
-    let failed = stuck(State::Waiting, None, Some("a higher fence was seen"));
+    let failed = stall_reason(State::Waiting, None, Some("a higher fence was seen"));
     assert_eq!(failed.as_deref(), Some("last turn failed: a higher fence was seen"));
-    assert_eq!(stuck(State::Waiting, None, None), None);
-    assert_eq!(stuck(State::Ready, None, Some("late")), None);
-    assert!(stuck(State::HeartbeatMissed, None, None).is_some());
+    assert_eq!(stall_reason(State::Waiting, None, None), None);
+    assert_eq!(stall_reason(State::Ready, None, Some("late")), None);
+    assert!(stall_reason(State::HeartbeatMissed, None, None).is_some());
 }
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -5,8 +5,8 @@
 //! not be changed, because data on the disks of controllers has to stay readable.
 
 use control_plane::consensus::acceptor::Acceptor;
-use control_plane::storage::backend::Folder;
-use control_plane::storage::files::{Files, Layout};
+use control_plane::storage::backend::Directory;
+use control_plane::storage::files::{FileSizes, StateFiles};
 use control_plane::storage::format::{Record, State};
 use fleet_core::wire::{
     Ballot, ConfigValue, LeaseValue, Member, Membership, RaiseId, Register, WeightsValue,
@@ -16,7 +16,7 @@
 
 const FILES: [&str; 3] = ["slot0", "slot1", "log"];
 /// Small sizes, to keep the fixture small.
-const SMALL_LAYOUT: Layout = Layout { slot: 4096, log: 4096 };
+const SMALL_SIZES: FileSizes = FileSizes { slot: 4096, log: 4096 };
 /// Address of the node that the folder belongs to.
 const OWN_IP: std::net::Ipv4Addr = std::net::Ipv4Addr::new(10, 0, 0, 2);
 
@@ -41,8 +41,8 @@
     path
 }
 
-fn open(path: &Path) -> (Files<Folder>, State) {
-    Files::open_in(Folder::open(path).unwrap(), SMALL_LAYOUT).unwrap()
+fn open(path: &Path) -> (StateFiles<Directory>, State) {
+    StateFiles::open_in(Directory::open(path).unwrap(), SMALL_SIZES).unwrap()
 }
 
 fn ballot(epoch: u64, seq: u64) -> Ballot {
@@ -147,7 +147,7 @@
 fn folder_of_an_earlier_release_is_opened_without_its_torn_record() {
     let path = copy_fixture("open");
     let (files, state) = open(&path);
-    assert!(!files.empty && !files.damaged);
+    assert!(!files.was_empty && !files.was_damaged);
     assert_state(state);
 }
 
@@ -166,7 +166,7 @@
     let path = copy_fixture("older");
     corrupt(&path.join("slot1"));
     let (files, state) = open(&path);
-    assert!(files.damaged && !files.empty);
+    assert!(files.was_damaged && !files.was_empty);
     assert_state(state);
 }
 
@@ -175,7 +175,7 @@
     let path = copy_fixture("newest");
     corrupt(&path.join("slot0"));
     let (files, state) = open(&path);
-    assert!(files.damaged);
+    assert!(files.was_damaged);
     assert!(state.registers.iter().all(|register| register.key != "weights/m"));
 }
 
@@ -185,7 +185,7 @@
     corrupt(&path.join("slot0"));
     corrupt(&path.join("slot1"));
     let (files, state) = open(&path);
-    assert!(files.damaged && files.empty);
+    assert!(files.was_damaged && files.was_empty);
     assert_eq!(state, State::default());
 }
 
--- a/crates/fleetctl/src/query.rs
+++ b/crates/fleetctl/src/query.rs
@@ -1,6 +1,6 @@
 //! Queries controllers for the active configuration and the state of the fleet. All requests are `GET`s.
 
-use control_plane::engines::client::EngineClient;
+use control_plane::engines::client::HttpClient;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
@@ -72,7 +72,7 @@
 async fn get(initial: SocketAddr, path: &str, timeout: Duration) -> Result<Response, String> {
     let mut node = initial;
     for _ in 0..=MAX_REDIRECTS {
-        let mut client = EngineClient::new(Ipv4Addr::UNSPECIFIED, node);
+        let mut client = HttpClient::new(Ipv4Addr::UNSPECIFIED, node);
         let response = client
             .call(http::Method::GET, path, &[("Connection", "close")], Vec::new(), timeout)
             .await
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -145,10 +145,10 @@
         record: Record,
     ) -> impl Future<Output = Result<(), DiskError>> + Send + use<> {
         let (done, appended) = oneshot::channel();
-        let sent = self.jobs.send(Job { record, done }).map_err(|_| DiskError::Ended);
+        let sent = self.jobs.send(Job { record, done }).map_err(|_| DiskError::WriterTerminated);
         async move {
             sent?;
-            appended.await.map_err(|_| DiskError::Ended)?
+            appended.await.map_err(|_| DiskError::WriterTerminated)?
         }
     }
 
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -54,7 +54,7 @@
 struct Process {
     start: u64,
     controller: Arc<Controller>,
-    /// taken by `leave` for a graceful shutdown
+    /// taken by `shut_down` for a graceful shutdown
     running: Option<RunningController>,
     io: ProcessIo,
 }
@@ -228,13 +228,13 @@
     }
 
     /// Shuts the process down gracefully, and kills it once it is done or the grace period is over.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         let ended = self.process.lock().as_mut().and_then(|process| {
             let running = process.running.take()?;
             Some((process.start, running))
         });
         let Some((start, running)) = ended else { return };
-        let _ = tokio::time::timeout(constants::GRACE_PERIOD, running.leave()).await;
+        let _ = tokio::time::timeout(constants::GRACE_PERIOD, running.shut_down()).await;
         running.abort();
         if self.is_running(start) {
             self.kill();
--- a/crates/simulation/src/nemesis.rs
+++ b/crates/simulation/src/nemesis.rs
@@ -66,7 +66,7 @@
         FaultKind::Kill { machine } => world.machine(machine).kill(),
         FaultKind::Leave { machine } => {
             let machine = world.machine(machine);
-            tokio::spawn(async move { machine.leave().await });
+            tokio::spawn(async move { machine.shut_down().await });
         }
         FaultKind::PowerLoss { machine } | FaultKind::Replace { machine } => {
             world.machine(machine).lose_power();
