--- a/crates/control-plane/src/config_distribution/bodies.rs
+++ b/crates/control-plane/src/config_distribution/bodies.rs
@@ -1,7 +1,7 @@
 //! Compressed bodies of the most recent configurations, and the deltas between them.
 
 use fleet_core::digest::BodyDigest;
-use fleet_core::{constants, delta, packing};
+use fleet_core::{compression, constants, delta};
 use prost::Message;
 use std::collections::VecDeque;
 
@@ -41,7 +41,7 @@
     }
 
     fn body(&self, digest: BodyDigest) -> Option<bytes::Bytes> {
-        packing::unpack(self.packed(digest)?, constants::CONFIG_MAX_BYTES).ok()
+        compression::unpack(self.packed(digest)?, constants::CONFIG_MAX_BYTES).ok()
     }
 
     /// The compressed delta from one body to another; `None` unless both are still retained. Computed once for all routers.
@@ -52,7 +52,7 @@
             return Some(retained.packed.clone());
         }
         let delta = delta::between(&self.body(base)?, &self.body(target)?);
-        let packed = packing::pack(&delta.encode_to_vec());
+        let packed = compression::pack(&delta.encode_to_vec());
         self.deltas.push_back(RetainedDelta { base, target, packed: packed.clone() });
         if self.deltas.len() > constants::DELTA_CACHE_CAPACITY {
             self.deltas.pop_front();
--- a/crates/control-plane/src/consensus/state_machine.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -2,10 +2,10 @@
 
 use super::config_history::{CommittedConfig, CommittedHistory, Lookup};
 use super::departure_records;
+use fleet_core::compression::unpack;
 use fleet_core::configuration::{ConfigError, Configuration};
 use fleet_core::constants;
 use fleet_core::digest::BodyDigest;
-use fleet_core::packing::unpack;
 use fleet_core::wire::{
     ChangeKind, ChangeResponse, ConfigValue, DeparturesValue, LeaseValue, Outcome,
     RaiseFencingToken, RecordDepartures, ReplaceConfig, WeightsValue,
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -46,7 +46,7 @@
     let base = parse_base_version(base_header)?;
     let configuration =
         Configuration::read(&body).map_err(|error| reject_invalid(consensus, &error))?;
-    let packed = fleet_core::packing::pack(&body);
+    let packed = fleet_core::compression::pack(&body);
     let change = ReplaceConfig { base, version: configuration.revision, packed };
     let changed = forward::submit(consensus, ChangeKind::Replace(change.clone())).await;
     match changed.outcome() {
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -2,9 +2,9 @@
 
 use data_plane::Router;
 use data_plane::fleet_view::{config_fetch, links};
+use fleet_core::compression;
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::{LinkError, Peer};
-use fleet_core::packing;
 use fleet_core::wire::{
     Body, ConfigForm, ConfigRequest, ConfigResponse, Empty, FleetUpdate, Member, Membership,
 };
@@ -120,7 +120,7 @@
 }
 
 fn full(version: u64) -> ConfigResponse {
-    let form = Some(ConfigForm::Full(packing::pack(body(version).as_bytes())));
+    let form = Some(ConfigForm::Full(compression::pack(body(version).as_bytes())));
     ConfigResponse { version, isolation: 1, digest: digest(version), form }
 }
 
--- a/crates/fleet-core/src/packing.rs
+++ b/crates/fleet-core/src/compression.rs
@@ -37,5 +37,5 @@
 }
 
 #[cfg(test)]
-#[path = "packing_tests.rs"]
+#[path = "compression_tests.rs"]
 mod tests;
--- a/crates/fleet-core/src/packing_tests.rs
+++ b/crates/fleet-core/src/compression_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `packing`.
+//! Tests of `compression`.
 
 use super::*;
 
--- a/crates/fleet-core/src/lib.rs
+++ b/crates/fleet-core/src/lib.rs
@@ -5,6 +5,7 @@
 #![cfg_attr(not(test), warn(clippy::unwrap_used, clippy::expect_used))]
 
 pub mod change_log;
+pub mod compression;
 pub mod configuration;
 pub mod constants;
 pub mod delta;
@@ -14,7 +15,6 @@
 pub mod load;
 pub mod log;
 pub mod node;
-pub mod packing;
 pub mod program;
 pub mod random;
 pub mod settings;
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum BodyError {
     /// {0}
-    Unpack(#[from] crate::packing::UnpackError),
+    Unpack(#[from] crate::compression::UnpackError),
     /// the body does not match its digest
     OtherDigest,
 }
@@ -42,7 +42,7 @@
     ///
     /// The compressed data is corrupt, or the body does not match the digest.
     pub fn body(&self) -> Result<bytes::Bytes, BodyError> {
-        let body = crate::packing::unpack(&self.packed, crate::constants::CONFIG_MAX_BYTES)?;
+        let body = crate::compression::unpack(&self.packed, crate::constants::CONFIG_MAX_BYTES)?;
         let digest = crate::digest::BodyDigest::of(&body);
         if digest.as_bytes() != &self.digest[..] {
             return Err(BodyError::OtherDigest);
--- a/crates/fleet-core/tests/configuration_sizes.rs
+++ b/crates/fleet-core/tests/configuration_sizes.rs
@@ -1,7 +1,7 @@
 //! Size of the messages that transfer a configuration to a router, in full and as a delta, at three sizes.
 //! `cargo test -p fleet-core --test configuration_sizes -- --nocapture` prints the table of docs/measurements.md.
 
-use fleet_core::{delta, node, packing};
+use fleet_core::{compression, delta, node};
 use prost::Message;
 
 const ROUTES: [u64; 3] = [10, 400, 1600];
@@ -47,7 +47,7 @@
 fn packed_delta(former: &[u8], new: &[u8]) -> usize {
     let delta = delta::between(former, new);
     assert_eq!(delta::apply(&delta, former, new.len()).unwrap(), new);
-    packing::pack(&delta.encode_to_vec()).len()
+    compression::pack(&delta.encode_to_vec()).len()
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let mut deltas = Vec::new();
     for routes in ROUTES {
         let former = body(1, routes, 0);
-        let whole = packing::pack(&former).len();
+        let whole = compression::pack(&former).len();
         let one = packed_delta(&former, &body(2, routes, 1));
         let five = packed_delta(&former, &body(2, routes, 5));
         println!("| {routes} | {} | {whole} | {one} | {five} |", former.len());
