--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -9,7 +9,7 @@
 pub use engine_updates::MergedEngine;
 
 use crate::engines::departures::Departures;
-use fleet_core::change_log::{ChangeLog, Fold};
+use fleet_core::change_log::{ChangeLog, Projection};
 use fleet_core::target_versions::TargetVersions;
 use fleet_core::wire::{Engine, FleetUpdate, Membership, RingHead, TargetWeights};
 use std::collections::BTreeMap;
@@ -79,15 +79,15 @@
     pub routers: u32,
 }
 
-impl Fold for ClusterState {
+impl Projection for ClusterState {
     type Event = StateChange;
-    fn fold(&mut self, change: &StateChange) {
+    fn apply(&mut self, change: &StateChange) {
         match change {
             StateChange::Config { version, isolation } => {
                 self.config = Some(ConfigInForce { version: *version, isolation: *isolation });
             }
             StateChange::Weights { model, version } => {
-                self.weights.entry(model.clone()).or_default().learn(*version, Instant::now());
+                self.weights.entry(model.clone()).or_default().record(*version, Instant::now());
             }
             StateChange::Membership(membership) => self.membership = membership.clone(),
             StateChange::Engine(engine) => {
@@ -182,7 +182,7 @@
 
     /// Modifies the state without recording a change: subscribers are not notified, and routers are sent nothing.
     pub fn update_silently(&self, change: impl FnOnce(&mut ClusterState)) {
-        self.log.lock().amend(change);
+        self.log.lock().update_silently(change);
     }
 
     fn append_locked(&self, log: &mut ChangeLog<ClusterState>, change: StateChange) {
--- a/crates/control-plane/src/cluster_state/engine_updates.rs
+++ b/crates/control-plane/src/cluster_state/engine_updates.rs
@@ -22,7 +22,7 @@
     /// Atomically merges an update into the known state of an engine.
     pub fn merge_engine(&self, mut update: Engine) -> MergedEngine {
         let mut log = self.log.lock();
-        log.amend(|state| state.departures.apply(&mut update));
+        log.update_silently(|state| state.departures.apply(&mut update));
         let current = log.view().engines.get(&update.id).cloned();
         let is_newer = current.as_ref().is_none_or(|engine| update.call > engine.call);
         let (engine, is_changed) = match current {
@@ -36,7 +36,7 @@
             self.append_locked(&mut log, StateChange::Engine(engine.clone()));
         } else if is_newer {
             // A new call number alone need not be pushed to routers.
-            log.amend(|state| {
+            log.update_silently(|state| {
                 state.engines.insert(engine.id.clone(), engine.clone());
             });
         }
@@ -56,7 +56,7 @@
     /// Replaces the known departures by those that a majority has recorded, and updates the engines concerned.
     pub fn learn_departures(&self, value: &DeparturesValue) {
         let mut log = self.log.lock();
-        log.amend(|state| {
+        log.update_silently(|state| {
             let ClusterState { engines, departures, .. } = state;
             departures.learn(value, |departure| {
                 let engine = engines.get(&departure.engine);
@@ -67,7 +67,7 @@
             let known = log.view().engines.get(&departure.engine).cloned();
             let Some(mut engine) = known else { continue };
             let before = engine.state;
-            log.amend(|state| state.departures.apply(&mut engine));
+            log.update_silently(|state| state.departures.apply(&mut engine));
             if engine.state != before {
                 self.append_locked(&mut log, StateChange::Engine(engine));
             }
@@ -76,6 +76,6 @@
 
     /// Gives `use_departures` exclusive access to the known departures; subscribers are not notified.
     pub fn with_departures<T>(&self, use_departures: impl FnOnce(&mut Departures) -> T) -> T {
-        self.log.lock().amend(|state| use_departures(&mut state.departures))
+        self.log.lock().update_silently(|state| use_departures(&mut state.departures))
     }
 }
--- a/crates/control-plane/src/config_distribution/bodies.rs
+++ b/crates/control-plane/src/config_distribution/bodies.rs
@@ -41,7 +41,7 @@
     }
 
     fn body(&self, digest: BodyDigest) -> Option<bytes::Bytes> {
-        compression::unpack(self.packed(digest)?, constants::CONFIG_MAX_BYTES).ok()
+        compression::decompress(self.packed(digest)?, constants::CONFIG_MAX_BYTES).ok()
     }
 
     /// The compressed delta from one body to another; `None` unless both are still retained. Computed once for all routers.
@@ -52,7 +52,7 @@
             return Some(retained.packed.clone());
         }
         let delta = delta::between(&self.body(base)?, &self.body(target)?);
-        let packed = compression::pack(&delta.encode_to_vec());
+        let packed = compression::compress(&delta.encode_to_vec());
         self.deltas.push_back(RetainedDelta { base, target, packed: packed.clone() });
         if self.deltas.len() > constants::DELTA_CACHE_CAPACITY {
             self.deltas.pop_front();
--- a/crates/control-plane/src/config_distribution/bodies_tests.rs
+++ b/crates/control-plane/src/config_distribution/bodies_tests.rs
@@ -4,7 +4,7 @@
 
 fn body(number: usize) -> (BodyDigest, bytes::Bytes) {
     let body = format!("{{\"revision\":{number}}}");
-    (BodyDigest::of(body.as_bytes()), compression::pack(body.as_bytes()))
+    (BodyDigest::of(body.as_bytes()), compression::compress(body.as_bytes()))
 }
 
 #[test]
--- a/crates/control-plane/src/config_distribution/distribution_tests.rs
+++ b/crates/control-plane/src/config_distribution/distribution_tests.rs
@@ -13,7 +13,7 @@
     ConfigValue {
         version,
         isolation: 3,
-        packed: compression::pack(body.as_bytes()),
+        packed: compression::compress(body.as_bytes()),
         digest: bytes::Bytes::copy_from_slice(BodyDigest::of(body.as_bytes()).as_bytes()),
         ..Default::default()
     }
@@ -44,7 +44,7 @@
         panic!("the base body is retained")
     };
     assert!(packed.len() * 5 < current.packed.len(), "{} bytes", packed.len());
-    let unpacked = compression::unpack(&packed, 1 << 20).unwrap();
+    let unpacked = compression::decompress(&packed, 1 << 20).unwrap();
     let delta = fleet_core::wire::ConfigDelta::decode(unpacked).unwrap();
     assert_eq!(delta::apply(&delta, base_text.as_bytes(), 1 << 20).unwrap(), current_text);
 }
--- a/crates/control-plane/src/config_distribution/mod.rs
+++ b/crates/control-plane/src/config_distribution/mod.rs
@@ -74,7 +74,7 @@
         let mut cached = self.kv_stores.lock();
         if cached.digest != value.digest {
             let body = value.body().unwrap_or_default();
-            let services = fleet_core::configuration::Configuration::read(&body)
+            let services = fleet_core::configuration::Configuration::parse(&body)
                 .map(|configuration| configuration.services)
                 .unwrap_or_default();
             *cached = KvStores {
--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -13,7 +13,7 @@
 use crate::storage::format::{Record, State};
 use bytes::Bytes;
 use fleet_core::constants;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Accept, Ballot, BallotReport, Membership, Prepare, Register, Vote};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
             membership: Membership::default(),
             voting: state.voting,
             recovery_epoch: 0,
-            node_id: id_of(ip),
+            node_id: node_id_of(ip),
         };
         for register in state.registers {
             acceptor.load(register);
--- a/crates/control-plane/src/consensus/resignation.rs
+++ b/crates/control-plane/src/consensus/resignation.rs
@@ -4,7 +4,7 @@
 use super::Consensus;
 use crate::membership::peer_links::MemberLink;
 use fleet_core::constants;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Ballot, Body, Empty};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 
 /// Records that the node at this address owns no keys any more, so that they may be taken over at once.
 pub fn record_resignation(consensus: &Consensus, from: Ipv4Addr) {
-    let owner = id_of(from);
+    let owner = node_id_of(from);
     let acceptor = consensus.acceptor.lock();
     for register in acceptor.registers().filter(|register| register.promised.node == owner) {
         consensus.key_owners.record_resigned_ballot(&register.key, register.promised);
--- a/crates/control-plane/src/consensus/state_machine.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -2,7 +2,7 @@
 
 use super::config_history::{CommittedConfig, CommittedHistory, Lookup};
 use super::departure_records;
-use fleet_core::compression::unpack;
+use fleet_core::compression::decompress;
 use fleet_core::configuration::{ConfigError, Configuration};
 use fleet_core::constants;
 use fleet_core::digest::BodyDigest;
@@ -126,7 +126,7 @@
 /// may still be committed, and then a late copy of this request can succeed.
 fn replace_config(request: &ReplaceConfig, current: &[u8]) -> Decision {
     let current = ConfigValue::decode(current).unwrap_or_default();
-    let Ok(body) = unpack(&request.packed, constants::CONFIG_MAX_BYTES) else {
+    let Ok(body) = decompress(&request.packed, constants::CONFIG_MAX_BYTES) else {
         return Decision::Answer(answer(Outcome::Invalid, current.version));
     };
     let proposed = CommittedConfig { version: request.version, digest: BodyDigest::of(&body) };
@@ -144,7 +144,7 @@
     if request.base < current.version {
         return Decision::Answer(answer(Outcome::Stale, current.version));
     }
-    let Ok(configuration) = Configuration::read(&body) else {
+    let Ok(configuration) = Configuration::parse(&body) else {
         return Decision::Answer(answer(Outcome::Invalid, current.version));
     };
     history.push(proposed);
--- a/crates/control-plane/src/consensus/state_machine_tests.rs
+++ b/crates/control-plane/src/consensus/state_machine_tests.rs
@@ -13,7 +13,7 @@
 }
 
 fn replace(base: u64, version: u64, isolated: &[&str]) -> ChangeKind {
-    let packed = fleet_core::compression::pack(&body(version, isolated));
+    let packed = fleet_core::compression::compress(&body(version, isolated));
     ChangeKind::Replace(ReplaceConfig { base, version, packed })
 }
 
@@ -57,8 +57,8 @@
     let mut current = bytes::Bytes::new();
     apply(&mut current, &replace(0, 1, &[]));
     let value = ConfigValue::decode(current).unwrap();
-    let swapped = ConfigValue { packed: fleet_core::compression::pack(b"{}"), ..value.clone() };
-    assert_eq!(swapped.body(), Err(fleet_core::wire::BodyError::OtherDigest));
+    let swapped = ConfigValue { packed: fleet_core::compression::compress(b"{}"), ..value.clone() };
+    assert_eq!(swapped.body(), Err(fleet_core::wire::BodyError::DigestMismatch));
     let empty = ConfigValue { packed: bytes::Bytes::new(), ..value };
     assert!(empty.body().is_err());
 }
--- a/crates/control-plane/src/environment.rs
+++ b/crates/control-plane/src/environment.rs
@@ -35,7 +35,7 @@
         log: &slog::Logger,
     ) -> Result<Environment, ControllerError> {
         let OpenedDisk { disk, state, first_start } = OpenedDisk::open(settings, log)?;
-        let seed = fleet_core::node::fresh();
+        let seed = fleet_core::node::random_id();
         Ok(Environment { transport: Tcp::shared(), disk: Arc::new(disk), state, first_start, seed })
     }
 }
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -20,7 +20,7 @@
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::log::Event;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Body, CachedPrefixes, FleetUpdate, RingHead};
 use invalidation::reader::{RingPosition, ViewUpdate, apply_response};
 use parking_lot::Mutex;
@@ -131,7 +131,7 @@
 
 impl IndexOwnershipDependencies {
     fn link_to(&self, owner: &str) -> Option<Arc<Link>> {
-        let member = id_of(owner.parse::<Ipv4Addr>().ok()?);
+        let member = node_id_of(owner.parse::<Ipv4Addr>().ok()?);
         let mut links = self.consensus.links_to_voters().into_iter();
         links.find(|link| link.member_id == member).map(|link| link.link)
     }
--- a/crates/control-plane/src/membership/load_reports.rs
+++ b/crates/control-plane/src/membership/load_reports.rs
@@ -9,7 +9,7 @@
 use crate::consensus::Consensus;
 use fleet_core::constants;
 use fleet_core::link::Peer;
-use fleet_core::load::{self, ByEngine, Load, LoadTable, ReportSchedule};
+use fleet_core::load::{self, Load, LoadByEngine, LoadTable, ReportSchedule};
 use fleet_core::node::Role;
 use fleet_core::wire::{Body, LoadReport};
 use hashbrown::HashMap;
@@ -35,7 +35,7 @@
     }
 
     fn add(&mut self, load: &Load) {
-        self.running += load.runs as f32 * (1.0 - constants::INTERACTIVE_SHARE_DECAY);
+        self.running += load.in_flight as f32 * (1.0 - constants::INTERACTIVE_SHARE_DECAY);
         self.interactive += load.interactive as f32 * (1.0 - constants::INTERACTIVE_SHARE_DECAY);
     }
 
@@ -79,20 +79,20 @@
     }
 
     /// Loads by engine, summed over all routers with recent reports.
-    pub fn total(&self) -> ByEngine {
+    pub fn total(&self) -> LoadByEngine {
         let now = Instant::now();
         let own = self.from_routers.lock().sum(now);
         self.with_peers(own, now)
     }
 
-    fn with_peers(&self, mut total: ByEngine, now: Instant) -> ByEngine {
+    fn with_peers(&self, mut total: LoadByEngine, now: Instant) -> LoadByEngine {
         for (engine, load) in self.from_peers.lock().sum(now) {
             total.entry(engine).or_default().add(&load);
         }
         total
     }
 
-    fn update_request_mixes(&self, total: &ByEngine) {
+    fn update_request_mixes(&self, total: &LoadByEngine) {
         let mut request_mixes = self.request_mixes.lock();
         request_mixes.retain(|_, mix| {
             mix.decay();
@@ -104,8 +104,8 @@
     }
 
     /// Sends the sum over this controller's routers to the other voters, if a report is due.
-    fn share_with_peers(&self, sum: &ByEngine, schedule: &mut ReportSchedule, now: Instant) {
-        let report = load::pack(sum);
+    fn share_with_peers(&self, sum: &LoadByEngine, schedule: &mut ReportSchedule, now: Instant) {
+        let report = load::encode_report(sum);
         if !schedule.is_due(now, &report) {
             return;
         }
@@ -115,8 +115,13 @@
     }
 
     /// Sends the total over all routers to this controller's routers, if a report is due.
-    fn share_with_routers(&self, total: &ByEngine, schedule: &mut ReportSchedule, now: Instant) {
-        let report = load::pack(total);
+    fn share_with_routers(
+        &self,
+        total: &LoadByEngine,
+        schedule: &mut ReportSchedule,
+        now: Instant,
+    ) {
+        let report = load::encode_report(total);
         if !schedule.is_due(now, &report) {
             return;
         }
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Process;
 use fleet_core::link::Link;
-use fleet_core::node::{Role, id_of};
+use fleet_core::node::{Role, node_id_of};
 use fleet_core::transport::Transport;
 use fleet_core::wire::{Handshake, Member, Membership};
 use hashbrown::{HashMap, HashSet};
@@ -87,7 +87,7 @@
         for ip in required {
             let address = settings.peer_addr(ip.into());
             let open =
-                || Link::keep_over(self.transport.clone(), &self.process.node, address, None);
+                || Link::maintain_over(self.transport.clone(), &self.process.node, address, None);
             links.entry(ip).or_insert_with(open);
         }
     }
@@ -114,7 +114,7 @@
         let links = self.links.lock();
         let link = |member: &Member| {
             let ip = member.addr()?;
-            Some(MemberLink { member_id: id_of(ip), link: links.get(&ip)?.clone() })
+            Some(MemberLink { member_id: node_id_of(ip), link: links.get(&ip)?.clone() })
         };
         members.iter().filter_map(link).collect()
     }
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -7,7 +7,7 @@
 use crate::consensus::state_machine;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Body, JoinRequest, Member, Membership, ReadBallots};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
         control: manager
             .process
             .settings()
-            .control
+            .control_addr
             .map(|address| address.to_string())
             .unwrap_or_default(),
         joined_epoch: 0,
@@ -166,7 +166,7 @@
         |ip| silent_for(ip).is_some_and(|silence| silence < constants::MEMBER_TIMEOUT_SAME_ZONE);
     let addresses = membership.members.iter().filter_map(Member::addr);
     let heard = addresses.filter(|ip| *ip == manager.process.node.ip || is_recent(*ip));
-    heard.map(id_of).collect()
+    heard.map(node_id_of).collect()
 }
 
 /// Members that currently vote in the membership of this epoch, including this node if it votes.
@@ -187,9 +187,9 @@
 ) -> Option<Membership> {
     let settings = manager.process.settings();
     let tolerance = Tolerance {
-        machines: settings.losses,
-        zones: settings.lost_zones,
-        regions: settings.lost_regions,
+        machines: settings.tolerated_machine_losses,
+        zones: settings.tolerated_zone_losses,
+        regions: settings.tolerated_region_losses,
         regions_of_zones: settings.zones.clone(),
     };
     let members: Vec<MemberStatus> = membership
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -21,7 +21,7 @@
 use crate::process::Process;
 use fleet_core::constants;
 use fleet_core::fleet;
-use fleet_core::load::{self, ByEngine};
+use fleet_core::load::{self, LoadByEngine};
 use fleet_core::log::Event;
 use fleet_core::target_versions::TargetVersions;
 use fleet_core::transport::Transport;
@@ -168,7 +168,7 @@
 fn due_actions(
     rollout: &Rollout,
     plan: &mut Plan,
-    loads: &ByEngine,
+    loads: &LoadByEngine,
     target: Target,
 ) -> Vec<(Target, Action)> {
     let now = Instant::now();
@@ -193,7 +193,7 @@
 fn outdated_engines(
     rollout: &Rollout,
     plan: &mut Plan,
-    loads: &ByEngine,
+    loads: &LoadByEngine,
     target: &Target,
     engines: &[Engine],
 ) -> Vec<OutdatedEngine> {
@@ -203,14 +203,14 @@
         if fleet::is_draining_streams(engine, &target.model, Some(target.version)) {
             plan.adopt(&engine.id, now);
         }
-        let key = load::key_of(&engine.id);
+        let key = load::engine_key(&engine.id);
         let load = loads.get(&key).copied().unwrap_or_default();
         outdated.push(OutdatedEngine {
             id: engine.id.clone(),
             zone: engine.zone.clone(),
             interactive_share: rollout.load_reports.interactive_share(key),
-            interactive_runs: load.interactive,
-            runs: load.runs,
+            interactive_in_flight: load.interactive,
+            in_flight: load.in_flight,
             remaining: target.remaining(engine, bound, now),
             goal: target.goal(engine, now),
         });
@@ -264,7 +264,7 @@
     publish_update_state(rollout, &engine.id, |engine| {
         clear_update_state(engine);
         if updated.is_ok() {
-            fleet::raise(engine, model, version);
+            fleet::raise_version(engine, model, version);
         }
     })
     .await;
--- a/crates/control-plane/src/rollout/plan.rs
+++ b/crates/control-plane/src/rollout/plan.rs
@@ -20,9 +20,9 @@
     /// Share of its recent requests that are interactive (a user is waiting for the response), from 0 to 1.
     pub interactive_share: f64,
     /// Interactive requests in flight.
-    pub interactive_runs: u32,
+    pub interactive_in_flight: u32,
     /// All requests in flight.
-    pub runs: u32,
+    pub in_flight: u32,
     /// Time until routers stop sending it requests because of its outdated weights; the older these are, the shorter.
     pub remaining: Duration,
     /// Time in which it should load the target weights: requests that it serves with older weights later are worth less.
@@ -206,8 +206,9 @@
         let mut not_started: Vec<&OutdatedEngine> =
             outdated.iter().filter(|engine| !self.steps.contains_key(&engine.id)).collect();
         not_started.sort_by(|a, b| {
-            let rank =
-                |engine: &OutdatedEngine| (engine.remaining, engine.interactive_runs, engine.runs);
+            let rank = |engine: &OutdatedEngine| {
+                (engine.remaining, engine.interactive_in_flight, engine.in_flight)
+            };
             (rank(a), &a.id).cmp(&(rank(b), &b.id))
         });
         let same_deadline = |a: &&OutdatedEngine, b: &&OutdatedEngine| a.remaining == b.remaining;
@@ -250,10 +251,10 @@
         let timed_out =
             |since: &Instant| now.duration_since(*since) >= constants::STREAM_DRAIN_TIMEOUT;
         let mut drained: Vec<(Instant, &OutdatedEngine)> = draining
-            .filter(|(since, engine)| engine.interactive_runs == 0 || timed_out(since))
+            .filter(|(since, engine)| engine.interactive_in_flight == 0 || timed_out(since))
             .collect();
         drained.sort_by(|(since_a, a), (since_b, b)| {
-            let rank = |engine: &OutdatedEngine| (engine.remaining, engine.interactive_runs);
+            let rank = |engine: &OutdatedEngine| (engine.remaining, engine.interactive_in_flight);
             (rank(a), since_a, &a.id).cmp(&(rank(b), since_b, &b.id))
         });
         drained.into_iter().map(|(_, engine)| engine.id.clone()).collect()
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -5,7 +5,7 @@
 use crate::{ControllerError, api};
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::program::Start;
+use fleet_core::program::ProgramContext;
 use fleet_core::settings::Settings;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -74,9 +74,10 @@
 /// # Errors
 ///
 /// A required setting is missing, the disk can't be used, or a port can't be listened on. Nothing is left running then.
-pub async fn run(start: Start) -> Result<(), ControllerError> {
-    let Start { settings, log, stop, reread, metrics } = start;
-    let control = settings.control.ok_or(ControllerError::SettingMissing("bindAddrs.control"))?;
+pub async fn run(start: ProgramContext) -> Result<(), ControllerError> {
+    let ProgramContext { settings, log, stop, reloaded_settings, metrics } = start;
+    let control =
+        settings.control_addr.ok_or(ControllerError::SettingMissing("bindAddrs.control"))?;
     let environment = Environment::for_program(&settings, &log)?;
     let mut running = Controller::start(settings, log.clone(), environment).await?;
     if let Some(address) = metrics {
@@ -85,7 +86,7 @@
     }
     let server = api::serve(running.controller(), control)
         .map_err(|error| ControllerError::ApiServer(error.kind()))?;
-    run_until_stopped(running.controller(), stop, reread).await;
+    run_until_stopped(running.controller(), stop, reloaded_settings).await;
     running.shut_down().await;
     let _ = tokio::time::timeout(constants::SERVER_CLOSE_TIMEOUT, server.close()).await;
     running.abort();
@@ -95,12 +96,12 @@
 async fn run_until_stopped(
     controller: &Controller,
     mut stop: watch::Receiver<bool>,
-    mut reread: mpsc::Receiver<Settings>,
+    mut reloaded_settings: mpsc::Receiver<Settings>,
 ) {
     loop {
         tokio::select! {
             _ = stop.wait_for(|stopped| *stopped) => return,
-            Some(settings) = reread.recv() => controller.reconfigure(settings),
+            Some(settings) = reloaded_settings.recv() => controller.reconfigure(settings),
         }
     }
 }
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -45,8 +45,8 @@
     require_contact(consensus)?;
     let base = parse_base_version(base_header)?;
     let configuration =
-        Configuration::read(&body).map_err(|error| reject_invalid(consensus, &error))?;
-    let packed = fleet_core::compression::pack(&body);
+        Configuration::parse(&body).map_err(|error| reject_invalid(consensus, &error))?;
+    let packed = fleet_core::compression::compress(&body);
     let change = ReplaceConfig { base, version: configuration.revision, packed };
     let changed = forward::submit(consensus, ChangeKind::Replace(change.clone())).await;
     match changed.outcome() {
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -45,7 +45,7 @@
         disk: disk_state(consensus),
         membership_epoch: membership.epoch,
         recovery_epoch,
-        tolerated_losses: process.settings().losses,
+        tolerated_losses: process.settings().tolerated_machine_losses,
         config: BallotView::of(highest),
         voters: membership.members.iter().map(voter).collect(),
         keys: key_views(&reports),
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -228,7 +228,7 @@
         let Some(ConfigForm::Full(packed)) = response.form else {
             panic!("expected a full configuration")
         };
-        let body = compression::unpack(&packed, 1 << 20).unwrap();
+        let body = compression::decompress(&packed, 1 << 20).unwrap();
         assert_eq!((response.version, body), (5, config_body(5, 10).to_string().into()));
         links.push((to, link, response.digest));
     }
@@ -239,7 +239,7 @@
         let Some(ConfigForm::Delta(packed)) = response.form else {
             panic!("expected a delta from {to}: {response:?}")
         };
-        let plain = compression::unpack(&packed, 1 << 20).unwrap();
+        let plain = compression::decompress(&packed, 1 << 20).unwrap();
         let delta = ConfigDelta::decode(plain).unwrap();
         assert_eq!(delta::apply(&delta, old.as_bytes(), 1 << 20).unwrap(), new);
         assert_eq!(response.digest, BodyDigest::of(new.as_bytes()).as_bytes());
--- a/crates/control-plane/tests/harness/mod.rs
+++ b/crates/control-plane/tests/harness/mod.rs
@@ -226,7 +226,7 @@
         let node = Node::seeded(&settings(router, self.size), Role::Router, router as u64);
         let node_settings = settings(to, self.size);
         let peer_service = node_settings.peer_addr(node_settings.ip.into());
-        Link::keep_over(Arc::new(machine), &node, peer_service, pushed)
+        Link::maintain_over(Arc::new(machine), &node, peer_service, pushed)
     }
 
     /// Listens at an address that belongs to no controller.
--- a/crates/control-plane/tests/harness/network.rs
+++ b/crates/control-plane/tests/harness/network.rs
@@ -116,7 +116,7 @@
             let (near, far) = self.pipe(to);
             let accepted = listener.is_some_and(|listener| listener.send(far).is_ok());
             if self.stopped.load(Ordering::Relaxed) || !accepted {
-                return Err(TransportError::Socket(ErrorKind::ConnectionRefused));
+                return Err(TransportError::Io(ErrorKind::ConnectionRefused));
             }
             Ok(Box::new(near) as BoxedStream)
         })
--- a/crates/control-plane/tests/program/mod.rs
+++ b/crates/control-plane/tests/program/mod.rs
@@ -1,7 +1,7 @@
 //! Runs a controller as its program does, over TCP and with files, on this machine.
 
 use control_plane::engines::client::HttpClient;
-use fleet_core::program::Start;
+use fleet_core::program::ProgramContext;
 use fleet_core::settings::Settings;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
@@ -44,7 +44,13 @@
         let (reload, reloads) = mpsc::channel(1);
         let log = fleet_core::log::root(slog::Level::Error, "a", "controller");
         let task = tokio::spawn(async move {
-            let start = Start { settings, log, stop: stopped, reread: reloads, metrics: None };
+            let start = ProgramContext {
+                settings,
+                log,
+                stop: stopped,
+                reloaded_settings: reloads,
+                metrics: None,
+            };
             control_plane::run(start).await.unwrap();
         });
         let control = SocketAddr::new(ip.into(), control);
--- a/crates/control-plane/tests/rollout_plan.rs
+++ b/crates/control-plane/tests/rollout_plan.rs
@@ -14,8 +14,8 @@
         id: format!("e{id:03}"),
         zone,
         interactive_share,
-        interactive_runs,
-        runs: interactive_runs + 1,
+        interactive_in_flight: interactive_runs,
+        in_flight: interactive_runs + 1,
         remaining: LONG,
         goal: LONG,
     }
@@ -78,7 +78,7 @@
     assert!(updated(&actions).is_empty() && actions.len() == 1, "{actions:?}");
     assert_eq!(plan.step("e000"), Some(Step::DrainingStreams(now)));
     assert!(plan.next(now + constants::ROLLOUT_INTERVAL, 2, &engines).is_empty());
-    engines[0].interactive_runs = 0;
+    engines[0].interactive_in_flight = 0;
     let actions = plan.next(now + constants::ROLLOUT_INTERVAL * 2, 2, &engines);
     assert_eq!(updated(&actions), ["e000"]);
     plan.record_update_end(
@@ -178,7 +178,7 @@
     let (mut plan, now) = (Plan::default(), Instant::now());
     let mut engines = fleet(0, 10, 0);
     for engine in &mut engines[7..] {
-        engine.runs = 40;
+        engine.in_flight = 40;
         engine.remaining = Duration::from_secs(3);
     }
     let mut order: Vec<String> = Vec::new();
@@ -200,7 +200,7 @@
 fn interactive_engines_with_the_least_time_left_are_drained_first() {
     let (mut plan, now) = (Plan::default(), Instant::now());
     let mut engines = fleet(3, 0, 2);
-    engines[2].interactive_runs = 40;
+    engines[2].interactive_in_flight = 40;
     engines[2].remaining = Duration::from_secs(3);
     assert_eq!(plan.next(now, 3, &engines).first(), Some(&Action::DrainStreams("e002".into())));
 }
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -23,7 +23,7 @@
     /// the controller returned no configuration newer than the one in force
     NotNewer,
     /// {0}
-    Packing(#[from] compression::UnpackError),
+    Decompress(#[from] compression::DecompressError),
     /// the configuration delta can't be decoded
     Undecodable,
     /// {0}
@@ -58,9 +58,9 @@
 ) -> Result<ConfigBody, FetchError> {
     const MAX_BYTES: usize = constants::CONFIG_MAX_BYTES;
     let body = match (&response.form, current) {
-        (Some(ConfigForm::Full(packed)), _) => compression::unpack(packed, MAX_BYTES)?,
+        (Some(ConfigForm::Full(packed)), _) => compression::decompress(packed, MAX_BYTES)?,
         (Some(ConfigForm::Delta(packed)), Some(current)) => {
-            let unpacked = compression::unpack(packed, MAX_BYTES)?;
+            let unpacked = compression::decompress(packed, MAX_BYTES)?;
             let delta = ConfigDelta::decode(unpacked).map_err(|_| FetchError::Undecodable)?;
             delta::apply(&delta, &current.body, MAX_BYTES)?
         }
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -73,7 +73,7 @@
 fn open_link(router: &Arc<Router>, ip: Ipv4Addr) -> Arc<Link> {
     let (update_sender, updates) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
     let address = router.settings().peer_addr(ip.into());
-    let link = Link::keep(&router.node, address, Some(update_sender));
+    let link = Link::maintain(&router.node, address, Some(update_sender));
     tokio::spawn(receive_updates(router.clone(), ip, Arc::downgrade(&link), updates));
     link
 }
--- a/crates/data-plane/src/fleet_view/load_reports.rs
+++ b/crates/data-plane/src/fleet_view/load_reports.rs
@@ -5,7 +5,7 @@
 use crate::Router;
 use fleet_core::constants;
 use fleet_core::link::Link;
-use fleet_core::load::{self, ByEngine, ReportSchedule};
+use fleet_core::load::{self, LoadByEngine, ReportSchedule};
 use fleet_core::wire::{Body, EngineState, LoadReport, Member};
 use std::sync::Arc;
 use tokio::time::Instant;
@@ -35,7 +35,7 @@
     /// Applies the sum over all routers. This router's part, as it last reported it, is subtracted: its current load is
     /// known.
     pub fn update_loads(&self, message: &LoadReport) {
-        let totals: ByEngine = load::unpack(message).collect();
+        let totals: LoadByEngine = load::decode_report(message).collect();
         let now = Instant::now();
         let (mut engines, mut slots) = (0, 0);
         for engine in self.engines.read().values() {
@@ -47,15 +47,15 @@
             drop(state);
             let total = totals.get(&engine.key).copied().unwrap_or_default();
             let mut activity = engine.activity();
-            activity.other_routers_load = total.less(&activity.last_reported);
+            activity.other_routers_load = total.saturating_sub(&activity.last_reported);
             activity.other_routers_load_at = Some(now);
         }
         let interactive = totals.values().map(|load| load.interactive).sum();
         self.endpoints.record_interactive(interactive, engines, slots);
     }
 
-    fn own_loads(&self) -> ByEngine {
-        let mut own = ByEngine::default();
+    fn own_loads(&self) -> LoadByEngine {
+        let mut own = LoadByEngine::default();
         for engine in self.engines.read().values() {
             let mut activity = engine.activity();
             activity.last_reported = activity.own();
@@ -70,7 +70,7 @@
     let mut schedule = ReportSchedule::default();
     loop {
         tokio::time::sleep(constants::LOAD_REPORT_INTERVAL).await;
-        let own = load::pack(&router.fleet_view.own_loads());
+        let own = load::encode_report(&router.fleet_view.own_loads());
         if !schedule.is_due(Instant::now(), &own) {
             continue;
         }
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -149,7 +149,7 @@
 
     /// Number of frames and responses of controllers that were rejected, summed over the current links.
     pub fn links_rejected(&self) -> u64 {
-        self.links.lock().values().map(|link| link.rejected()).sum()
+        self.links.lock().values().map(|link| link.rejected_count()).sum()
     }
 
     fn update_engine(&self, update: &Engine) {
@@ -195,7 +195,7 @@
             .unwrap_or_else(Instant::now);
         let mut targets_by_model = self.targets.write();
         let targets = targets_by_model.entry_ref(update.model.as_str()).or_default();
-        Arc::make_mut(targets).learn(update.version, since);
+        Arc::make_mut(targets).record(update.version, since);
     }
 
     /// Watches the highest configuration version that a controller announced; 0 before the first.
--- a/crates/data-plane/src/fleet_view/routing_table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -1,6 +1,6 @@
 //! Compiles a configuration into a form that is fast to look up for each request.
 
-use fleet_core::configuration::{ConfigError, Configuration, Kind, Limits, Route, Service};
+use fleet_core::configuration::{ConfigError, Configuration, Limits, Route, RouteKind, Service};
 use std::sync::Arc;
 
 /// A tenant of the configuration.
@@ -50,7 +50,7 @@
     ///
     /// The body can't be parsed, or the configuration is invalid.
     pub fn compile(body: &[u8], isolation: u64) -> Result<RoutingTable, ConfigError> {
-        let configuration = Configuration::read(body)?;
+        let configuration = Configuration::parse(body)?;
         let mut routes: hashbrown::HashMap<String, Vec<Arc<Route>>, ahash::RandomState> =
             hashbrown::HashMap::default();
         for route in configuration.routes {
@@ -59,7 +59,7 @@
         let mut least_urgent: hashbrown::HashMap<String, (i64, u64), ahash::RandomState> =
             hashbrown::HashMap::default();
         for route in routes.values().flatten() {
-            for (service, _) in route.shares() {
+            for (service, _) in route.weighted_services() {
                 let urgency =
                     least_urgent.entry_ref(service).or_insert((route.priority, route.target_ms));
                 *urgency = (*urgency).max((route.priority, route.target_ms));
@@ -127,7 +127,7 @@
     /// route of its services.
     pub fn is_interactive(&self, route: &Route) -> bool {
         let least_urgent = route
-            .shares()
+            .weighted_services()
             .into_iter()
             .filter_map(|(service, _)| self.least_urgent.get(service))
             .max();
@@ -147,10 +147,10 @@
     /// Selects a service of a route by weight, with `random` drawn uniformly from all values of `u64`; none if all weights
     /// are 0.
     pub fn pick_service<'a>(&self, route: &'a Route, random: u64) -> Option<&'a str> {
-        let shares = route.shares();
-        let total: u64 = shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
+        let weighted_services = route.weighted_services();
+        let total: u64 = weighted_services.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut remaining = random.checked_rem(total)?;
-        for (service, weight) in shares {
+        for (service, weight) in weighted_services {
             if remaining < u64::from(weight) {
                 return Some(service);
             }
@@ -163,9 +163,9 @@
 /// How often a request of this route may be executed.
 pub fn retry_mode(route: &Route) -> RetryMode {
     match route.kind {
-        Kind::Safe => RetryMode::Unrestricted,
-        Kind::Streaming if route.resumable => RetryMode::ResumeOnly,
-        Kind::Streaming | Kind::Unsafe => RetryMode::Never,
+        RouteKind::Safe => RetryMode::Unrestricted,
+        RouteKind::Streaming if route.resumable => RetryMode::ResumeOnly,
+        RouteKind::Streaming | RouteKind::Unsafe => RetryMode::Never,
     }
 }
 
--- a/crates/data-plane/src/fleet_view/version_bound_tests.rs
+++ b/crates/data-plane/src/fleet_view/version_bound_tests.rs
@@ -7,7 +7,7 @@
 fn announced_targets(start: Instant, versions: &[(u64, u64)]) -> Arc<TargetVersions> {
     let mut targets = TargetVersions::default();
     for (version, ms) in versions {
-        targets.learn(*version, start + Duration::from_millis(*ms));
+        targets.record(*version, start + Duration::from_millis(*ms));
     }
     Arc::new(targets)
 }
--- a/crates/data-plane/src/load_balancer/cost.rs
+++ b/crates/data-plane/src/load_balancer/cost.rs
@@ -45,7 +45,9 @@
         let is_recent = |at| now.duration_since(at) < constants::REPORTED_LOAD_TIMEOUT;
         let reported = activity.reported.filter(|reported| is_recent(reported.at));
         Occupancy {
-            running: reported.map_or(0, |load| load.running).max(activity.total_load(now).runs),
+            running: reported
+                .map_or(0, |load| load.running)
+                .max(activity.total_load(now).in_flight),
             waiting: reported.map_or(0, |load| load.waiting),
             slots: endpoint.state.slots,
         }
@@ -106,7 +108,8 @@
 pub fn expected_wait(endpoint: &Endpoint, now: Instant) -> Duration {
     let activity = endpoint.engine.activity();
     let occupancy = Occupancy::of(&activity, endpoint, now);
-    let prefill_ms = activity.total_load(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS;
+    let prefill_ms =
+        activity.total_load(now).pending_prefill_tokens as f64 / constants::PREFILL_TOKENS_PER_MS;
     let ms = prefill_ms
         + f64::from(occupancy.waiting) * constants::QUEUED_REQUEST_COST_MS
         + occupancy.slot_wait_ms();
@@ -125,7 +128,7 @@
     let occupancy = Occupancy::of(&activity, endpoint, now);
     let prefill = Prefill::of(request, cached, transfer);
     let mut ms = prefill.ms
-        + activity.total_load(now).unread as f64 / constants::PREFILL_TOKENS_PER_MS
+        + activity.total_load(now).pending_prefill_tokens as f64 / constants::PREFILL_TOKENS_PER_MS
         + f64::from(occupancy.running) * constants::RUNNING_REQUEST_COST_MS
         + f64::from(occupancy.waiting) * constants::QUEUED_REQUEST_COST_MS;
     ms += occupancy.slot_wait_ms();
--- a/crates/data-plane/src/metrics.rs
+++ b/crates/data-plane/src/metrics.rs
@@ -5,19 +5,19 @@
 use std::collections::BTreeMap;
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
-use telemetry::{Exposition, Source};
+use telemetry::{MetricsSource, MetricsWriter};
 
-impl Source for Router {
-    fn write(&self, exposition: &mut Exposition<'_>) -> fmt::Result {
-        write_counters(&self.counters, exposition)?;
-        write_requests(self, exposition)?;
-        write_configuration(&self.fleet_view, exposition)?;
-        write_targets(&self.fleet_view, exposition)?;
-        write_engines(&self.fleet_view, exposition)
+impl MetricsSource for Router {
+    fn write(&self, writer: &mut MetricsWriter<'_>) -> fmt::Result {
+        write_counters(&self.counters, writer)?;
+        write_requests(self, writer)?;
+        write_configuration(&self.fleet_view, writer)?;
+        write_targets(&self.fleet_view, writer)?;
+        write_engines(&self.fleet_view, writer)
     }
 }
 
-fn write_counters(counters: &Counters, exposition: &mut Exposition<'_>) -> fmt::Result {
+fn write_counters(counters: &Counters, writer: &mut MetricsWriter<'_>) -> fmt::Result {
     let rows: [(&str, &str, &AtomicU64); 17] = [
         ("requests", "Requests with a route and a service", &counters.requests),
         ("responses", "Responses of engines that have begun", &counters.responses),
@@ -66,34 +66,30 @@
         ("clock_restarts", "Controllers that were lost", &counters.controllers_lost),
     ];
     for (name, help, counter) in rows {
-        exposition.counter(name, help, counter.load(Ordering::Relaxed))?;
+        writer.counter(name, help, counter.load(Ordering::Relaxed))?;
     }
     Ok(())
 }
 
-fn write_requests(router: &Router, exposition: &mut Exposition<'_>) -> fmt::Result {
+fn write_requests(router: &Router, writer: &mut MetricsWriter<'_>) -> fmt::Result {
     let shutting_down = router.is_shutting_down();
     let during_shutdown = router.in_flight.accepted_during_shutdown() as f64;
     let open = router.open_connections.load(Ordering::Relaxed) as f64;
-    exposition.gauge("shutting_down", "1 from SIGTERM on", f64::from(u8::from(shutting_down)))?;
-    exposition.gauge(
-        "requests_in_flight",
-        "Requests in flight",
-        router.in_flight.total() as f64,
-    )?;
-    exposition.gauge("requests_in_flight_late", "Those accepted after SIGTERM", during_shutdown)?;
-    exposition.gauge("client_connections", "Open connections of clients", open)
+    writer.gauge("shutting_down", "1 from SIGTERM on", f64::from(u8::from(shutting_down)))?;
+    writer.gauge("requests_in_flight", "Requests in flight", router.in_flight.total() as f64)?;
+    writer.gauge("requests_in_flight_late", "Those accepted after SIGTERM", during_shutdown)?;
+    writer.gauge("client_connections", "Open connections of clients", open)
 }
 
-fn write_configuration(view: &FleetView, exposition: &mut Exposition<'_>) -> fmt::Result {
+fn write_configuration(view: &FleetView, writer: &mut MetricsWriter<'_>) -> fmt::Result {
     let version = view.routing_table().map_or(0, |table| table.version);
     let links = view.links_up().len() as f64;
-    exposition.gauge("config_version", "Configuration in force", version as f64)?;
-    exposition.gauge("controller_links", "Links to controllers that are up", links)?;
-    exposition.gauge("routers", "Routers that are alive", view.routers() as f64)
+    writer.gauge("config_version", "Configuration in force", version as f64)?;
+    writer.gauge("controller_links", "Links to controllers that are up", links)?;
+    writer.gauge("routers", "Routers that are alive", view.routers() as f64)
 }
 
-fn write_targets(view: &FleetView, exposition: &mut Exposition<'_>) -> fmt::Result {
+fn write_targets(view: &FleetView, writer: &mut MetricsWriter<'_>) -> fmt::Result {
     let targets = view.targets();
     let series: Vec<_> = targets
         .iter()
@@ -106,10 +102,10 @@
     let help =
         "Time since a version was named; older weights are bounded by the first that they lack";
     let series = series.iter().map(|(labels, age)| (&labels[..], *age));
-    exposition.gauges("target_weights_age_seconds", help, series)
+    writer.gauges("target_weights_age_seconds", help, series)
 }
 
-fn write_engines(view: &FleetView, exposition: &mut Exposition<'_>) -> fmt::Result {
+fn write_engines(view: &FleetView, writer: &mut MetricsWriter<'_>) -> fmt::Result {
     let mut counts: BTreeMap<(String, u64), usize> = BTreeMap::new();
     for engine in view.engines.read().values() {
         let state = engine.state();
@@ -127,5 +123,5 @@
         })
         .collect();
     let series = series.iter().map(|(labels, count)| (&labels[..], *count));
-    exposition.gauges("engines", "Ready engines by version of their weights", series)
+    writer.gauges("engines", "Ready engines by version of their weights", series)
 }
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -74,8 +74,8 @@
     /// Load from this router.
     pub fn own(&self) -> Load {
         Load {
-            unread: self.pending_prefill_tokens,
-            runs: self.in_flight,
+            pending_prefill_tokens: self.pending_prefill_tokens,
+            in_flight: self.in_flight,
             interactive: self.interactive,
         }
     }
@@ -134,7 +134,7 @@
     pub fn new(engine: &Engine) -> Option<EngineHandle> {
         Some(EngineHandle {
             id: engine.id.clone(),
-            key: fleet_core::load::key_of(&engine.id),
+            key: fleet_core::load::engine_key(&engine.id),
             address: engine.address.parse().ok()?,
             first_seen: Instant::now(),
             is_new: engine.call <= constants::NEW_ENGINE_CALLS,
@@ -174,7 +174,7 @@
     /// Records a weight version seen in a response; true if it is newer than the known one.
     pub fn record_weights(&self, model: &str, version: u64) -> bool {
         fleet_core::fleet::version_of(&self.state(), model).is_some_and(|s| s < version)
-            && fleet_core::fleet::raise(&mut self.state.write(), model, version)
+            && fleet_core::fleet::raise_version(&mut self.state.write(), model, version)
     }
 
     /// Whether it has started recently: it is then not assumed to hold prompt parts that it was not seen to cache.
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -4,7 +4,7 @@
 use crate::{Router, fleet_view, pool, proxy};
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::program::Start;
+use fleet_core::program::ProgramContext;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
@@ -23,10 +23,11 @@
 /// # Errors
 ///
 /// A required setting is missing, or a listening address cannot be bound. No task has been started then.
-pub async fn run(start: Start) -> Result<(), RouterError> {
-    let Start { settings, log, mut stop, mut reread, metrics } = start;
-    let front = settings.front.ok_or(RouterError::SettingMissing("bindAddrs.frontHttp"))?;
-    let probe = settings.readiness.ok_or(RouterError::SettingMissing("bindAddrs.readiness"))?;
+pub async fn run(start: ProgramContext) -> Result<(), RouterError> {
+    let ProgramContext { settings, log, mut stop, mut reloaded_settings, metrics } = start;
+    let front = settings.front_addr.ok_or(RouterError::SettingMissing("bindAddrs.frontHttp"))?;
+    let probe =
+        settings.readiness_addr.ok_or(RouterError::SettingMissing("bindAddrs.readiness"))?;
     let listen = |address| {
         fleet_core::link::listen(address)
             .map_err(|e: std::io::Error| RouterError::Listen(address, e.kind()))
@@ -53,7 +54,7 @@
     loop {
         tokio::select! {
             _ = stop.wait_for(|stopped| *stopped) => break,
-            Some(new_settings) = reread.recv() => *router.settings.write() = Arc::new(new_settings),
+            Some(new_settings) = reloaded_settings.recv() => *router.settings.write() = Arc::new(new_settings),
             _ = counters_timer.tick() => router.log_counters(),
         }
     }
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -120,7 +120,7 @@
 }
 
 fn full(version: u64) -> ConfigResponse {
-    let form = Some(ConfigForm::Full(compression::pack(body(version).as_bytes())));
+    let form = Some(ConfigForm::Full(compression::compress(body(version).as_bytes())));
     ConfigResponse { version, isolation: 1, digest: digest(version), form }
 }
 
--- a/crates/data-plane/tests/load_reports.rs
+++ b/crates/data-plane/tests/load_reports.rs
@@ -56,15 +56,16 @@
         activity.last_reported = activity.own();
         activity.in_flight = 3;
     }
-    let reported_load = fleet_core::load::Load { unread: 640, runs: 5, interactive: 0 };
+    let reported_load =
+        fleet_core::load::Load { pending_prefill_tokens: 640, in_flight: 5, interactive: 0 };
     let sum = std::iter::once((engine.key, reported_load)).collect();
-    fleet_view.update_loads(&fleet_core::load::pack(&sum));
+    fleet_view.update_loads(&fleet_core::load::encode_report(&sum));
     let now = tokio::time::Instant::now();
     let total = engine.activity().total_load(now);
-    assert_eq!((total.runs, total.unread), (6, 640));
+    assert_eq!((total.in_flight, total.pending_prefill_tokens), (6, 640));
     let expired = engine.activity().total_load(now + fleet_core::constants::LOAD_REPORT_TIMEOUT);
     assert_eq!(
-        (expired.runs, expired.unread),
+        (expired.in_flight, expired.pending_prefill_tokens),
         (3, 0),
         "an expired report of other routers is ignored"
     );
--- a/crates/fleet-core/src/change_log.rs
+++ b/crates/fleet-core/src/change_log.rs
@@ -1,23 +1,23 @@
 //! A bounded in-memory event log with a view that is derived from its events.
 
 /// A view that is derived from events alone.
-pub trait Fold {
+pub trait Projection {
     /// A single change of the view.
     type Event;
     /// Applies one event to the view.
-    fn fold(&mut self, event: &Self::Event);
+    fn apply(&mut self, event: &Self::Event);
 }
 
 /// Keeps the view and the newest events; older events are only reflected in the view.
 #[derive(Debug)]
-pub struct ChangeLog<V: Fold> {
+pub struct ChangeLog<V: Projection> {
     view: V,
     tail: std::collections::VecDeque<V::Event>,
     capacity: usize,
     head: u64,
 }
 
-impl<V: Fold> ChangeLog<V> {
+impl<V: Projection> ChangeLog<V> {
     /// Creates an empty log that starts from this view and keeps at most `capacity` events.
     pub fn new(view: V, capacity: usize) -> Self {
         ChangeLog { view, tail: std::collections::VecDeque::new(), capacity, head: 0 }
@@ -25,7 +25,7 @@
 
     /// Applies an event to the view and keeps it; returns the new head.
     pub fn append(&mut self, event: V::Event) -> u64 {
-        self.view.fold(&event);
+        self.view.apply(&event);
         self.tail.push_back(event);
         while self.tail.len() > self.capacity {
             self.tail.pop_front();
@@ -35,7 +35,7 @@
     }
 
     /// Changes the view without recording an event, for changes that readers of the events need not see.
-    pub fn amend<T>(&mut self, change: impl FnOnce(&mut V) -> T) -> T {
+    pub fn update_silently<T>(&mut self, change: impl FnOnce(&mut V) -> T) -> T {
         change(&mut self.view)
     }
 
--- a/crates/fleet-core/src/change_log_tests.rs
+++ b/crates/fleet-core/src/change_log_tests.rs
@@ -4,9 +4,9 @@
 
 #[derive(Default)]
 struct Sum(i64);
-impl Fold for Sum {
+impl Projection for Sum {
     type Event = i64;
-    fn fold(&mut self, event: &i64) {
+    fn apply(&mut self, event: &i64) {
         self.0 += event;
     }
 }
--- a/crates/fleet-core/src/configuration/checks.rs
+++ b/crates/fleet-core/src/configuration/checks.rs
@@ -28,7 +28,7 @@
     /// # Errors
     ///
     /// The first error with its location, in the order: JSON text, bounds of fields, routes, keys.
-    pub fn read(body: &[u8]) -> Result<Configuration, ConfigError> {
+    pub fn parse(body: &[u8]) -> Result<Configuration, ConfigError> {
         let configuration: Configuration = serde_json::from_slice(body).map_err(|e| {
             ConfigError::Malformed { line: e.line(), column: e.column(), reason: e.to_string() }
         })?;
@@ -54,11 +54,13 @@
                     other_route: format!("routes[{other_route}]"),
                 });
             }
-            let shares = route.shares();
-            if let Some((unknown, _)) = shares.iter().find(|(name, _)| !services.contains(name)) {
+            let weighted_services = route.weighted_services();
+            if let Some((unknown, _)) =
+                weighted_services.iter().find(|(name, _)| !services.contains(name))
+            {
                 return Err(ConfigError::UnknownService { path, service: (*unknown).to_owned() });
             }
-            if shares.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>() == 0 {
+            if weighted_services.iter().map(|(_, weight)| u64::from(*weight)).sum::<u64>() == 0 {
                 return Err(ConfigError::ZeroTotalWeight { path });
             }
         }
--- a/crates/fleet-core/src/configuration/mod.rs
+++ b/crates/fleet-core/src/configuration/mod.rs
@@ -1,7 +1,7 @@
 //! The operator's configuration: its schema ([`Configuration`]) and its validation errors ([`ConfigError`]).
 //!
 //! The JSON field names are part of the operator's interface. A configuration that was parsed
-//! ([`Configuration::read`]) is valid on its own; whether it may replace the one in force is decided where it is
+//! ([`Configuration::parse`]) is valid on its own; whether it may replace the one in force is decided where it is
 //! proposed.
 
 mod checks;
@@ -10,7 +10,7 @@
 
 pub use error::ConfigError;
 pub use schema::{
-    Configuration, EngineSpec, Kind, Limits, Model, Route, Service, Tenant, WeightedService,
+    Configuration, EngineSpec, Limits, Model, Route, RouteKind, Service, Tenant, WeightedService,
 };
 
 #[cfg(test)]
--- a/crates/fleet-core/src/configuration/schema.rs
+++ b/crates/fleet-core/src/configuration/schema.rs
@@ -6,7 +6,7 @@
 /// Retry semantics of the requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum RouteKind {
     /// Idempotent: a request may be executed more than once.
     Safe,
     /// A request may be executed at most once.
@@ -38,7 +38,7 @@
     /// Path prefix to match; the longest matching prefix wins.
     pub path_prefix: String,
     /// Whether and how requests may be retried.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Maximum time in ms that a request is held; at least 1.
     #[serde(deserialize_with = "deserialize_whole_number")]
     #[validate(range(min = 1))]
@@ -214,7 +214,7 @@
 
 impl Route {
     /// The services of the route with their weights; a single `service` has weight 1.
-    pub fn shares(&self) -> Vec<(&str, u32)> {
+    pub fn weighted_services(&self) -> Vec<(&str, u32)> {
         if let Some(split) = &self.split {
             return split.iter().map(|share| (share.service.as_str(), share.weight)).collect();
         }
--- a/crates/fleet-core/src/configuration/tests.rs
+++ b/crates/fleet-core/src/configuration/tests.rs
@@ -16,14 +16,14 @@
 }
 
 fn read(value: &serde_json::Value) -> Result<Configuration, ConfigError> {
-    Configuration::read(value.to_string().as_bytes())
+    Configuration::parse(value.to_string().as_bytes())
 }
 
 #[test]
 fn valid_configuration_is_parsed() {
     let configuration = read(&valid_configuration()).unwrap();
     assert_eq!(configuration.revision, 3);
-    assert_eq!(configuration.routes[1].shares(), vec![("s", 1), ("s", 0)]);
+    assert_eq!(configuration.routes[1].weighted_services(), vec![("s", 1), ("s", 0)]);
     assert!(configuration.tenants[1].isolated);
 }
 
@@ -62,6 +62,6 @@
 #[test]
 fn truncated_body_is_unreadable() {
     let text = valid_configuration().to_string();
-    let error = Configuration::read(&text.as_bytes()[..text.len() / 2]).unwrap_err();
+    let error = Configuration::parse(&text.as_bytes()[..text.len() / 2]).unwrap_err();
     assert_eq!(error.code(), "unreadable");
 }
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -25,7 +25,7 @@
 /// Merges the monotonic fields of `other`, whichever of the two is newer.
 fn merge_monotonic_fields(engine: &mut Engine, other: &Engine) {
     for weights in &other.weights {
-        raise(engine, &weights.model, weights.version);
+        raise_version(engine, &weights.model, weights.version);
     }
     engine.update_seq = engine.update_seq.max(other.update_seq);
     engine.drain_seq = engine.drain_seq.max(other.drain_seq);
@@ -36,7 +36,7 @@
 
 /// Raises the version of a model on an engine instance; returns false if it has that version or a later one. Versions
 /// of one instance never decrease.
-pub fn raise(engine: &mut Engine, model: &str, version: u64) -> bool {
+pub fn raise_version(engine: &mut Engine, model: &str, version: u64) -> bool {
     match engine.weights.iter_mut().find(|weights| weights.model == model) {
         Some(weights) if weights.version >= version => false,
         Some(weights) => {
--- a/crates/fleet-core/src/fleet_tests.rs
+++ b/crates/fleet-core/src/fleet_tests.rs
@@ -22,10 +22,10 @@
 #[test]
 fn weights_and_update_seq_never_decrease() {
     let mut known = engine(1, EngineState::Ready);
-    raise(&mut known, "m", 3);
+    raise_version(&mut known, "m", 3);
     known.update_seq = 4;
     let mut update = engine(2, EngineState::Ready);
-    raise(&mut update, "m", 2);
+    raise_version(&mut update, "m", 2);
     assert!(!merge(&mut known, &update));
     assert_eq!(version_of(&known, "m"), Some(3));
     assert_eq!(known.update_seq, 4);
@@ -35,11 +35,11 @@
 #[test]
 fn engine_at_target_version_is_not_updating() {
     let mut known = engine(1, EngineState::Ready);
-    raise(&mut known, "m", 2);
+    raise_version(&mut known, "m", 2);
     known.update_seq = 1;
     assert!(is_updating(&known, "m", Some(3)));
     let mut heartbeat = engine(2, EngineState::Ready);
-    raise(&mut heartbeat, "m", 3);
+    raise_version(&mut heartbeat, "m", 3);
     assert!(merge(&mut known, &heartbeat));
     assert_eq!(known.update_seq, 1, "the end of the update was not reported");
     assert!(!is_updating(&known, "m", Some(3)));
--- a/crates/fleet-core/src/link/backlog_tests.rs
+++ b/crates/fleet-core/src/link/backlog_tests.rs
@@ -53,7 +53,8 @@
     assert_eq!(peer.backlog(), 0);
 
     let unread = vec![u32::MAX; constants::WRITE_BATCH_BYTES / 8];
-    let large = Body::LoadReport(LoadReport { unread, ..Default::default() });
+    let large =
+        Body::LoadReport(LoadReport { pending_prefill_units: unread, ..Default::default() });
     for _ in 0..FRAMES {
         peer.push(large.clone()).unwrap();
     }
--- a/crates/fleet-core/src/link/client.rs
+++ b/crates/fleet-core/src/link/client.rs
@@ -67,16 +67,16 @@
 
 impl Link {
     /// Maintains a link over TCP until it is dropped; messages pushed by the remote side are sent to `pushed`.
-    pub fn keep(
+    pub fn maintain(
         node: &Node,
         remote_addr: SocketAddr,
         pushed: Option<mpsc::Sender<Body>>,
     ) -> Arc<Link> {
-        Self::keep_over(Tcp::shared(), node, remote_addr, pushed)
+        Self::maintain_over(Tcp::shared(), node, remote_addr, pushed)
     }
 
-    /// Like [`Link::keep`], over any transport.
-    pub fn keep_over(
+    /// Like [`Link::maintain`], over any transport.
+    pub fn maintain_over(
         transport: Arc<dyn Transport>,
         node: &Node,
         remote_addr: SocketAddr,
@@ -195,7 +195,7 @@
     }
 
     /// Number of frames and answers of the remote side that were rejected.
-    pub fn rejected(&self) -> u64 {
+    pub fn rejected_count(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
 
--- a/crates/fleet-core/src/link/tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -60,7 +60,7 @@
 /// A link and the remote ends of its connections.
 fn link() -> (Arc<Link>, mpsc::UnboundedReceiver<DuplexStream>) {
     let (remote_sender, remote_ends) = mpsc::unbounded_channel();
-    let link = Link::keep_over(
+    let link = Link::maintain_over(
         Arc::new(InMemoryTransport(remote_sender)),
         &node(),
         "10.0.0.2:1".parse().unwrap(),
@@ -161,7 +161,7 @@
         let (call, number) = call(&link, &mut remote).await;
         remote.write_all(&frame(number, true, body)).await.unwrap();
         assert_eq!(call.await.unwrap(), Err(LinkError::UnexpectedAnswer));
-        assert_eq!(link.rejected(), 1);
+        assert_eq!(link.rejected_count(), 1);
         assert!(link.is_up());
     }
 }
@@ -180,7 +180,7 @@
         remote.write_all(&bytes).await.unwrap();
         remote.shutdown().await.unwrap();
         assert_eq!(lost.await.unwrap(), Err(LinkError::NotConnected));
-        assert_eq!(link.rejected(), rejected);
+        assert_eq!(link.rejected_count(), rejected);
         let mut remote = accept_remote(&mut remote_ends).await;
         let (next, number) = call(&link, &mut remote).await;
         remote.write_all(&frame(number, true, Some(register_response(true)))).await.unwrap();
--- a/crates/fleet-core/src/load.rs
+++ b/crates/fleet-core/src/load.rs
@@ -7,9 +7,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Load {
     /// Prompt tokens of requests whose response has not begun.
-    pub unread: u64,
+    pub pending_prefill_tokens: u64,
     /// Requests in flight.
-    pub runs: u32,
+    pub in_flight: u32,
     /// Number of these that are interactive: a client waits for the response.
     pub interactive: u32,
 }
@@ -17,53 +17,62 @@
 impl Load {
     /// Adds another load to this one.
     pub fn add(&mut self, other: &Load) {
-        self.unread += other.unread;
-        self.runs += other.runs;
+        self.pending_prefill_tokens += other.pending_prefill_tokens;
+        self.in_flight += other.in_flight;
         self.interactive += other.interactive;
     }
 
     /// Subtracts another load; each field is at least 0.
-    pub fn less(&self, other: &Load) -> Load {
+    pub fn saturating_sub(&self, other: &Load) -> Load {
         Load {
-            unread: self.unread.saturating_sub(other.unread),
-            runs: self.runs.saturating_sub(other.runs),
+            pending_prefill_tokens: self
+                .pending_prefill_tokens
+                .saturating_sub(other.pending_prefill_tokens),
+            in_flight: self.in_flight.saturating_sub(other.in_flight),
             interactive: self.interactive.saturating_sub(other.interactive),
         }
     }
 }
 
-/// Loads by engine key ([`key_of`]).
-pub type ByEngine = hashbrown::HashMap<u32, Load, ahash::RandomState>;
+/// Loads by engine key ([`engine_key`]).
+pub type LoadByEngine = hashbrown::HashMap<u32, Load, ahash::RandomState>;
 
 /// Short key of an engine in load reports. Two engines whose keys collide only appear busier than they are.
-pub fn key_of(id: &str) -> u32 {
+pub fn engine_key(id: &str) -> u32 {
     (crate::node::stable_hash(&[id.as_bytes()]) >> 32) as u32
 }
 
 /// Builds a report of these loads: without idle engines, sorted by key, with tokens rounded up to units of
 /// `LOAD_TOKEN_UNIT`.
-pub fn pack(loads: &ByEngine) -> LoadReport {
+pub fn encode_report(loads: &LoadByEngine) -> LoadReport {
     let mut engines: Vec<(&u32, &Load)> =
         loads.iter().filter(|(_, load)| **load != Load::default()).collect();
     engines.sort_unstable_by_key(|(key, _)| **key);
     let mut message = LoadReport::default();
     for (key, load) in engines {
-        let unread = load.unread.div_ceil(constants::LOAD_TOKEN_UNIT).min(u64::from(u32::MAX));
+        let units = load
+            .pending_prefill_tokens
+            .div_ceil(constants::LOAD_TOKEN_UNIT)
+            .min(u64::from(u32::MAX));
         message.keys.push(*key);
-        message.unread.push(unread as u32);
-        message.runs.push(load.runs);
+        message.pending_prefill_units.push(units as u32);
+        message.in_flight.push(load.in_flight);
         message.interactive.push(load.interactive);
     }
     message
 }
 
 /// Iterates over the loads of a report. If the lists differ in length, entries beyond the shortest are ignored.
-pub fn unpack(message: &LoadReport) -> impl Iterator<Item = (u32, Load)> + '_ {
-    let engines =
-        message.keys.iter().zip(&message.unread).zip(&message.runs).zip(&message.interactive);
-    engines.map(|(((key, unread), runs), interactive)| {
-        let unread = u64::from(*unread) * constants::LOAD_TOKEN_UNIT;
-        (*key, Load { unread, runs: *runs, interactive: *interactive })
+pub fn decode_report(message: &LoadReport) -> impl Iterator<Item = (u32, Load)> + '_ {
+    let engines = message
+        .keys
+        .iter()
+        .zip(&message.pending_prefill_units)
+        .zip(&message.in_flight)
+        .zip(&message.interactive);
+    engines.map(|(((key, units), in_flight), interactive)| {
+        let pending_prefill_tokens = u64::from(*units) * constants::LOAD_TOKEN_UNIT;
+        (*key, Load { pending_prefill_tokens, in_flight: *in_flight, interactive: *interactive })
     })
 }
 
@@ -80,11 +89,11 @@
     }
 
     /// Sums the reports received within `LOAD_REPORT_TIMEOUT`; removes older ones.
-    pub fn sum(&mut self, now: tokio::time::Instant) -> ByEngine {
+    pub fn sum(&mut self, now: tokio::time::Instant) -> LoadByEngine {
         self.reports.retain(|_, (at, _)| now.duration_since(*at) < constants::LOAD_REPORT_TIMEOUT);
-        let mut sum = ByEngine::default();
+        let mut sum = LoadByEngine::default();
         for (_, message) in self.reports.values() {
-            for (key, load) in unpack(message) {
+            for (key, load) in decode_report(message) {
                 sum.entry(key).or_default().add(&load);
             }
         }
--- a/crates/fleet-core/src/load_tests.rs
+++ b/crates/fleet-core/src/load_tests.rs
@@ -4,9 +4,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A report of this many engines; reports with different `runs` differ.
-fn report(engines: usize, runs: u32) -> LoadReport {
-    pack(&(0..engines as u32).map(|key| (key, Load { runs, ..Load::default() })).collect())
+/// A report of this many engines; reports with different `in_flight` differ.
+fn report(engines: usize, in_flight: u32) -> LoadReport {
+    encode_report(
+        &(0..engines as u32).map(|key| (key, Load { in_flight, ..Load::default() })).collect(),
+    )
 }
 
 /// Number of reports sent within a second if the loads change all the time.
--- a/crates/fleet-core/src/node.rs
+++ b/crates/fleet-core/src/node.rs
@@ -30,7 +30,7 @@
 impl Node {
     /// Creates the identity of this process with a new random incarnation.
     pub fn start(settings: &crate::settings::Settings, role: Role) -> Node {
-        Self::seeded(settings, role, fresh())
+        Self::seeded(settings, role, random_id())
     }
 
     /// Creates an identity whose incarnation is derived from a seed; each start needs a different seed.
@@ -47,17 +47,17 @@
 
     /// Node number in ballots, derived from the machine's address.
     pub fn id(&self) -> u64 {
-        id_of(self.ip)
+        node_id_of(self.ip)
     }
 }
 
 /// Number in ballots of the node with this address.
-pub fn id_of(ip: std::net::Ipv4Addr) -> u64 {
+pub fn node_id_of(ip: std::net::Ipv4Addr) -> u64 {
     u64::from(u32::from(ip))
 }
 
 /// Returns a random number that is never 0 and unlikely to be used by another process. Not suitable for secrets.
-pub fn fresh() -> u64 {
+pub fn random_id() -> u64 {
     let mut hasher = std::hash::RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
     if let Ok(now) = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH) {
--- a/crates/fleet-core/src/program.rs
+++ b/crates/fleet-core/src/program.rs
@@ -28,15 +28,15 @@
 }
 
 /// Description of a program.
-pub struct About {
+pub struct ProgramInfo {
     /// Name of the program.
     pub name: &'static str,
     /// Version of its crate.
     pub version: &'static str,
     /// Short description for the help text.
-    pub what: &'static str,
+    pub description: &'static str,
     /// Returns the names of settings that this program requires and that are missing.
-    pub needs: fn(&Settings) -> Vec<&'static str>,
+    pub missing_settings: fn(&Settings) -> Vec<&'static str>,
 }
 
 /// Exit code: the program failed to start or to run.
@@ -54,7 +54,7 @@
 }
 
 /// What a running program gets from its start-up.
-pub struct Start {
+pub struct ProgramContext {
     /// The settings read at start-up.
     pub settings: Settings,
     /// The root logger.
@@ -62,15 +62,15 @@
     /// Becomes true when the program has to shut down.
     pub stop: tokio::sync::watch::Receiver<bool>,
     /// Receives changed settings while the program runs.
-    pub reread: tokio::sync::mpsc::Receiver<Settings>,
+    pub reloaded_settings: tokio::sync::mpsc::Receiver<Settings>,
     /// Listen address for metrics; `None` to serve none.
     pub metrics: Option<std::net::SocketAddr>,
 }
 
 /// Runs a program from parsing its command line to its exit code.
-pub fn start<F, R, E>(about: About, run: F) -> ExitCode
+pub fn start<F, R, E>(about: ProgramInfo, run: F) -> ExitCode
 where
-    F: FnOnce(Start) -> R,
+    F: FnOnce(ProgramContext) -> R,
     R: Future<Output = Result<(), E>>,
     E: std::fmt::Display,
 {
@@ -86,8 +86,9 @@
         Err(e) => return fail(&about, EXIT_FAILURE, format!("cannot start runtime: {e}")),
     };
     let result = runtime.block_on(async {
-        let (stop, reread) = watch_signals(path, settings.clone(), about.needs, log.clone());
-        run(Start { settings, log: log.clone(), stop, reread, metrics }).await
+        let (stop, reloaded_settings) =
+            watch_signals(path, settings.clone(), about.missing_settings, log.clone());
+        run(ProgramContext { settings, log: log.clone(), stop, reloaded_settings, metrics }).await
     });
     runtime.shutdown_background();
     match result {
@@ -99,14 +100,14 @@
     }
 }
 
-fn fail(about: &About, code: u8, message: impl std::fmt::Display) -> ExitCode {
+fn fail(about: &ProgramInfo, code: u8, message: impl std::fmt::Display) -> ExitCode {
     eprintln!("{}: {message}", about.name);
     ExitCode::from(code)
 }
 
 /// Reads the command line and the settings; an exit code is returned if the program has to exit here, with or without
 /// an error.
-fn prepare(about: &About) -> Result<(slog::Level, LoadedSettings), ExitCode> {
+fn prepare(about: &ProgramInfo) -> Result<(slog::Level, LoadedSettings), ExitCode> {
     let command_line = read_command_line(about)?;
     let Ok(level) = command_line.log_level.parse::<slog::Level>() else {
         let message = format!("--log-level: `{}` is not a log level", command_line.log_level);
@@ -122,14 +123,14 @@
     Ok((level, loaded))
 }
 
-fn read_command_line(about: &About) -> Result<CommandLine, ExitCode> {
+fn read_command_line(about: &ProgramInfo) -> Result<CommandLine, ExitCode> {
     let args: Vec<String> = std::env::args().skip(1).collect();
     let name = about.name;
     let command_line = CommandLine::parse_args_default(&args)
         .map_err(|e| fail(about, EXIT_USAGE, format!("{e}\ntry {name} --help")))?;
     if command_line.help {
         let usage = CommandLine::usage();
-        println!("{name}: {}\n\nusage: {name} [options]\n\n{usage}", about.what);
+        println!("{name}: {}\n\nusage: {name} [options]\n\n{usage}", about.description);
         return Err(ExitCode::SUCCESS);
     }
     if command_line.version {
@@ -139,9 +140,9 @@
     Ok(command_line)
 }
 
-fn load(about: &About, path: Option<String>) -> Result<LoadedSettings, SettingsError> {
+fn load(about: &ProgramInfo, path: Option<String>) -> Result<LoadedSettings, SettingsError> {
     let path = path.map_or_else(Settings::path, Ok)?;
-    let settings = load_and_check(&path, about.needs)?;
+    let settings = load_and_check(&path, about.missing_settings)?;
     Ok(LoadedSettings { path, settings, metrics_port: None })
 }
 
@@ -176,7 +177,7 @@
     log: slog::Logger,
 ) -> SignalChannels {
     let (stop, stop_receiver) = tokio::sync::watch::channel(false);
-    let (reload_sender, reread) = tokio::sync::mpsc::channel(1);
+    let (reload_sender, reloaded_settings) = tokio::sync::mpsc::channel(1);
     let mut reloader =
         SettingsReloader { path, needs, current: initial, last_error: String::new(), log };
     // Handlers are installed before anything is served: until then a signal ends the process at once.
@@ -185,7 +186,7 @@
         signal(SignalKind::hangup()),
         signal(SignalKind::interrupt()),
     ) else {
-        return (stop_receiver, reread);
+        return (stop_receiver, reloaded_settings);
     };
     tokio::spawn(async move {
         loop {
@@ -202,7 +203,7 @@
         stop.send_replace(true);
         std::future::pending::<()>().await;
     });
-    (stop_receiver, reread)
+    (stop_receiver, reloaded_settings)
 }
 
 /// Reloads the settings; an error is logged once until it changes.
--- a/crates/fleet-core/src/settings/mod.rs
+++ b/crates/fleet-core/src/settings/mod.rs
@@ -61,11 +61,11 @@
     /// All zones with their regions, sorted by name.
     pub zones: Vec<(String, String)>,
     /// Listen address for clients; required by routers.
-    pub front: Option<SocketAddr>,
+    pub front_addr: Option<SocketAddr>,
     /// Listen address for the platform's readiness probes; required by routers.
-    pub readiness: Option<SocketAddr>,
+    pub readiness_addr: Option<SocketAddr>,
     /// Listen address for engines and operators; required by controllers.
-    pub control: Option<SocketAddr>,
+    pub control_addr: Option<SocketAddr>,
     /// Ports for communication between nodes.
     pub ports: PortRange,
     /// `control` addresses of some controllers; those given at a later start may be outdated.
@@ -83,11 +83,11 @@
     /// Maximum number of open file descriptors.
     pub max_fds: usize,
     /// Number of counted machines that may be lost together without violating any guarantee (`tolerance.machines`).
-    pub losses: usize,
+    pub tolerated_machine_losses: usize,
     /// Number of zones that may be lost together (`tolerance.zones`).
-    pub lost_zones: usize,
+    pub tolerated_zone_losses: usize,
     /// Number of regions that may be lost together (`tolerance.regions`).
-    pub lost_regions: usize,
+    pub tolerated_region_losses: usize,
     /// Time bounds and ratios.
     pub bounds: Bounds,
 }
@@ -126,9 +126,9 @@
             zone: fields.required("zone", "a name")?,
             region: fields.optional("region", "a name")?.unwrap_or_default(),
             zones: fields.zones(),
-            front: fields.optional("bindAddrs.frontHttp", "an address with a port")?,
-            readiness: fields.optional("bindAddrs.readiness", "an address with a port")?,
-            control: fields.optional("bindAddrs.control", "an address with a port")?,
+            front_addr: fields.optional("bindAddrs.frontHttp", "an address with a port")?,
+            readiness_addr: fields.optional("bindAddrs.readiness", "an address with a port")?,
+            control_addr: fields.optional("bindAddrs.control", "an address with a port")?,
             ports,
             seeds,
             bootstrap: fields.optional("bootstrap", "true or false")?.unwrap_or(false),
@@ -137,9 +137,15 @@
             heartbeat: fields.duration("heartbeatMs", 1.0, 1000.0)?.max(Duration::from_millis(50)),
             cores: fields.optional("limits.cores", "a whole number")?.unwrap_or(1usize).max(1),
             max_fds: fields.optional("limits.maxFds", "a whole number")?.unwrap_or(1024),
-            losses: fields.optional("tolerance.machines", "a whole number")?.unwrap_or(1),
-            lost_zones: fields.optional("tolerance.zones", "a whole number")?.unwrap_or(0),
-            lost_regions: fields.optional("tolerance.regions", "a whole number")?.unwrap_or(0),
+            tolerated_machine_losses: fields
+                .optional("tolerance.machines", "a whole number")?
+                .unwrap_or(1),
+            tolerated_zone_losses: fields
+                .optional("tolerance.zones", "a whole number")?
+                .unwrap_or(0),
+            tolerated_region_losses: fields
+                .optional("tolerance.regions", "a whole number")?
+                .unwrap_or(0),
             bounds: Bounds::parse(&fields)?,
         })
     }
--- a/crates/fleet-core/src/target_versions.rs
+++ b/crates/fleet-core/src/target_versions.rs
@@ -28,7 +28,7 @@
 impl TargetVersions {
     /// Records that a version has been the target since this time; returns whether that changed anything. A reporting
     /// process may have learned of the version late, so the earliest reported time counts.
-    pub fn learn(&mut self, version: u64, since: Instant) -> bool {
+    pub fn record(&mut self, version: u64, since: Instant) -> bool {
         if version == 0 {
             return false;
         }
--- a/crates/fleet-core/src/target_versions_tests.rs
+++ b/crates/fleet-core/src/target_versions_tests.rs
@@ -14,7 +14,7 @@
     let start = Instant::now();
     let mut targets = TargetVersions::default();
     for (version, ms) in [(2, 0), (3, 4400), (4, 8800)] {
-        assert!(targets.learn(version, at(start, ms)));
+        assert!(targets.record(version, at(start, ms)));
     }
     assert_eq!(targets.outdated_since(1), Some(start));
     assert_eq!(targets.outdated_since(2), Some(at(start, 4400)));
@@ -27,19 +27,19 @@
 fn earliest_reported_time_counts_and_later_reports_do_not_extend_it() {
     let start = Instant::now();
     let mut targets = TargetVersions::default();
-    assert!(targets.learn(2, at(start, 5000)));
-    assert!(!targets.learn(2, at(start, 9000)));
-    assert!(targets.learn(2, at(start, 1000)));
+    assert!(targets.record(2, at(start, 5000)));
+    assert!(!targets.record(2, at(start, 9000)));
+    assert!(targets.record(2, at(start, 1000)));
     assert_eq!(targets.outdated_since(1), Some(at(start, 1000)));
-    assert!(!targets.learn(0, start), "there is no version 0");
+    assert!(!targets.record(0, start), "there is no version 0");
 }
 
 #[test]
 fn version_learned_late_gets_the_time_of_a_higher_version() {
     let start = Instant::now();
     let mut targets = TargetVersions::default();
-    targets.learn(3, at(start, 1000));
-    targets.learn(2, at(start, 7000));
+    targets.record(3, at(start, 1000));
+    targets.record(2, at(start, 7000));
     assert_eq!(targets.outdated_since(1), Some(at(start, 1000)));
 }
 
@@ -55,7 +55,7 @@
         let mut targets = TargetVersions::default();
         let mut model: BTreeMap<u64, u64> = BTreeMap::new();
         for (version, ms) in reported {
-            targets.learn(version, at(start, ms));
+            targets.record(version, at(start, ms));
             let known = model.entry(version).or_insert(ms);
             *known = ms.min(*known);
         }
--- a/crates/fleet-core/src/transport.rs
+++ b/crates/fleet-core/src/transport.rs
@@ -24,12 +24,12 @@
     /// no answer in time
     Timeout,
     /// {0}
-    Socket(std::io::ErrorKind),
+    Io(std::io::ErrorKind),
 }
 
 impl From<std::io::Error> for TransportError {
     fn from(error: std::io::Error) -> Self {
-        TransportError::Socket(error.kind())
+        TransportError::Io(error.kind())
     }
 }
 
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -30,9 +30,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, displaydoc::Display, thiserror::Error)]
 pub enum BodyError {
     /// {0}
-    Unpack(#[from] crate::compression::UnpackError),
+    Decompress(#[from] crate::compression::DecompressError),
     /// the body does not match its digest
-    OtherDigest,
+    DigestMismatch,
 }
 
 impl ConfigValue {
@@ -42,10 +42,11 @@
     ///
     /// The compressed data is corrupt, or the body does not match the digest.
     pub fn body(&self) -> Result<bytes::Bytes, BodyError> {
-        let body = crate::compression::unpack(&self.packed, crate::constants::CONFIG_MAX_BYTES)?;
+        let body =
+            crate::compression::decompress(&self.packed, crate::constants::CONFIG_MAX_BYTES)?;
         let digest = crate::digest::BodyDigest::of(&body);
         if digest.as_bytes() != &self.digest[..] {
-            return Err(BodyError::OtherDigest);
+            return Err(BodyError::DigestMismatch);
         }
         Ok(body)
     }
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -82,15 +82,15 @@
 /// message replaces the previous one of the same sender, and expires after `LOAD_REPORT_TIMEOUT`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadReport {
-    /// Hashes of the engine ids (`load::key_of`); engines whose hashes collide only appear busier than they are.
+    /// Hashes of the engine ids (`load::engine_key`); engines whose hashes collide only appear busier than they are.
     #[prost(fixed32, repeated, tag = "1")]
     pub keys: Vec<u32>,
     /// Prompt tokens of requests whose response has not begun, in units of `LOAD_TOKEN_UNIT`, rounded up.
     #[prost(uint32, repeated, tag = "2")]
-    pub unread: Vec<u32>,
+    pub pending_prefill_units: Vec<u32>,
     /// Requests in flight.
     #[prost(uint32, repeated, tag = "3")]
-    pub runs: Vec<u32>,
+    pub in_flight: Vec<u32>,
     /// Number of these that are interactive: a client waits for the response.
     #[prost(uint32, repeated, tag = "4")]
     pub interactive: Vec<u32>,
--- a/crates/fleet-core/src/wire/membership.rs
+++ b/crates/fleet-core/src/wire/membership.rs
@@ -31,7 +31,7 @@
 
     /// Its node number in ballots; `None` if its address cannot be parsed.
     pub fn id(&self) -> Option<u64> {
-        self.addr().map(crate::node::id_of)
+        self.addr().map(crate::node::node_id_of)
     }
 }
 
--- a/crates/fleet-core/tests/configuration_sizes.rs
+++ b/crates/fleet-core/tests/configuration_sizes.rs
@@ -47,7 +47,7 @@
 fn packed_delta(former: &[u8], new: &[u8]) -> usize {
     let delta = delta::between(former, new);
     assert_eq!(delta::apply(&delta, former, new.len()).unwrap(), new);
-    compression::pack(&delta.encode_to_vec()).len()
+    compression::compress(&delta.encode_to_vec()).len()
 }
 
 #[test]
@@ -57,7 +57,7 @@
     let mut deltas = Vec::new();
     for routes in ROUTES {
         let former = body(1, routes, 0);
-        let whole = compression::pack(&former).len();
+        let whole = compression::compress(&former).len();
         let one = packed_delta(&former, &body(2, routes, 1));
         let five = packed_delta(&former, &body(2, routes, 5));
         println!("| {routes} | {} | {whole} | {one} | {five} |", former.len());
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -1,7 +1,7 @@
 //! Size on the wire of each item, at three fleet sizes, on which docs/CAPACITY.md is based.
 //! `cargo test -p fleet-core --test sizes -- --nocapture` prints them.
 
-use fleet_core::load::{ByEngine, Load, pack};
+use fleet_core::load::{Load, LoadByEngine, encode_report};
 use fleet_core::wire::{
     CachedParts, Engine, FleetUpdate, Invalidation, PartLocation, RingEntry, Weights,
 };
@@ -26,10 +26,12 @@
 #[test]
 fn load_report_takes_a_few_bytes_per_engine() {
     let bytes = |n: usize| {
-        let all: ByEngine = (0..n as u32)
-            .map(|i| (i * 7919, Load { unread: 6000, runs: 6, interactive: 4 }))
+        let all: LoadByEngine = (0..n as u32)
+            .map(|i| {
+                (i * 7919, Load { pending_prefill_tokens: 6000, in_flight: 6, interactive: 4 })
+            })
             .collect();
-        pack(&all).encoded_len()
+        encode_report(&all).encoded_len()
     };
     assert!(slope("loads, an engine", bytes) <= 8.0);
 }
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -219,8 +219,8 @@
     };
     let loads = LoadReport {
         keys: vec![1, 2],
-        unread: vec![3, 4],
-        runs: vec![5, 6],
+        pending_prefill_units: vec![3, 4],
+        in_flight: vec![5, 6],
         interactive: vec![7, 8],
     };
     let response = |form| {
--- a/crates/fleetctl/src/findings.rs
+++ b/crates/fleetctl/src/findings.rs
@@ -42,7 +42,7 @@
 ///
 /// Returns what makes the configuration invalid. The remaining checks need a valid one, so this is the only finding.
 pub fn parse(body: &[u8]) -> Result<Configuration, Finding> {
-    Configuration::read(body).map_err(|e| error_finding(&e))
+    Configuration::parse(body).map_err(|e| error_finding(&e))
 }
 
 /// Checks a valid configuration against the active one and the current fleet.
@@ -112,15 +112,18 @@
 /// Whether some service with a weight above 0 on this route has a ready engine.
 fn has_ready_engine(state: &CurrentState, route: &Route) -> bool {
     route
-        .shares()
+        .weighted_services()
         .iter()
         .any(|(service, weight)| *weight > 0 && ready_engine_count(state, service) > 0)
 }
 
 fn routes_without_engines(new: &Configuration, state: &CurrentState, findings: &mut Vec<Finding>) {
     for (i, route) in new.routes.iter().enumerate() {
-        let shares = route.shares().into_iter().filter(|(_, weight)| *weight > 0);
-        for (service, _) in shares.filter(|(service, _)| ready_engine_count(state, service) == 0) {
+        let weighted_services =
+            route.weighted_services().into_iter().filter(|(_, weight)| *weight > 0);
+        for (service, _) in
+            weighted_services.filter(|(service, _)| ready_engine_count(state, service) == 0)
+        {
             let text = format!("service `{service}` has no ready engine");
             findings.push(warning("no_ready_engine", format!("routes[{i}]"), text));
         }
--- a/crates/fleetctl/src/query.rs
+++ b/crates/fleetctl/src/query.rs
@@ -143,7 +143,7 @@
     }
     let node_response = query_first(nodes, "/anisedyke/Config.Fetch", timeout).await?;
     let configuration =
-        fleet_core::configuration::Configuration::read(&node_response.response.body)
+        fleet_core::configuration::Configuration::parse(&node_response.response.body)
             .map_err(|e| QueryError::Malformed(node_response.node, e.to_string()))?;
     Ok(CurrentState { configuration: Some(configuration), fleet })
 }
--- a/crates/router/tests/whole/support.rs
+++ b/crates/router/tests/whole/support.rs
@@ -1,6 +1,6 @@
 //! Controllers and routers on loopback, and HTTP requests to them.
 
-use fleet_core::program::Start;
+use fleet_core::program::ProgramContext;
 use fleet_core::settings::Settings;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -64,19 +64,31 @@
 
     pub fn controller(&self, bootstrap: bool) -> RunningProgram {
         let (stop, stopped) = tokio::sync::watch::channel(false);
-        let (_, reread) = tokio::sync::mpsc::channel(1);
+        let (_, reloaded_settings) = tokio::sync::mpsc::channel(1);
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let settings = self.settings(bootstrap);
-        let run = control_plane::run(Start { settings, log, stop: stopped, reread, metrics: None });
+        let run = control_plane::run(ProgramContext {
+            settings,
+            log,
+            stop: stopped,
+            reloaded_settings,
+            metrics: None,
+        });
         RunningProgram { stop, task: tokio::spawn(async move { run.await.unwrap() }) }
     }
 
     pub fn router(&self) -> RunningProgram {
         let (stop, stopped) = tokio::sync::watch::channel(false);
-        let (_, reread) = tokio::sync::mpsc::channel(1);
+        let (_, reloaded_settings) = tokio::sync::mpsc::channel(1);
         let log = slog::Logger::root(slog::Discard, slog::o!());
         let settings = self.settings(false);
-        let run = data_plane::run(Start { settings, log, stop: stopped, reread, metrics: None });
+        let run = data_plane::run(ProgramContext {
+            settings,
+            log,
+            stop: stopped,
+            reloaded_settings,
+            metrics: None,
+        });
         RunningProgram { stop, task: tokio::spawn(async move { run.await.unwrap() }) }
     }
 }
--- a/crates/simulation/src/config_body.rs
+++ b/crates/simulation/src/config_body.rs
@@ -7,6 +7,6 @@
 
 /// The revision in a configuration's body; `None` if the body is invalid.
 pub fn number_of(body: &[u8]) -> Option<u64> {
-    let read = fleet_core::configuration::Configuration::read(body);
+    let read = fleet_core::configuration::Configuration::parse(body);
     read.ok().map(|configuration| configuration.revision)
 }
--- a/crates/simulation/src/link_workload.rs
+++ b/crates/simulation/src/link_workload.rs
@@ -48,7 +48,7 @@
         Arc::new(EchoServer { rng: Mutex::new(world.rng("echo", 0)), handled: Mutex::default() });
     let server_task =
         tokio::spawn(run_echo_server(world.clone(), echo_address, transport.clone(), echo.clone()));
-    let link = Link::keep_over(transport, &caller_node(&world, from), echo_address, None);
+    let link = Link::maintain_over(transport, &caller_node(&world, from), echo_address, None);
     let mut calls = Vec::new();
     while !world.is_over() {
         tokio::time::sleep(Duration::from_millis(constants::ECHO_INTERVAL_MS)).await;
--- a/crates/simulation/src/read_workload.rs
+++ b/crates/simulation/src/read_workload.rs
@@ -96,7 +96,7 @@
         let machines = world.machines();
         let machine = machines[rng.usize(0..machines.len())].clone();
         let at = std::net::SocketAddr::new(machine.ip.into(), constants::PEER_PORT);
-        let link = Link::keep_over(transport.clone(), &node, at, None);
+        let link = Link::maintain_over(transport.clone(), &node, at, None);
         let link_duration = Duration::from_millis(rng.u64(1000..constants::MAX_ROUTER_LINK_MS));
         let _ = tokio::time::timeout(link_duration, fetch_over_link(&world, &machine, &link)).await;
     }
--- a/crates/telemetry/src/exposition.rs
+++ b/crates/telemetry/src/exposition.rs
@@ -13,21 +13,21 @@
 pub type Labels<'a> = [(&'a str, String)];
 
 /// State of a process that can be exported as metrics.
-pub trait Source: Send + Sync + 'static {
+pub trait MetricsSource: Send + Sync + 'static {
     /// Writes the current value of every metric.
     ///
     /// # Errors
     ///
     /// Fails if the encoder can't write to its output.
-    fn write(&self, exposition: &mut Exposition<'_>) -> fmt::Result;
+    fn write(&self, writer: &mut MetricsWriter<'_>) -> fmt::Result;
 }
 
 /// Writer for the metrics of one scrape.
-pub struct Exposition<'a> {
+pub struct MetricsWriter<'a> {
     encoder: DescriptorEncoder<'a>,
 }
 
-impl Exposition<'_> {
+impl MetricsWriter<'_> {
     /// Writes a counter: a value that never decreases while the process runs. The encoder appends `_total` to the name.
     ///
     /// # Errors
@@ -67,7 +67,7 @@
     }
 }
 
-struct SourceCollector(Arc<dyn Source>);
+struct SourceCollector(Arc<dyn MetricsSource>);
 
 impl fmt::Debug for SourceCollector {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -77,7 +77,7 @@
 
 impl Collector for SourceCollector {
     fn encode(&self, encoder: DescriptorEncoder) -> fmt::Result {
-        self.0.write(&mut Exposition { encoder })
+        self.0.write(&mut MetricsWriter { encoder })
     }
 }
 
@@ -86,7 +86,7 @@
 /// # Errors
 ///
 /// Fails if the source can't write its metrics.
-pub fn render(source: Arc<dyn Source>) -> Result<String, fmt::Error> {
+pub fn render(source: Arc<dyn MetricsSource>) -> Result<String, fmt::Error> {
     let mut registry = Registry::with_prefix("anisedyke");
     registry.register_collector(Box::new(SourceCollector(source)));
     let mut text = String::new();
--- a/crates/telemetry/src/server.rs
+++ b/crates/telemetry/src/server.rs
@@ -1,6 +1,6 @@
 //! HTTP server for the metrics: one path, `GET` only.
 
-use crate::exposition::{Source, render};
+use crate::exposition::{MetricsSource, render};
 use bytes::Bytes;
 use fleet_core::constants;
 use fleet_core::log::Event;
@@ -18,7 +18,7 @@
 
 /// Serves the metrics until the task is aborted. If the address can't be bound, this is logged and the function
 /// returns: the process keeps running without metrics.
-pub async fn serve(address: SocketAddr, log: slog::Logger, source: Arc<dyn Source>) {
+pub async fn serve(address: SocketAddr, log: slog::Logger, source: Arc<dyn MetricsSource>) {
     let listener = match fleet_core::link::listen(address) {
         Ok(listener) => listener,
         Err(error) => {
@@ -36,7 +36,7 @@
     }
 }
 
-async fn serve_connection(stream: tokio::net::TcpStream, source: Arc<dyn Source>) {
+async fn serve_connection(stream: tokio::net::TcpStream, source: Arc<dyn MetricsSource>) {
     let service = hyper::service::service_fn(|request: http::Request<hyper::body::Incoming>| {
         let response = metrics_response(request.method(), request.uri().path(), source.clone());
         async move { Ok::<_, Infallible>(response) }
@@ -50,7 +50,11 @@
         .await;
 }
 
-fn metrics_response(method: &Method, path: &str, source: Arc<dyn Source>) -> Response<Full<Bytes>> {
+fn metrics_response(
+    method: &Method,
+    path: &str,
+    source: Arc<dyn MetricsSource>,
+) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     if path != METRICS_PATH {
         *response.status_mut() = StatusCode::NOT_FOUND;
--- a/crates/telemetry/tests/endpoint.rs
+++ b/crates/telemetry/tests/endpoint.rs
@@ -3,17 +3,17 @@
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use telemetry::{Exposition, Source};
+use telemetry::{MetricsSource, MetricsWriter};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 struct FixedSource;
 
-impl Source for FixedSource {
-    fn write(&self, exposition: &mut Exposition<'_>) -> fmt::Result {
-        exposition.counter("requests", "Requests", 7)?;
-        exposition.gauge("open", "Open connections", 2.0)?;
+impl MetricsSource for FixedSource {
+    fn write(&self, writer: &mut MetricsWriter<'_>) -> fmt::Result {
+        writer.counter("requests", "Requests", 7)?;
+        writer.gauge("open", "Open connections", 2.0)?;
         let by_model = [("model", "m\"1".to_owned()), ("version", "3".to_owned())];
-        exposition.gauges("target_age_seconds", "Age", [(&by_model[..], 1.5)])
+        writer.gauges("target_age_seconds", "Age", [(&by_model[..], 1.5)])
     }
 }
 
