--- a/crates/control-plane/src/api/fleet.rs
+++ b/crates/control-plane/src/api/fleet.rs
@@ -46,7 +46,7 @@
 
 impl EngineView {
     fn of(engine: &Engine) -> EngineView {
-        let model = |weights: &fleet_core::wire::Weights| ModelView {
+        let model = |weights: &fleet_core::wire::WeightsVersion| ModelView {
             name: weights.model.clone(),
             revision: weights.version,
         };
--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -132,7 +132,7 @@
             engines: self.engines.values().cloned().collect(),
             ring: self.ring.clone(),
             routers: self.routers,
-            nudge: false,
+            catch_up: false,
             ring_relay: self.ring_relay.clone(),
         }
     }
--- a/crates/control-plane/src/cluster_state/engine_updates.rs
+++ b/crates/control-plane/src/cluster_state/engine_updates.rs
@@ -24,7 +24,7 @@
         let mut log = self.log.lock();
         log.update_silently(|state| state.departures.apply(&mut update));
         let current = log.view().engines.get(&update.id).cloned();
-        let is_newer = current.as_ref().is_none_or(|engine| update.call > engine.call);
+        let is_newer = current.as_ref().is_none_or(|engine| update.call_seq > engine.call_seq);
         let (engine, is_changed) = match current {
             None => (update, true),
             Some(mut engine) => {
--- a/crates/control-plane/src/cluster_state_tests.rs
+++ b/crates/control-plane/src/cluster_state_tests.rs
@@ -29,16 +29,16 @@
     assert_eq!(store.read(|state| state.target_version("m")), 3);
 }
 
-fn engine(call: u64, state: EngineState) -> Engine {
-    let mut engine = Engine { id: "e1".into(), call, ..Default::default() };
+fn engine(call_seq: u64, state: EngineState) -> Engine {
+    let mut engine = Engine { id: "e1".into(), call_seq, ..Default::default() };
     engine.set_state(state);
     engine
 }
 
-fn drain_recorded_at_call(call: u64) -> DeparturesValue {
+fn drain_recorded_at_call(call_seq: u64) -> DeparturesValue {
     let state = EngineState::Draining as i32;
-    let departure = Departure { engine: "e1".into(), call, state, number: 1 };
-    DeparturesValue { recorded: 1, departures: vec![departure] }
+    let departure = Departure { engine: "e1".into(), call_seq, state, number: 1 };
+    DeparturesValue { last_number: 1, departures: vec![departure] }
 }
 
 /// Routers accept an engine's state only with a higher call number, so a correction under the same call number would
@@ -64,7 +64,7 @@
     store.merge_engine(engine(7, EngineState::Draining));
     let changed = store.change_engine("e1", |engine| engine.heartbeat_missed = true);
     assert_eq!(
-        changed.map(|engine| (engine.call, engine.state())),
+        changed.map(|engine| (engine.call_seq, engine.state())),
         Some((7, EngineState::Draining))
     );
     assert_eq!(store.change_engine("unknown", |_| ()), None);
--- a/crates/control-plane/src/config_distribution/bodies.rs
+++ b/crates/control-plane/src/config_distribution/bodies.rs
@@ -17,17 +17,17 @@
 struct RetainedDelta {
     base: BodyDigest,
     target: BodyDigest,
-    packed: bytes::Bytes,
+    compressed: bytes::Bytes,
 }
 
 impl Bodies {
     /// Stores a compressed body, unless it is stored already.
-    pub fn retain(&mut self, digest: BodyDigest, packed: bytes::Bytes) {
-        if self.packed(digest).is_some() {
+    pub fn retain(&mut self, digest: BodyDigest, compressed: bytes::Bytes) {
+        if self.compressed(digest).is_some() {
             return;
         }
-        self.bytes += packed.len();
-        self.retained.push_back((digest, packed));
+        self.bytes += compressed.len();
+        self.retained.push_back((digest, compressed));
         while self.retained.len() > constants::PREVIOUS_CONFIGS_CAPACITY
             || self.bytes > constants::PREVIOUS_CONFIGS_CAPACITY_BYTES
         {
@@ -36,12 +36,15 @@
         }
     }
 
-    fn packed(&self, digest: BodyDigest) -> Option<&bytes::Bytes> {
-        self.retained.iter().find(|(retained, _)| *retained == digest).map(|(_, packed)| packed)
+    fn compressed(&self, digest: BodyDigest) -> Option<&bytes::Bytes> {
+        self.retained
+            .iter()
+            .find(|(retained, _)| *retained == digest)
+            .map(|(_, compressed)| compressed)
     }
 
     fn body(&self, digest: BodyDigest) -> Option<bytes::Bytes> {
-        compression::decompress(self.packed(digest)?, constants::CONFIG_MAX_BYTES).ok()
+        compression::decompress(self.compressed(digest)?, constants::CONFIG_MAX_BYTES).ok()
     }
 
     /// The compressed delta from one body to another; `None` unless both are still retained. Computed once for all routers.
@@ -49,15 +52,15 @@
         let retained =
             self.deltas.iter().find(|delta| delta.base == base && delta.target == target);
         if let Some(retained) = retained {
-            return Some(retained.packed.clone());
+            return Some(retained.compressed.clone());
         }
         let delta = delta::between(&self.body(base)?, &self.body(target)?);
-        let packed = compression::compress(&delta.encode_to_vec());
-        self.deltas.push_back(RetainedDelta { base, target, packed: packed.clone() });
+        let compressed = compression::compress(&delta.encode_to_vec());
+        self.deltas.push_back(RetainedDelta { base, target, compressed: compressed.clone() });
         if self.deltas.len() > constants::DELTA_CACHE_CAPACITY {
             self.deltas.pop_front();
         }
-        Some(packed)
+        Some(compressed)
     }
 }
 
--- a/crates/control-plane/src/config_distribution/distribution_tests.rs
+++ b/crates/control-plane/src/config_distribution/distribution_tests.rs
@@ -13,7 +13,7 @@
     ConfigValue {
         version,
         isolation: 3,
-        packed: compression::compress(body.as_bytes()),
+        compressed_body: compression::compress(body.as_bytes()),
         digest: bytes::Bytes::copy_from_slice(BodyDigest::of(body.as_bytes()).as_bytes()),
         ..Default::default()
     }
@@ -32,20 +32,20 @@
     let unknown = bytes::Bytes::copy_from_slice(BodyDigest::of(b"?").as_bytes());
     for digest in [&unknown, &bytes::Bytes::new()] {
         let response = config_bodies.respond(&request(digest), &current);
-        assert_eq!(response.form, Some(ConfigForm::Full(current.packed.clone())));
+        assert_eq!(response.payload, Some(ConfigPayload::Full(current.compressed_body.clone())));
         assert_eq!(
             (response.version, response.isolation, &response.digest),
             (5, 3, &current.digest)
         );
     }
-    let Some(ConfigForm::Delta(packed)) =
-        config_bodies.respond(&request(&base.digest), &current).form
+    let Some(ConfigPayload::Delta(compressed)) =
+        config_bodies.respond(&request(&base.digest), &current).payload
     else {
         panic!("the base body is retained")
     };
-    assert!(packed.len() * 5 < current.packed.len(), "{} bytes", packed.len());
-    let unpacked = compression::decompress(&packed, 1 << 20).unwrap();
-    let delta = fleet_core::wire::ConfigDelta::decode(unpacked).unwrap();
+    assert!(compressed.len() * 5 < current.compressed_body.len(), "{} bytes", compressed.len());
+    let decompressed = compression::decompress(&compressed, 1 << 20).unwrap();
+    let delta = fleet_core::wire::ConfigDelta::decode(decompressed).unwrap();
     assert_eq!(delta::apply(&delta, base_text.as_bytes(), 1 << 20).unwrap(), current_text);
 }
 
@@ -56,14 +56,14 @@
     config_bodies.retain(&base);
     let current = value("{}", 5);
     let response = config_bodies.respond(&request(&base.digest), &current);
-    assert_eq!(response.form, Some(ConfigForm::Full(current.packed.clone())));
+    assert_eq!(response.payload, Some(ConfigPayload::Full(current.compressed_body.clone())));
 }
 
 #[test]
 fn a_router_that_has_the_current_body_is_sent_no_body() {
     let current = value(&text(5), 5);
     let response = ConfigBodies::default().respond(&request(&current.digest), &current);
-    assert_eq!((response.version, response.form), (5, None));
+    assert_eq!((response.version, response.payload), (5, None));
 }
 
 #[test]
--- a/crates/control-plane/src/config_distribution/mod.rs
+++ b/crates/control-plane/src/config_distribution/mod.rs
@@ -11,7 +11,7 @@
 use bodies::Bodies;
 use fleet_core::constants;
 use fleet_core::digest::BodyDigest;
-use fleet_core::wire::{ConfigForm, ConfigRequest, ConfigResponse, ConfigValue};
+use fleet_core::wire::{ConfigPayload, ConfigRequest, ConfigResponse, ConfigValue};
 use parking_lot::Mutex;
 use prost::Message;
 use shared_read::SharedRead;
@@ -35,14 +35,14 @@
     /// Retains a committed body, so that routers that have it can be sent deltas against it.
     pub fn retain(&self, value: &ConfigValue) {
         if let Some(digest) = BodyDigest::from_bytes(&value.digest) {
-            self.bodies.lock().retain(digest, value.packed.clone());
+            self.bodies.lock().retain(digest, value.compressed_body.clone());
         }
     }
 
     /// Builds the response to a router, given the digest of the body that it has.
     pub fn respond(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigResponse {
         self.retain(value);
-        let form = if request.digest == value.digest {
+        let payload = if request.digest == value.digest {
             None
         } else {
             Some(self.choose_form(request, value))
@@ -51,20 +51,20 @@
             version: value.version,
             isolation: value.isolation,
             digest: value.digest.clone(),
-            form,
+            payload,
         }
     }
 
     /// A delta if the base body is still retained and the delta is smaller than the full body; otherwise the full body.
-    fn choose_form(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigForm {
-        let full = ConfigForm::Full(value.packed.clone());
+    fn choose_form(&self, request: &ConfigRequest, value: &ConfigValue) -> ConfigPayload {
+        let full = ConfigPayload::Full(value.compressed_body.clone());
         let (Some(base), Some(target)) =
             (BodyDigest::from_bytes(&request.digest), BodyDigest::from_bytes(&value.digest))
         else {
             return full;
         };
         match self.bodies.lock().delta(base, target) {
-            Some(delta) if delta.len() < value.packed.len() => ConfigForm::Delta(delta),
+            Some(delta) if delta.len() < value.compressed_body.len() => ConfigPayload::Delta(delta),
             _ => full,
         }
     }
--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -134,14 +134,14 @@
         let mut reported = register.clone();
         let record = self.record_vote(reported.clone(), request.recovery_epoch);
         // The candidate already has this value or a later one.
-        if reported.accepted <= request.own_accepted {
+        if reported.accepted <= request.proposer_accepted {
             reported.value = Bytes::new();
         }
         self.grant(record, Some(reported))
     }
 
     /// Phase 2: accepts a value unless a higher epoch was promised or an equal or higher ballot was accepted. A request
-    /// with `same_as` carries no value: it refers to the one accepted here under that ballot.
+    /// with `same_value_as` carries no value: it refers to the one accepted here under that ballot.
     pub fn accept(&mut self, request: &Accept) -> Step<Vote> {
         let key = &request.key;
         let held = self.registers.get(key);
@@ -149,13 +149,13 @@
         let accepted = held.map(|register| register.accepted).unwrap_or_default();
         let is_outdated = request.ballot.epoch() < promised.epoch();
         let is_repeated = request.ballot <= accepted;
-        let lacks_value = request.same_as.is_some_and(|ballot| ballot != accepted);
+        let lacks_value = request.same_value_as.is_some_and(|ballot| ballot != accepted);
         let may_vote = self.may_vote(request.membership, request.recovery_epoch);
         let is_valid = !is_outdated && !is_repeated && !lacks_value;
         if !may_vote || !is_valid || !self.is_plausible(key, request.ballot) {
             return self.reject(key);
         }
-        let value = match request.same_as {
+        let value = match request.same_value_as {
             Some(_) => held.map(|register| register.value.clone()).unwrap_or_default(),
             None => request.value.clone(),
         };
@@ -197,12 +197,12 @@
 
     fn grant(&self, record: Record, register: Option<Register>) -> Step<Vote> {
         let recovery_epoch = self.recovery_epoch;
-        Step { record, answer: Vote { ok: true, register, membership: None, recovery_epoch } }
+        Step { record, answer: Vote { granted: true, register, membership: None, recovery_epoch } }
     }
 
     fn reject(&self, key: &str) -> Step<Vote> {
         let answer = Vote {
-            ok: false,
+            granted: false,
             register: self.registers.get(key).map(without_value),
             membership: Some(self.membership.clone()),
             recovery_epoch: self.recovery_epoch,
--- a/crates/control-plane/src/consensus/campaign.rs
+++ b/crates/control-plane/src/consensus/campaign.rs
@@ -22,7 +22,7 @@
         });
         let has_resigned = self.key_owners.has_resigned(key, promised);
         let has_no_owner = has_resigned || self.key_owners.has_owner_timed_out(key, value_bytes);
-        PreVoteResponse { ok: is_eligible && has_no_owner, promised }
+        PreVoteResponse { granted: is_eligible && has_no_owner, promised }
     }
 
     /// Acquires the ownership of a key once its owner has timed out, and completes the value that was accepted last.
@@ -96,11 +96,11 @@
     async fn owner_timed_out(self: &Arc<Self>, key: &str) -> bool {
         let membership = self.membership();
         let request = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
-        let own_answer = self.pre_vote(&request).ok;
+        let own_answer = self.pre_vote(&request).granted;
         let is_willing = |answer| {
             let Body::PreVoteResponse(answer) = answer else { return false };
             self.key_owners.observe_ballot(key, answer.promised);
-            answer.ok
+            answer.granted
         };
         let timeout = constants::PHASE_TIMEOUT;
         let body = Body::PreVoteRequest(request);
--- a/crates/control-plane/src/consensus/departure_records.rs
+++ b/crates/control-plane/src/consensus/departure_records.rs
@@ -9,11 +9,11 @@
 /// Adds the new departures of a request and removes expired records. Returns false, and changes nothing, if the request
 /// contains nothing new.
 pub fn record(value: &mut DeparturesValue, request: &RecordDepartures) -> bool {
-    let recorded_before = value.recorded;
+    let recorded_before = value.last_number;
     for departure in &request.departures {
         add(value, departure);
     }
-    if value.recorded == recorded_before {
+    if value.last_number == recorded_before {
         return false;
     }
     value.departures.retain(|existing| existing.number > request.forget_through);
@@ -30,11 +30,11 @@
             return;
         }
         let replaced = value.departures.remove(index);
-        newest.call = newest.call.max(replaced.call);
+        newest.call_seq = newest.call_seq.max(replaced.call_seq);
         newest.state = newest.state.max(replaced.state);
     }
-    value.recorded += 1;
-    newest.number = value.recorded;
+    value.last_number += 1;
+    newest.number = value.last_number;
     value.departures.push(newest);
 }
 
@@ -42,7 +42,7 @@
 /// and covers every departure.
 pub fn covers(record: &Departure, departure: &Departure) -> bool {
     record.state() == EngineState::Deregistered
-        || (record.state >= departure.state && record.call >= departure.call)
+        || (record.state >= departure.state && record.call_seq >= departure.call_seq)
 }
 
 #[cfg(test)]
--- a/crates/control-plane/src/consensus/departure_records_tests.rs
+++ b/crates/control-plane/src/consensus/departure_records_tests.rs
@@ -3,8 +3,8 @@
 use fleet_core::wire::{Departure, DeparturesValue, EngineState, RecordDepartures};
 use prost::Message;
 
-fn departure(engine: &str, call: u64, state: EngineState) -> Departure {
-    Departure { engine: engine.to_owned(), call, state: state as i32, number: 0 }
+fn departure(engine: &str, call_seq: u64, state: EngineState) -> Departure {
+    Departure { engine: engine.to_owned(), call_seq, state: state as i32, number: 0 }
 }
 
 fn request(departures: Vec<Departure>, forget_through: u64) -> RecordDepartures {
@@ -13,7 +13,9 @@
 
 fn summary(value: &DeparturesValue) -> Vec<(&str, u64, EngineState, u64)> {
     let records = value.departures.iter();
-    records.map(|entry| (entry.engine.as_str(), entry.call, entry.state(), entry.number)).collect()
+    records
+        .map(|entry| (entry.engine.as_str(), entry.call_seq, entry.state(), entry.number))
+        .collect()
 }
 
 #[test]
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -12,9 +12,11 @@
 /// Size of the value that a change carries, for its time-outs; 0 for small values.
 fn value_bytes(change: &ChangeKind) -> usize {
     match change {
-        ChangeKind::Replace(r) => r.packed.len(),
+        ChangeKind::ReplaceConfig(r) => r.compressed_body.len(),
         ChangeKind::RecordDepartures(_) => constants::DEPARTURES_VALUE_BYTES,
-        ChangeKind::Name(_) | ChangeKind::Raise(_) | ChangeKind::Confirm(_) => 0,
+        ChangeKind::SetTargetVersion(_)
+        | ChangeKind::RaiseFencingToken(_)
+        | ChangeKind::Confirm(_) => 0,
     }
 }
 
@@ -44,7 +46,7 @@
 ) -> ChangeResponse {
     let Some(kind) = &change.kind else { return state_machine::unknown_outcome() };
     let timeout = constants::change_timeout(value_bytes(kind));
-    let decision = forward_or_decide(consensus, kind, change.hops);
+    let decision = forward_or_decide(consensus, kind, change.forward_count);
     tokio::time::timeout(timeout, decision)
         .await
         .unwrap_or_else(|_| state_machine::unknown_outcome())
@@ -54,7 +56,7 @@
 async fn forward_or_decide(
     consensus: &Arc<Consensus>,
     change: &ChangeKind,
-    hops: u32,
+    forward_count: u32,
 ) -> ChangeResponse {
     let key = state_machine::key_of(change);
     let own_id = consensus.process.node.id();
@@ -62,16 +64,16 @@
     let mut forwarded_to = None;
     loop {
         let owner = believed_owner(consensus, &key).filter(|id| *id != own_id);
-        if let Some(owner) =
-            owner.filter(|id| forwarded_to != Some(*id) && hops < constants::MAX_CHANGE_FORWARDS)
-        {
+        if let Some(owner) = owner.filter(|id| {
+            forwarded_to != Some(*id) && forward_count < constants::MAX_CHANGE_FORWARDS
+        }) {
             forwarded_to = Some(owner);
-            if let Some(response) = forward_to(consensus, change, owner, hops).await {
+            if let Some(response) = forward_to(consensus, change, owner, forward_count).await {
                 return response;
             }
         }
         if !can_decide(consensus) {
-            return forward_to_any(consensus, change, forwarded_to, hops).await;
+            return forward_to_any(consensus, change, forwarded_to, forward_count).await;
         }
         // Boxed because the future is large, and the task of every message would reserve space for it.
         let proposal =
@@ -80,7 +82,7 @@
         match result {
             Ok(response) => return response,
             Err(ProposalError::NoLocalVote) => {
-                return forward_to_any(consensus, change, forwarded_to, hops).await;
+                return forward_to_any(consensus, change, forwarded_to, forward_count).await;
             }
             Err(ProposalError::Preempted(_) | ProposalError::OwnerActive) => forwarded_to = None,
             Err(ProposalError::NoQuorum) => return state_machine::unknown_outcome(),
@@ -102,9 +104,9 @@
     consensus: &Arc<Consensus>,
     change: &ChangeKind,
     forwarded_to: Option<u64>,
-    hops: u32,
+    forward_count: u32,
 ) -> ChangeResponse {
-    if hops >= constants::MAX_CHANGE_FORWARDS {
+    if forward_count >= constants::MAX_CHANGE_FORWARDS {
         return state_machine::unknown_outcome();
     }
     for member in &consensus.membership().members {
@@ -112,7 +114,7 @@
         if id == consensus.process.node.id() || forwarded_to == Some(id) {
             continue;
         }
-        if let Some(response) = forward_to(consensus, change, id, hops).await {
+        if let Some(response) = forward_to(consensus, change, id, forward_count).await {
             return response;
         }
     }
@@ -124,11 +126,14 @@
     consensus: &Arc<Consensus>,
     change: &ChangeKind,
     to: u64,
-    hops: u32,
+    forward_count: u32,
 ) -> Option<ChangeResponse> {
     let links = consensus.links_to_voters();
     let MemberLink { link, .. } = links.into_iter().find(|link| link.member_id == to)?;
-    let body = Body::ChangeRequest(ChangeRequest { kind: Some(change.clone()), hops: hops + 1 });
+    let body = Body::ChangeRequest(ChangeRequest {
+        kind: Some(change.clone()),
+        forward_count: forward_count + 1,
+    });
     match link.call(body, constants::owner_timeout(value_bytes(change))).await {
         Ok(Body::ChangeResponse(response)) if response.outcome() != Outcome::Unknown => {
             Some(response)
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -80,7 +80,7 @@
     phase: Phase,
     round_number: u64,
     /// Accepted ballot of the local acceptor: other voters omit values that are not newer.
-    own_accepted: Ballot,
+    proposer_accepted: Ballot,
 }
 
 impl Proposer {
@@ -102,7 +102,7 @@
             accepted_ballots: std::collections::BTreeMap::new(),
             phase: Phase::Preparing(Round::new(scope.voters)),
             round_number: 1,
-            own_accepted: Ballot::default(),
+            proposer_accepted: Ballot::default(),
         };
         let request = proposer.prepare_request();
         (proposer, Action::SendToSelf(Request::Prepare(request)))
@@ -114,7 +114,7 @@
             membership: self.scope.membership_epoch,
             ballot: self.ballot,
             recovery_epoch: self.scope.recovery_epoch,
-            own_accepted: self.own_accepted,
+            proposer_accepted: self.proposer_accepted,
         }
     }
 
@@ -177,15 +177,15 @@
         Action::SendToSelf(Request::Accept(self.accept_request(None)))
     }
 
-    fn accept_request(&self, same_as: Option<Ballot>) -> Accept {
-        let value = if same_as.is_some() { bytes::Bytes::new() } else { self.value.clone() };
+    fn accept_request(&self, same_value_as: Option<Ballot>) -> Accept {
+        let value = if same_value_as.is_some() { bytes::Bytes::new() } else { self.value.clone() };
         Accept {
             key: self.key.clone(),
             membership: self.scope.membership_epoch,
             ballot: self.ballot,
             value,
             recovery_epoch: self.scope.recovery_epoch,
-            same_as,
+            same_value_as,
         }
     }
 
@@ -194,9 +194,9 @@
         if let Phase::Preparing(_) = self.phase {
             return Request::Prepare(self.prepare_request());
         }
-        let same_as =
+        let same_value_as =
             self.source_ballot.filter(|ballot| self.accepted_ballots.get(&voter) == Some(ballot));
-        Request::Accept(self.accept_request(same_as))
+        Request::Accept(self.accept_request(same_value_as))
     }
 
     /// Counts a vote of round `round_number`; `None` stands for a voter that did not answer.
@@ -208,13 +208,13 @@
             return Action::Wait;
         };
         let status = round.vote(from, vote);
-        if from == self.node_id && !vote.is_some_and(|v| v.ok) {
+        if from == self.node_id && !vote.is_some_and(|v| v.granted) {
             return self.fail(ProposalError::NoLocalVote);
         }
         if let (true, Some(register)) =
             (from == self.node_id, vote.and_then(|v| v.register.as_ref()))
         {
-            self.own_accepted = register.accepted;
+            self.proposer_accepted = register.accepted;
         }
         match status {
             RoundStatus::Pending if from == self.node_id => Action::Broadcast,
--- a/crates/control-plane/src/consensus/proposer_tests.rs
+++ b/crates/control-plane/src/consensus/proposer_tests.rs
@@ -17,12 +17,12 @@
         accepted,
         value: bytes::Bytes::from_static(value),
     };
-    Vote { ok: true, register: Some(register), membership: None, recovery_epoch: 0 }
+    Vote { granted: true, register: Some(register), membership: None, recovery_epoch: 0 }
 }
 
 fn refuse(promised: Ballot) -> Vote {
     let register = Register { key: KEY.into(), promised, ..Default::default() };
-    Vote { ok: false, register: Some(register), membership: None, recovery_epoch: 0 }
+    Vote { granted: false, register: Some(register), membership: None, recovery_epoch: 0 }
 }
 
 fn ballot(n: u64, node: u64, seq: u64) -> Ballot {
@@ -59,7 +59,7 @@
         panic!("no accept request");
     };
     assert_eq!(
-        (accept.value.as_ref(), accept.ballot, accept.same_as),
+        (accept.value.as_ref(), accept.ballot, accept.same_value_as),
         (&b"new"[..], ballot(5, 1, 2), None)
     );
 }
@@ -69,10 +69,10 @@
     let mut proposer = owner();
     proposer.confirm();
     let Request::Accept(to_holder) = proposer.request_for(2) else { panic!("no accept request") };
-    assert_eq!(to_holder.same_as, Some(ballot(5, 1, 1)));
+    assert_eq!(to_holder.same_value_as, Some(ballot(5, 1, 1)));
     assert!(to_holder.value.is_empty());
     let Request::Accept(to_other) = proposer.request_for(3) else { panic!("no accept request") };
-    assert_eq!((to_other.same_as, to_other.value.as_ref()), (None, &b"old"[..]));
+    assert_eq!((to_other.same_value_as, to_other.value.as_ref()), (None, &b"old"[..]));
 }
 
 #[test]
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -79,7 +79,7 @@
             backoff_ms *= 2;
         }
         let confirmed = forward::submit(self, ChangeKind::Confirm(key.to_owned())).await;
-        if confirmed.outcome() != Outcome::Done {
+        if confirmed.outcome() != Outcome::Committed {
             return None;
         }
         self.read_once(key).await
--- a/crates/control-plane/src/consensus/round.rs
+++ b/crates/control-plane/src/consensus/round.rs
@@ -46,7 +46,7 @@
     pub fn vote(&mut self, from: u64, vote: Option<&Vote>) -> RoundStatus {
         self.recovery_epoch = self.recovery_epoch.max(vote.map_or(0, |v| v.recovery_epoch));
         match vote {
-            Some(v) if v.ok => self.count_grant(from, v),
+            Some(v) if v.granted => self.count_grant(from, v),
             _ => self.count_refusal(from, vote),
         }
         self.status()
--- a/crates/control-plane/src/consensus/schedules_tests.rs
+++ b/crates/control-plane/src/consensus/schedules_tests.rs
@@ -425,9 +425,9 @@
         membership: 1,
         ballot,
         recovery_epoch: 4,
-        own_accepted: Ballot::default(),
+        proposer_accepted: Ballot::default(),
     };
-    assert!(!acceptor.prepare(&request).answer.ok);
+    assert!(!acceptor.prepare(&request).answer.granted);
     let report = |n| BallotReport {
         votes: true,
         registers: vec![Register {
@@ -459,14 +459,14 @@
                 ..request.clone()
             })
             .answer
-            .ok
+            .granted
     );
     let request_at = |n| Prepare { ballot: Ballot { n, node: 3, seq: 0 }, ..request.clone() };
     assert!(
-        !acceptor.prepare(&request_at(4)).answer.ok,
+        !acceptor.prepare(&request_at(4)).answer.granted,
         "the promise recovered from a report holds"
     );
-    assert!(acceptor.prepare(&request_at(6)).answer.ok);
+    assert!(acceptor.prepare(&request_at(6)).answer.granted);
 }
 
 #[test]
@@ -477,15 +477,15 @@
         membership,
         ballot: Ballot { n, node: 2, seq: 0 },
         recovery_epoch: 0,
-        own_accepted: Ballot::default(),
+        proposer_accepted: Ballot::default(),
     };
-    assert!(!node.acceptor.prepare(&request(2, 1)).answer.ok);
-    assert!(node.acceptor.prepare(&request(1, 1)).answer.ok);
+    assert!(!node.acceptor.prepare(&request(2, 1)).answer.granted);
+    assert!(node.acceptor.prepare(&request(1, 1)).answer.granted);
     let mut next = membership(3);
     next.epoch = 2;
     node.acceptor.adopt(&next).unwrap();
     let rejection = node.acceptor.prepare(&request(1, 2)).answer;
-    assert!(!rejection.ok);
+    assert!(!rejection.granted);
     assert_eq!(rejection.membership.unwrap().epoch, 2);
     assert!(node.acceptor.adopt(&membership(3)).is_none());
 }
@@ -499,20 +499,20 @@
         membership: 1,
         ballot: Ballot { n, node: 2, seq: 0 },
         recovery_epoch: 0,
-        own_accepted: Ballot::default(),
+        proposer_accepted: Ballot::default(),
     };
     for implausible in [u64::MAX, fleet_core::constants::MAX_EPOCH_ADVANCE + 1] {
-        assert!(!node.acceptor.prepare(&request(implausible)).answer.ok);
+        assert!(!node.acceptor.prepare(&request(implausible)).answer.granted);
         let accept = Accept {
             key: KEY.into(),
             membership: 1,
             ballot: Ballot { n: implausible, node: 2, seq: 1 },
             value: encode_changes(&[7]),
             recovery_epoch: 0,
-            same_as: None,
+            same_value_as: None,
         };
-        assert!(!node.acceptor.accept(&accept).answer.ok);
+        assert!(!node.acceptor.accept(&accept).answer.granted);
     }
     assert!(node.acceptor.register(KEY).is_none());
-    assert!(node.acceptor.prepare(&request(1)).answer.ok);
+    assert!(node.acceptor.prepare(&request(1)).answer.granted);
 }
--- a/crates/control-plane/src/consensus/state_machine.rs
+++ b/crates/control-plane/src/consensus/state_machine.rs
@@ -38,9 +38,9 @@
 /// The key that a change applies to.
 pub fn key_of(change: &ChangeKind) -> String {
     match change {
-        ChangeKind::Replace(_) => CONFIG.to_owned(),
-        ChangeKind::Name(request) => weights_key(&request.model),
-        ChangeKind::Raise(request) => lease_key(&request.lease_name),
+        ChangeKind::ReplaceConfig(_) => CONFIG.to_owned(),
+        ChangeKind::SetTargetVersion(request) => weights_key(&request.model),
+        ChangeKind::RaiseFencingToken(request) => lease_key(&request.lease_name),
         ChangeKind::Confirm(key) => key.clone(),
         ChangeKind::RecordDepartures(_) => DEPARTURES.to_owned(),
     }
@@ -67,17 +67,20 @@
 /// Decides on a change from the committed value of its key alone; `current` is empty if there is none.
 pub fn decide(change: &ChangeKind, current: &[u8]) -> Decision {
     match change {
-        ChangeKind::Replace(request) => replace_config(request, current),
-        ChangeKind::Name(request) => {
+        ChangeKind::ReplaceConfig(request) => replace_config(request, current),
+        ChangeKind::SetTargetVersion(request) => {
             let current = WeightsValue::decode(current).unwrap_or_default();
             if request.version <= current.version {
-                return Decision::Answer(answer(Outcome::Done, current.version));
+                return Decision::Answer(answer(Outcome::Committed, current.version));
             }
             let next = WeightsValue { version: request.version };
-            Decision::Write(next.encode_to_vec().into(), answer(Outcome::Done, request.version))
+            Decision::Write(
+                next.encode_to_vec().into(),
+                answer(Outcome::Committed, request.version),
+            )
         }
-        ChangeKind::Raise(request) => raise_fencing_token(request, current),
-        ChangeKind::Confirm(_) => Decision::Answer(answer(Outcome::Done, 0)),
+        ChangeKind::RaiseFencingToken(request) => raise_fencing_token(request, current),
+        ChangeKind::Confirm(_) => Decision::Answer(answer(Outcome::Committed, 0)),
         ChangeKind::RecordDepartures(request) => record_departures(request, current),
     }
 }
@@ -85,10 +88,10 @@
 fn record_departures(request: &RecordDepartures, current: &[u8]) -> Decision {
     let mut value = DeparturesValue::decode(current).unwrap_or_default();
     if departure_records::record(&mut value, request) {
-        let recorded = answer(Outcome::Done, value.recorded);
+        let recorded = answer(Outcome::Committed, value.last_number);
         return Decision::Write(value.encode_to_vec().into(), recorded);
     }
-    Decision::Answer(answer(Outcome::Done, value.recorded))
+    Decision::Answer(answer(Outcome::Committed, value.last_number))
 }
 
 /// Raises the fencing token of a lease; a repeated raise gets the same token again. The answer names the node that may
@@ -96,24 +99,28 @@
 /// permit its node to act.
 fn raise_fencing_token(request: &RaiseFencingToken, current: &[u8]) -> Decision {
     let current = LeaseValue::decode(current).unwrap_or_default();
-    let done = |number, acting: &str| ChangeResponse {
-        holder: acting.to_owned(),
-        ..answer(Outcome::Done, number)
+    let done = |number, acting_node: &str| ChangeResponse {
+        holder: acting_node.to_owned(),
+        ..answer(Outcome::Committed, number)
     };
     let is_repeated = current.raise == Some(request.id);
-    if request.acts && !is_repeated {
+    if request.records_takeover && !is_repeated {
         return Decision::Answer(answer(Outcome::Stale, current.fencing_token));
     }
-    if is_repeated && (!request.acts || current.acting == request.holder) {
-        return Decision::Answer(done(current.fencing_token, &current.acting));
+    if is_repeated && (!request.records_takeover || current.acting_node == request.holder) {
+        return Decision::Answer(done(current.fencing_token, &current.acting_node));
     }
     let is_first = current.fencing_token == 0;
-    let acting = if request.acts || is_first { request.holder.clone() } else { current.acting };
-    let response = done(current.fencing_token + u64::from(!is_repeated), &acting);
+    let acting_node = if request.records_takeover || is_first {
+        request.holder.clone()
+    } else {
+        current.acting_node
+    };
+    let response = done(current.fencing_token + u64::from(!is_repeated), &acting_node);
     let next = LeaseValue {
         fencing_token: response.number,
         holder: request.holder.clone(),
-        acting,
+        acting_node,
         raise: Some(request.id),
     };
     Decision::Write(next.encode_to_vec().into(), response)
@@ -126,22 +133,22 @@
 /// may still be committed, and then a late copy of this request can succeed.
 fn replace_config(request: &ReplaceConfig, current: &[u8]) -> Decision {
     let current = ConfigValue::decode(current).unwrap_or_default();
-    let Ok(body) = decompress(&request.packed, constants::CONFIG_MAX_BYTES) else {
+    let Ok(body) = decompress(&request.compressed_body, constants::CONFIG_MAX_BYTES) else {
         return Decision::Answer(answer(Outcome::Invalid, current.version));
     };
     let proposed = CommittedConfig { version: request.version, digest: BodyDigest::of(&body) };
     let mut history = CommittedHistory::decode(&current.history, current.version);
     let lookup = history.find(&proposed);
     if lookup == Lookup::Committed {
-        return Decision::Answer(answer(Outcome::Done, request.version));
+        return Decision::Answer(answer(Outcome::Committed, request.version));
     }
-    if request.version <= request.base {
-        return Decision::Answer(answer(Outcome::Invalid, request.base));
+    if request.version <= request.base_version {
+        return Decision::Answer(answer(Outcome::Invalid, request.base_version));
     }
-    if lookup == Lookup::BeforeHistory || request.base > current.version {
-        return Decision::Answer(answer(Outcome::Unproven, current.version));
+    if lookup == Lookup::BeforeHistory || request.base_version > current.version {
+        return Decision::Answer(answer(Outcome::Undetermined, current.version));
     }
-    if request.base < current.version {
+    if request.base_version < current.version {
         return Decision::Answer(answer(Outcome::Stale, current.version));
     }
     let Ok(configuration) = Configuration::parse(&body) else {
@@ -149,7 +156,7 @@
     };
     history.push(proposed);
     let next = next_config_value(request, &proposed, &configuration, &current, &history);
-    Decision::Write(next.encode_to_vec().into(), answer(Outcome::Done, request.version))
+    Decision::Write(next.encode_to_vec().into(), answer(Outcome::Committed, request.version))
 }
 
 /// The value that follows `current`. The generation of the shared isolation rises if a tenant becomes isolated.
@@ -168,7 +175,7 @@
         version: request.version,
         isolation: current.isolation + u64::from(isolation_rises),
         history: history.encode(),
-        packed: request.packed.clone(),
+        compressed_body: request.compressed_body.clone(),
         digest: bytes::Bytes::copy_from_slice(committed.digest.as_bytes()),
         isolated,
     }
--- a/crates/control-plane/src/consensus/state_machine_tests.rs
+++ b/crates/control-plane/src/consensus/state_machine_tests.rs
@@ -12,9 +12,9 @@
         .into()
 }
 
-fn replace(base: u64, version: u64, isolated: &[&str]) -> ChangeKind {
-    let packed = fleet_core::compression::compress(&body(version, isolated));
-    ChangeKind::Replace(ReplaceConfig { base, version, packed })
+fn replace(base_version: u64, version: u64, isolated: &[&str]) -> ChangeKind {
+    let compressed = fleet_core::compression::compress(&body(version, isolated));
+    ChangeKind::ReplaceConfig(ReplaceConfig { base_version, version, compressed_body: compressed })
 }
 
 /// Decides on a change and stores the new value, if there is one.
@@ -34,17 +34,17 @@
     let mut current = bytes::Bytes::new();
     assert_eq!(
         apply(&mut current, &replace(1, 3, &[])),
-        (Outcome::Unproven, 0),
+        (Outcome::Undetermined, 0),
         "its base may still be committed"
     );
-    assert_eq!(apply(&mut current, &replace(0, 3, &[])), (Outcome::Done, 3));
-    assert_eq!(apply(&mut current, &replace(0, 3, &[])), (Outcome::Done, 3), "resent");
+    assert_eq!(apply(&mut current, &replace(0, 3, &[])), (Outcome::Committed, 3));
+    assert_eq!(apply(&mut current, &replace(0, 3, &[])), (Outcome::Committed, 3), "resent");
     assert_eq!(apply(&mut current, &replace(0, 3, &["a"])), (Outcome::Stale, 3), "different body");
     assert_eq!(apply(&mut current, &replace(3, 3, &["a"])), (Outcome::Invalid, 3));
-    assert_eq!(apply(&mut current, &replace(3, 7, &["a"])), (Outcome::Done, 7));
+    assert_eq!(apply(&mut current, &replace(3, 7, &["a"])), (Outcome::Committed, 7));
     assert_eq!(
         apply(&mut current, &replace(0, 3, &[])),
-        (Outcome::Done, 3),
+        (Outcome::Committed, 3),
         "resent after a later change"
     );
     let current = ConfigValue::decode(current).unwrap();
@@ -57,9 +57,10 @@
     let mut current = bytes::Bytes::new();
     apply(&mut current, &replace(0, 1, &[]));
     let value = ConfigValue::decode(current).unwrap();
-    let swapped = ConfigValue { packed: fleet_core::compression::compress(b"{}"), ..value.clone() };
+    let swapped =
+        ConfigValue { compressed_body: fleet_core::compression::compress(b"{}"), ..value.clone() };
     assert_eq!(swapped.body(), Err(fleet_core::wire::BodyError::DigestMismatch));
-    let empty = ConfigValue { packed: bytes::Bytes::new(), ..value };
+    let empty = ConfigValue { compressed_body: bytes::Bytes::new(), ..value };
     assert!(empty.body().is_err());
 }
 
@@ -80,15 +81,20 @@
     assert_eq!(isolation(&current), 3);
 }
 
-fn raise(holder: &str, attempt: u64, acts: bool) -> ChangeKind {
+fn raise(holder: &str, attempt: u64, records_takeover: bool) -> ChangeKind {
     let id = fleet_core::wire::RaiseId { incarnation: u64::from(holder.as_bytes()[0]), attempt };
-    ChangeKind::Raise(RaiseFencingToken { lease_name: "d".into(), holder: holder.into(), id, acts })
+    ChangeKind::RaiseFencingToken(RaiseFencingToken {
+        lease_name: "d".into(),
+        holder: holder.into(),
+        id,
+        records_takeover,
+    })
 }
 
 #[test]
 fn fencing_token_rises_and_names_the_previous_holder() {
     let mut current = bytes::Bytes::new();
-    assert_eq!(apply(&mut current, &raise("x", 1, false)), (Outcome::Done, 1));
+    assert_eq!(apply(&mut current, &raise("x", 1, false)), (Outcome::Committed, 1));
     let Decision::Write(_, response) = decide(&raise("y", 1, false), &current) else {
         panic!("expected a new value")
     };
@@ -120,8 +126,8 @@
     apply(&mut current, &raise("x", 1, false));
     apply(&mut current, &raise("y", 1, false));
     assert_eq!(apply(&mut current, &raise("x", 1, true)), (Outcome::Stale, 2));
-    assert_eq!(apply(&mut current, &raise("y", 1, true)), (Outcome::Done, 2));
-    assert_eq!(apply(&mut current, &raise("y", 1, true)), (Outcome::Done, 2), "repeated");
+    assert_eq!(apply(&mut current, &raise("y", 1, true)), (Outcome::Committed, 2));
+    assert_eq!(apply(&mut current, &raise("y", 1, true)), (Outcome::Committed, 2), "repeated");
     let Decision::Write(_, response) = decide(&raise("x", 2, false), &current) else {
         panic!("expected a new value")
     };
@@ -132,10 +138,13 @@
 fn target_version_of_weights_never_decreases() {
     let mut current = bytes::Bytes::new();
     let set_version = |version| {
-        ChangeKind::Name(fleet_core::wire::SetTargetVersion { model: "m".into(), version })
+        ChangeKind::SetTargetVersion(fleet_core::wire::SetTargetVersion {
+            model: "m".into(),
+            version,
+        })
     };
-    assert_eq!(apply(&mut current, &set_version(3)), (Outcome::Done, 3));
-    assert_eq!(apply(&mut current, &set_version(2)), (Outcome::Done, 3));
+    assert_eq!(apply(&mut current, &set_version(3)), (Outcome::Committed, 3));
+    assert_eq!(apply(&mut current, &set_version(2)), (Outcome::Committed, 3));
     assert_eq!(WeightsValue::decode(current).unwrap().version, 3);
 }
 
@@ -146,17 +155,17 @@
     commit_through(&mut current, retained + 1);
     assert_eq!(
         apply(&mut current, &replace(0, 1, &[])).0,
-        Outcome::Unproven,
+        Outcome::Undetermined,
         "committed, but no longer covered"
     );
     assert_eq!(
         apply(&mut current, &replace(0, 1, &["a"])).0,
-        Outcome::Unproven,
+        Outcome::Undetermined,
         "not committed, and no longer covered"
     );
     assert_eq!(
         apply(&mut current, &replace(1, 2, &[])),
-        (Outcome::Done, 2),
+        (Outcome::Committed, 2),
         "oldest version covered"
     );
     assert_eq!(
@@ -189,22 +198,22 @@
     }
 
     /// The expected outcome, given that the history covers the whole chain.
-    fn expected(&mut self, base: u64, version: u64, isolated: bool) -> Outcome {
+    fn expected(&mut self, base_version: u64, version: u64, isolated: bool) -> Outcome {
         let configuration = (version, isolated);
         if self.chain.contains(&configuration) {
-            return Outcome::Done;
+            return Outcome::Committed;
         }
-        if version <= base {
+        if version <= base_version {
             return Outcome::Invalid;
         }
-        if base > self.current() {
-            return Outcome::Unproven;
+        if base_version > self.current() {
+            return Outcome::Undetermined;
         }
-        if base < self.current() {
+        if base_version < self.current() {
             return Outcome::Stale;
         }
         self.chain.push(configuration);
-        Outcome::Done
+        Outcome::Committed
     }
 }
 
@@ -227,23 +236,23 @@
         let mut model = Model::default();
         let mut sent = Vec::new();
         for request in requests {
-            let base = match request.base_from_end {
+            let base_version = match request.base_from_end {
                 0 => model.current() + 1,
                 position => model.chain.iter().rev().nth(position - 1).map_or(0, |(version, _)| *version),
             };
-            let (version, isolated) = (base + request.increment, request.isolated);
+            let (version, isolated) = (base_version + request.increment, request.isolated);
             let names: &[&str] = if isolated { &["a"] } else { &[] };
-            let change = replace(base, version, names);
+            let change = replace(base_version, version, names);
             let outcome = apply(&mut current, &change).0;
-            proptest::prop_assert_eq!(outcome, model.expected(base, version, isolated));
-            if outcome != Outcome::Unproven {
+            proptest::prop_assert_eq!(outcome, model.expected(base_version, version, isolated));
+            if outcome != Outcome::Undetermined {
                 sent.push((change, (version, isolated), outcome));
             }
         }
         for (change, configuration, first_outcome) in sent {
             let resent_outcome = apply(&mut current, &change).0;
-            if first_outcome == Outcome::Done || model.chain.contains(&configuration) {
-                proptest::prop_assert_eq!(resent_outcome, Outcome::Done);
+            if first_outcome == Outcome::Committed || model.chain.contains(&configuration) {
+                proptest::prop_assert_eq!(resent_outcome, Outcome::Committed);
             } else {
                 proptest::prop_assert_eq!(resent_outcome, first_outcome);
             }
@@ -254,7 +263,10 @@
 /// Commits the versions 1, 2, … `last`, each based on the previous one.
 fn commit_through(current: &mut bytes::Bytes, last: u64) {
     for version in 1..=last {
-        assert_eq!(apply(current, &replace(version - 1, version, &[])), (Outcome::Done, version));
+        assert_eq!(
+            apply(current, &replace(version - 1, version, &[])),
+            (Outcome::Committed, version)
+        );
     }
 }
 
@@ -265,7 +277,7 @@
         commit_through(&mut current, 1 + others);
         assert_eq!(
             apply(&mut current, &replace(0, 1, &[])),
-            (Outcome::Done, 1),
+            (Outcome::Committed, 1),
             "after {others} other changes"
         );
     }
--- a/crates/control-plane/src/engines/departure_recorder.rs
+++ b/crates/control-plane/src/engines/departure_recorder.rs
@@ -36,7 +36,7 @@
         }
         let departure = Departure {
             engine: engine.id.clone(),
-            call: engine.call,
+            call_seq: engine.call_seq,
             state: engine.state,
             number: 0,
         };
@@ -56,7 +56,7 @@
         let forget_through = self.cluster_state.with_departures(Departures::forget_through);
         let request = RecordDepartures { departures: departures.clone(), forget_through };
         let change = ChangeKind::RecordDepartures(request);
-        if forward::submit(&self.consensus, change).await.outcome() != Outcome::Done {
+        if forward::submit(&self.consensus, change).await.outcome() != Outcome::Committed {
             return false;
         }
         self.cluster_state.with_departures(|known| {
--- a/crates/control-plane/src/engines/departures.rs
+++ b/crates/control-plane/src/engines/departures.rs
@@ -22,7 +22,7 @@
 pub fn is_resumed(engine: &Engine, departure: &Departure) -> bool {
     departure.state() == EngineState::Draining
         && engine.state() == EngineState::Ready
-        && engine.call > departure.call
+        && engine.call_seq > departure.call_seq
 }
 
 /// Departures of engines that are known to be recorded by a majority.
@@ -43,9 +43,11 @@
         self.by_engine =
             kept.map(|departure| (departure.engine.clone(), departure.clone())).collect();
         let known = self.learned.back().map_or(self.expired_through, |newest| newest.number);
-        if value.recorded > known && self.learned.len() < constants::DEPARTURES_CAPACITY {
-            self.learned
-                .push_back(LearnedThrough { number: value.recorded, learned_at: Instant::now() });
+        if value.last_number > known && self.learned.len() < constants::DEPARTURES_CAPACITY {
+            self.learned.push_back(LearnedThrough {
+                number: value.last_number,
+                learned_at: Instant::now(),
+            });
         }
     }
 
@@ -71,9 +73,9 @@
     pub fn apply(&mut self, update: &mut Engine) {
         let Some(record) = self.by_engine.get(&update.id) else { return };
         let is_final = record.state() == EngineState::Deregistered;
-        if is_final || update.call <= record.call {
+        if is_final || update.call_seq <= record.call_seq {
             update.state = update.state.max(record.state);
-            update.call = update.call.max(record.call);
+            update.call_seq = update.call_seq.max(record.call_seq);
         } else if update.state() == EngineState::Ready {
             self.by_engine.remove(&update.id);
         }
--- a/crates/control-plane/src/engines/departures_tests.rs
+++ b/crates/control-plane/src/engines/departures_tests.rs
@@ -3,28 +3,28 @@
 use fleet_core::wire::{Departure, DeparturesValue, Engine, EngineState};
 use std::time::Duration;
 
-fn departure(call: u64, state: EngineState) -> Departure {
-    Departure { engine: "e1".to_owned(), call, state: state as i32, number: 1 }
+fn departure(call_seq: u64, state: EngineState) -> Departure {
+    Departure { engine: "e1".to_owned(), call_seq, state: state as i32, number: 1 }
 }
 
-fn engine(call: u64, state: EngineState) -> Engine {
-    let mut engine = Engine { id: "e1".to_owned(), call, ..Default::default() };
+fn engine(call_seq: u64, state: EngineState) -> Engine {
+    let mut engine = Engine { id: "e1".to_owned(), call_seq, ..Default::default() };
     engine.set_state(state);
     engine
 }
 
-fn learned(call: u64, state: EngineState) -> Departures {
+fn learned(call_seq: u64, state: EngineState) -> Departures {
     let mut departures = Departures::default();
-    let value = DeparturesValue { recorded: 1, departures: vec![departure(call, state)] };
+    let value = DeparturesValue { last_number: 1, departures: vec![departure(call_seq, state)] };
     departures.learn(&value, |_| false);
     departures
 }
 
 /// Call number and state of an engine's update after the recorded departure was applied to it.
-fn applied(departures: &mut Departures, call: u64, state: EngineState) -> (u64, EngineState) {
-    let mut update = engine(call, state);
+fn applied(departures: &mut Departures, call_seq: u64, state: EngineState) -> (u64, EngineState) {
+    let mut update = engine(call_seq, state);
     departures.apply(&mut update);
-    (update.call, update.state())
+    (update.call_seq, update.state())
 }
 
 #[test]
@@ -41,8 +41,12 @@
 fn recorded_deregistration_is_final() {
     use EngineState::{Deregistered, Draining, Ready};
     let mut departures = learned(1, Deregistered);
-    for (call, state) in [(0, Ready), (5, Ready), (6, Draining)] {
-        assert_eq!(applied(&mut departures, call, state).1, Deregistered, "{call} {state:?}");
+    for (call_seq, state) in [(0, Ready), (5, Ready), (6, Draining)] {
+        assert_eq!(
+            applied(&mut departures, call_seq, state).1,
+            Deregistered,
+            "{call_seq} {state:?}"
+        );
     }
     assert!(departures.is_leaving(&engine(9, Deregistered)));
 }
@@ -59,7 +63,7 @@
 fn drain_that_the_engine_has_ended_is_not_learned_again() {
     let mut departures = Departures::default();
     let record = departure(7, EngineState::Draining);
-    let value = DeparturesValue { recorded: 1, departures: vec![record] };
+    let value = DeparturesValue { last_number: 1, departures: vec![record] };
     departures
         .learn(&value, |departure| super::is_resumed(&engine(8, EngineState::Ready), departure));
     assert!(!departures.is_leaving(&engine(9, EngineState::Draining)));
@@ -68,7 +72,7 @@
 #[tokio::test(start_paused = true)]
 async fn records_expire_once_they_have_been_known_for_the_retention_period() {
     let mut departures = Departures::default();
-    let value = |recorded| DeparturesValue { recorded, departures: Vec::new() };
+    let value = |last_number| DeparturesValue { last_number, departures: Vec::new() };
     departures.learn(&value(4), |_| false);
     tokio::time::advance(DEPARTURE_RETENTION).await;
     departures.learn(&value(4), |_| false);
--- a/crates/control-plane/src/index_owner/feed.rs
+++ b/crates/control-plane/src/index_owner/feed.rs
@@ -28,12 +28,12 @@
     fn entries(&self, request: &RingRequest) -> Option<RingResponse> {
         let is_same_ring =
             request.fencing_token == self.fencing_token && request.incarnation == self.incarnation;
-        if !is_same_ring || request.refill {
+        if !is_same_ring || request.request_snapshot {
             return None;
         }
         let cursor =
             self.ring.cursor(request.reader).filter(|cursor| cursor.next() == request.cursor)?;
-        let snapshot = self.index.lock().findings_since(request.found);
+        let snapshot = self.index.lock().findings_since(request.finding_count);
         let entries = match self.ring.read(&cursor, constants::RING_LAG_THRESHOLD as usize) {
             ReadResult::UpToDate => Vec::new(),
             ReadResult::Entries(entries) => entries,
--- a/crates/control-plane/src/index_owner/index_tests.rs
+++ b/crates/control-plane/src/index_owner/index_tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `index`.
 
 use super::*;
-use fleet_core::wire::Weights;
+use fleet_core::wire::WeightsVersion;
 use invalidation::pending_change::PendingChange;
 use invalidation::ring::Ring;
 
@@ -27,8 +27,8 @@
     assert_eq!(invalidations, vec![Invalidation::Part(part)]);
     let ring = Ring::new(8, 4, 4);
     let mut change = PendingChange::begin(&mut index);
-    for what in invalidations {
-        change.add(RingEntry { scope: 0, what: Some(what) });
+    for invalidation in invalidations {
+        change.add(RingEntry { scope: 0, invalidation: Some(invalidation) });
     }
     change.commit(&ring);
     assert_eq!(ring.head(), 1);
@@ -44,7 +44,7 @@
     assert!(index.findings_since(total).is_empty());
     index.apply(&RingEntry {
         scope: 0,
-        what: Some(Invalidation::Weights(Weights { model: "m".into(), version: 2 })),
+        invalidation: Some(Invalidation::Weights(WeightsVersion { model: "m".into(), version: 2 })),
     });
     assert!(index.snapshot().iter().all(|h| h.parts.is_empty()));
 }
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -32,7 +32,7 @@
 use fleet_core::transport::Transport;
 use fleet_core::wire::{
     Body, CachedPrefixes, ConfigValue, EngineState, FleetUpdate, Invalidation, RingHead,
-    RingRequest, RingResponse, Weights,
+    RingRequest, RingResponse, WeightsVersion,
 };
 use fleet_core::{constants, fleet};
 use follower::HolderEndpoint;
@@ -315,7 +315,7 @@
                         .is_some_and(|engine_version| engine_version < version)
             });
             if is_rolled_out && self.weights.insert(model.clone(), version) != Some(version) {
-                invalidations.push(Invalidation::Weights(Weights { model, version }));
+                invalidations.push(Invalidation::Weights(WeightsVersion { model, version }));
             }
         }
         if let Some(config) = state.config
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -64,7 +64,7 @@
             incarnation: self.incarnation,
             head: self.ring.head(),
             owner: self.process.node.ip.to_string(),
-            found: self.index.lock().findings_total(),
+            finding_count: self.index.lock().findings_total(),
         }
     }
 
@@ -74,13 +74,13 @@
             let mut index = self.index.lock();
             let mut change = PendingChange::begin(&mut *index);
             for invalidation in entries {
-                change.add(RingEntry { scope: 0, what: Some(invalidation) });
+                change.add(RingEntry { scope: 0, invalidation: Some(invalidation) });
             }
             change.commit(&self.ring)
         };
         for reader in lagging {
-            let nudge = FleetUpdate { nudge: true, ..Default::default() };
-            self.routers.push(reader, Body::FleetUpdate(nudge));
+            let update = FleetUpdate { catch_up: true, ..Default::default() };
+            self.routers.push(reader, Body::FleetUpdate(update));
         }
     }
 
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -57,8 +57,8 @@
     pub fn record_owner_head(&self, head: RingHead) {
         self.relay.upstream.send_if_modified(|known| {
             let is_newer = known.as_ref().is_none_or(|known| {
-                (known.fencing_token, known.head, known.found)
-                    < (head.fencing_token, head.head, head.found)
+                (known.fencing_token, known.head, known.finding_count)
+                    < (head.fencing_token, head.head, head.finding_count)
             });
             if is_newer {
                 *known = Some(head);
@@ -90,7 +90,7 @@
         }
         let Some(published) = self.relay.published() else { return };
         published.index.lock().record_found(&update.snapshot);
-        published.commit(update.entries.into_iter().filter_map(|entry| entry.what));
+        published.commit(update.entries.into_iter().filter_map(|entry| entry.invalidation));
         self.relay.changed.notify_one();
     }
 
@@ -149,8 +149,11 @@
     /// Reads once. Returns whether there is more to read.
     async fn read(&mut self, ownership: &IndexOwnership, link: &Link) -> bool {
         let request = self.position.request(ownership.dependencies.process.node.incarnation);
-        let timeout =
-            if request.refill { constants::SNAPSHOT_TIMEOUT } else { constants::PHASE_TIMEOUT };
+        let timeout = if request.request_snapshot {
+            constants::SNAPSHOT_TIMEOUT
+        } else {
+            constants::PHASE_TIMEOUT
+        };
         let response = link.call(Body::RingRequest(request), timeout).await;
         let Ok(Body::RingResponse(response)) = response else { return false };
         let head = response.head.as_ref().map_or(0, |head| head.head);
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -32,7 +32,7 @@
     node: String,
     incarnation: u64,
     /// Sequence number of the newest message received from this incarnation.
-    number: u64,
+    sequence: u64,
     expires_at: Instant,
 }
 
@@ -77,7 +77,7 @@
         let grants = self.grants_by_lease.entry_ref(request.lease_name.as_str()).or_default();
         grants.retain(|grant| now < grant.expires_at + policy.lease);
         let sender_index = grants.iter().position(|grant| grant.incarnation == request.incarnation);
-        if sender_index.is_some_and(|index| grants[index].number >= request.number) {
+        if sender_index.is_some_and(|index| grants[index].sequence >= request.sequence) {
             return false;
         }
         let blocked =
@@ -88,7 +88,7 @@
             return false;
         }
         // After a release, commands that the holder had already sent may still be in flight for this long.
-        let may_have_acted = request.ms > 0;
+        let may_have_acted = request.duration_ms > 0;
         let in_flight_time = if policy.commands_engines && may_have_acted {
             policy.margin()
         } else {
@@ -97,9 +97,9 @@
         let former_end = sender_index.map_or(now, |index| grants.swap_remove(index).expires_at);
         let expires_at =
             if request.release { former_end.min(now + in_flight_time) } else { now + policy.lease };
-        let (node, incarnation, number) =
-            (request.node.clone(), request.incarnation, request.number);
-        grants.push(Grant { node, incarnation, number, expires_at });
+        let (node, incarnation, sequence) =
+            (request.node.clone(), request.incarnation, request.sequence);
+        grants.push(Grant { node, incarnation, sequence, expires_at });
         true
     }
 
--- a/crates/control-plane/src/leases/lease_holder.rs
+++ b/crates/control-plane/src/leases/lease_holder.rs
@@ -34,8 +34,9 @@
     async fn broadcast(&self, name: &str, message: VoterMessage, timeout: Duration) -> bool {
         let membership = self.consensus.membership();
         let request = self.request(name, &message, membership.epoch);
-        let own_grant = self.grant(&request).ok;
-        let is_granted = |answer| matches!(answer, Body::LeaseResponse(LeaseResponse { ok: true }));
+        let own_grant = self.grant(&request).granted;
+        let is_granted =
+            |answer| matches!(answer, Body::LeaseResponse(LeaseResponse { granted: true }));
         let body = Body::LeaseRequest(request);
         self.consensus.majority_agrees(&membership, timeout, body, own_grant, is_granted).await
     }
@@ -48,10 +49,10 @@
         LeaseRequest {
             lease_name: name.to_owned(),
             incarnation: self.process.node.incarnation,
-            ms: lease.as_millis() as u64,
+            duration_ms: lease.as_millis() as u64,
             release: !matches!(message, VoterMessage::Request),
             node: self.process.node.name.clone(),
-            number: self.take_message_number(),
+            sequence: self.take_message_number(),
             membership,
         }
     }
@@ -114,7 +115,7 @@
         let granted_at = Instant::now();
         let raise_id = self.with_holder(name, |holder| holder.next_raise_id());
         let raised = self.raise_fencing_token(name, raise_id, false).await;
-        if raised.outcome() != Outcome::Done {
+        if raised.outcome() != Outcome::Committed {
             return self.withdraw(name).await;
         }
         let was_last_holder = raised.holder == self.process.node.name;
@@ -139,18 +140,25 @@
     /// then the lease is dropped and requested again.
     async fn record_takeover(&self, name: &'static str, raise_id: RaiseId) {
         match self.raise_fencing_token(name, raise_id, true).await.outcome() {
-            Outcome::Done => self.with_holder(name, |holder| holder.takeover_recorded(raise_id)),
+            Outcome::Committed => {
+                self.with_holder(name, |holder| holder.takeover_recorded(raise_id))
+            }
             Outcome::Stale => {
                 self.stop_acting(name);
             }
-            Outcome::Unknown | Outcome::Unproven | Outcome::Invalid => {}
+            Outcome::Unknown | Outcome::Undetermined | Outcome::Invalid => {}
         }
     }
 
-    async fn raise_fencing_token(&self, name: &str, id: RaiseId, acts: bool) -> ChangeResponse {
+    async fn raise_fencing_token(
+        &self,
+        name: &str,
+        id: RaiseId,
+        records_takeover: bool,
+    ) -> ChangeResponse {
         let holder = self.process.node.name.clone();
-        let raise = RaiseFencingToken { lease_name: name.to_owned(), holder, id, acts };
-        forward::submit(&self.consensus, ChangeKind::Raise(raise)).await
+        let raise = RaiseFencingToken { lease_name: name.to_owned(), holder, id, records_takeover };
+        forward::submit(&self.consensus, ChangeKind::RaiseFencingToken(raise)).await
     }
 
     /// Performs the next action for a lease; returns the time until the next one is due.
--- a/crates/control-plane/src/leases/lease_tests.rs
+++ b/crates/control-plane/src/leases/lease_tests.rs
@@ -8,17 +8,17 @@
 const COMMANDING: LeasePolicy = LeasePolicy { lease: LEASE, commands_engines: true };
 const NON_COMMANDING: LeasePolicy = LeasePolicy { lease: LEASE, commands_engines: false };
 
-fn lease_request(incarnation: u64, number: u64) -> LeaseRequest {
+fn lease_request(incarnation: u64, sequence: u64) -> LeaseRequest {
     let node = format!("n{incarnation}");
-    LeaseRequest { lease_name: "d".into(), incarnation, number, node, ..Default::default() }
+    LeaseRequest { lease_name: "d".into(), incarnation, sequence, node, ..Default::default() }
 }
 
 /// A release by a holder that may have acted under the lease.
-fn release(incarnation: u64, number: u64) -> LeaseRequest {
+fn release(incarnation: u64, sequence: u64) -> LeaseRequest {
     LeaseRequest {
         release: true,
-        ms: LEASE.as_millis() as u64,
-        ..lease_request(incarnation, number)
+        duration_ms: LEASE.as_millis() as u64,
+        ..lease_request(incarnation, sequence)
     }
 }
 
@@ -29,7 +29,11 @@
     let start = Instant::now();
     let mut grantor = Grantor::new(None);
     assert!(grantor.handle_request(&lease_request(1, 1), start, COMMANDING));
-    assert!(grantor.handle_request(&LeaseRequest { ms: 0, ..release(1, 2) }, start, COMMANDING));
+    assert!(grantor.handle_request(
+        &LeaseRequest { duration_ms: 0, ..release(1, 2) },
+        start,
+        COMMANDING
+    ));
     assert!(grantor.handle_request(&lease_request(2, 1), start, COMMANDING));
 }
 
@@ -204,16 +208,21 @@
 struct RaiseInFlight {
     node: usize,
     id: RaiseId,
-    acts: bool,
+    records_takeover: bool,
     requested_at: Instant,
     granted_at: Instant,
 }
 
 impl RaiseInFlight {
     fn change(&self) -> ChangeKind {
-        let (id, acts) = (self.id, self.acts);
+        let (id, records_takeover) = (self.id, self.records_takeover);
         let holder = format!("n{}", self.node);
-        ChangeKind::Raise(RaiseFencingToken { lease_name: "d".into(), holder, id, acts })
+        ChangeKind::RaiseFencingToken(RaiseFencingToken {
+            lease_name: "d".into(),
+            holder,
+            id,
+            records_takeover,
+        })
     }
 }
 
@@ -265,9 +274,9 @@
             lease_name: "d".into(),
             incarnation: node.incarnation,
             node: format!("n{sender}"),
-            number: node.number,
+            sequence: node.number,
             release,
-            ms: if may_have_acted { LEASE.as_millis() as u64 } else { 0 },
+            duration_ms: if may_have_acted { LEASE.as_millis() as u64 } else { 0 },
             ..Default::default()
         };
         let number = node.number;
@@ -308,12 +317,12 @@
         }
     }
 
-    fn raise(&mut self, node: usize, id: RaiseId, acts: bool, requested_at: Instant) {
+    fn raise(&mut self, node: usize, id: RaiseId, records_takeover: bool, requested_at: Instant) {
         let granted_at = self.now;
         self.network.push(Message::Raise(RaiseInFlight {
             node,
             id,
-            acts,
+            records_takeover,
             requested_at,
             granted_at,
         }));
@@ -328,7 +337,7 @@
                     self.network.push(Message::Granted(
                         sender,
                         request.incarnation,
-                        request.number,
+                        request.sequence,
                     ));
                 }
             }
@@ -371,9 +380,9 @@
 
     fn raised(&mut self, raise: RaiseInFlight, response: &ChangeResponse) {
         let SimNode { holder, pending, .. } = &mut self.nodes[raise.node];
-        if raise.acts {
+        if raise.records_takeover {
             match response.outcome() {
-                Outcome::Done => holder.takeover_recorded(raise.id),
+                Outcome::Committed => holder.takeover_recorded(raise.id),
                 _ if holder.next_raise_id().attempt == raise.id.attempt + 1 => {
                     holder.drop_lease();
                 }
--- a/crates/control-plane/src/leases/mod.rs
+++ b/crates/control-plane/src/leases/mod.rs
@@ -72,7 +72,8 @@
         let may_grant =
             self.consensus.with_acceptor(|acceptor| acceptor.may_grant_lease(request.membership));
         LeaseResponse {
-            ok: may_grant && self.grantor.lock().handle_request(request, Instant::now(), policy),
+            granted: may_grant
+                && self.grantor.lock().handle_request(request, Instant::now(), policy),
         }
     }
 
--- a/crates/control-plane/src/membership/candidates_tests.rs
+++ b/crates/control-plane/src/membership/candidates_tests.rs
@@ -5,7 +5,7 @@
 
 fn join_request(ip: &str, running_ms: u64) -> JoinRequest {
     let member = Member { ip: ip.into(), ..Default::default() };
-    JoinRequest { member, observes: false, running_ms }
+    JoinRequest { member, is_observer: false, running_ms }
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -76,7 +76,7 @@
 
     /// Records a controller that asks to become a member. Observers, and requests with an invalid address, are ignored.
     pub fn on_join_request(&self, request: JoinRequest) {
-        if request.member.ip.parse::<IpAddr>().is_ok() && !request.observes {
+        if request.member.ip.parse::<IpAddr>().is_ok() && !request.is_observer {
             self.candidates.lock().record(request, Instant::now());
         }
     }
--- a/crates/control-plane/src/membership/peer_service.rs
+++ b/crates/control-plane/src/membership/peer_service.rs
@@ -155,7 +155,7 @@
     /// Records that the key's owner makes progress: a voter that has just voted for an owner takes part in no election
     /// for a while.
     fn record_progress(&self, key: &str, vote: Option<&Vote>) {
-        if vote.is_some_and(|vote| vote.ok) {
+        if vote.is_some_and(|vote| vote.granted) {
             self.dependencies.consensus.record_progress(key);
         }
     }
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -84,11 +84,11 @@
 /// Asks all linked controllers to be admitted as a member, and adopts newer memberships from their answers. A node without
 /// a writable disk could not vote, so it asks only as an observer, to learn the membership.
 async fn request_membership(manager: &Arc<MembershipManager>) {
-    let observes = manager.consensus.is_disk_absent() || manager.consensus.is_disk_broken();
+    let is_observer = manager.consensus.is_disk_absent() || manager.consensus.is_disk_broken();
     for (_, link) in manager.links.all() {
         let running_ms = manager.process.started.elapsed().as_millis() as u64;
         let request =
-            Body::JoinRequest(JoinRequest { member: own_member(manager), observes, running_ms });
+            Body::JoinRequest(JoinRequest { member: own_member(manager), is_observer, running_ms });
         if let Ok(Body::JoinResponse(response)) = link.call(request, constants::PHASE_TIMEOUT).await
             && let Some(membership) = response.membership
         {
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -42,7 +42,7 @@
 struct PartialValue {
     ballot: Ballot,
     /// Size of the complete value; `None` before the first chunk.
-    total: Option<usize>,
+    total_bytes: Option<usize>,
     bytes: Vec<u8>,
 }
 
@@ -52,7 +52,7 @@
     }
 
     fn is_complete(&self) -> bool {
-        self.total == Some(self.bytes.len())
+        self.total_bytes == Some(self.bytes.len())
     }
 
     /// Appends a chunk. A chunk of a later ballot replaces what was read before. Returns false if the chunk brings no
@@ -67,7 +67,7 @@
         if chunk.offset != self.bytes.len() as u64 {
             return false;
         }
-        self.total = Some(chunk.total as usize);
+        self.total_bytes = Some(chunk.total_bytes as usize);
         self.bytes.extend_from_slice(&chunk.bytes);
         self.is_complete() || !chunk.bytes.is_empty()
     }
--- a/crates/control-plane/src/membership/recovery_tests.rs
+++ b/crates/control-plane/src/membership/recovery_tests.rs
@@ -37,9 +37,9 @@
         ballot,
         value,
         recovery_epoch: 10,
-        same_as: None,
+        same_value_as: None,
     };
-    assert!(acceptor.accept(&accept).answer.ok);
+    assert!(acceptor.accept(&accept).answer.granted);
 }
 
 /// A source behind a slow link, which fails after `remaining` chunks. If `rewrites` is set, its value is replaced after
@@ -82,7 +82,7 @@
                 self.state_transfers.chunk("reader", &request, acceptor.register(&request.key));
             if self.rewrites {
                 let seq = acceptor.register("config").map_or(0, |register| register.accepted.seq);
-                accept_value(&mut acceptor, seq + 1, chunk.total as usize);
+                accept_value(&mut acceptor, seq + 1, chunk.total_bytes as usize);
             }
             chunk
         };
--- a/crates/control-plane/src/membership/state_transfer.rs
+++ b/crates/control-plane/src/membership/state_transfer.rs
@@ -40,7 +40,7 @@
         };
         let register = register.clone();
         let chunk = chunk_at(&register, request);
-        if chunk.offset + (chunk.bytes.len() as u64) < chunk.total {
+        if chunk.offset + (chunk.bytes.len() as u64) < chunk.total_bytes {
             in_progress.insert(id, StateTransfer { register, last_requested: Instant::now() });
         } else {
             in_progress.remove(&id);
@@ -51,14 +51,14 @@
 
 /// The chunk at the requested offset, or the first chunk if the value has another ballot than the requested one.
 fn chunk_at(register: &Register, request: &ValueChunkRequest) -> ValueChunk {
-    let total = register.value.len();
+    let total_bytes = register.value.len();
     let is_requested_ballot = register.accepted == request.ballot;
-    let from = if is_requested_ballot { total.min(request.offset as usize) } else { 0 };
-    let to = total.min(from + constants::CHUNK_BYTES);
+    let from = if is_requested_ballot { total_bytes.min(request.offset as usize) } else { 0 };
+    let to = total_bytes.min(from + constants::CHUNK_BYTES);
     ValueChunk {
         ballot: register.accepted,
         offset: from as u64,
-        total: total as u64,
+        total_bytes: total_bytes as u64,
         bytes: register.value.slice(from..to),
     }
 }
--- a/crates/control-plane/src/membership/state_transfer_tests.rs
+++ b/crates/control-plane/src/membership/state_transfer_tests.rs
@@ -18,14 +18,14 @@
     let state_transfers = StateTransfers::default();
     let size = constants::CHUNK_BYTES + 10;
     let first = state_transfers.chunk("a", &request(1, 0), Some(&register(1, size)));
-    assert_eq!((first.total, first.bytes.len()), (size as u64, constants::CHUNK_BYTES));
+    assert_eq!((first.total_bytes, first.bytes.len()), (size as u64, constants::CHUNK_BYTES));
     let replacement = register(2, 7);
     let second =
         state_transfers.chunk("a", &request(1, first.bytes.len() as u64), Some(&replacement));
     assert_eq!((second.ballot.n, second.bytes.len()), (1, 10));
     let later_reader = state_transfers.chunk("b", &request(1, 5), Some(&replacement));
     assert_eq!(
-        (later_reader.ballot.n, later_reader.offset, later_reader.total),
+        (later_reader.ballot.n, later_reader.offset, later_reader.total_bytes),
         (2, 0, 7),
         "a transfer begun after the replacement"
     );
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -43,20 +43,24 @@
     body: Bytes,
 ) -> Result<Replaced, Rejection> {
     require_contact(consensus)?;
-    let base = parse_base_version(base_header)?;
+    let base_version = parse_base_version(base_header)?;
     let configuration =
         Configuration::parse(&body).map_err(|error| reject_invalid(consensus, &error))?;
-    let packed = fleet_core::compression::compress(&body);
-    let change = ReplaceConfig { base, version: configuration.revision, packed };
-    let changed = forward::submit(consensus, ChangeKind::Replace(change.clone())).await;
+    let compressed = fleet_core::compression::compress(&body);
+    let change = ReplaceConfig {
+        base_version,
+        version: configuration.revision,
+        compressed_body: compressed,
+    };
+    let changed = forward::submit(consensus, ChangeKind::ReplaceConfig(change.clone())).await;
     match changed.outcome() {
-        Outcome::Done => Ok(Replaced { version: change.version }),
+        Outcome::Committed => Ok(Replaced { version: change.version }),
         Outcome::Stale => Err(reject_stale_base(&changed)),
         Outcome::Invalid => Err(reject_invalid(
             consensus,
             &state_machine::version_not_above_error(&change, &changed),
         )),
-        Outcome::Unproven => Err(reject_unproven(&changed)),
+        Outcome::Undetermined => Err(reject_unproven(&changed)),
         Outcome::Unknown => {
             Err(Rejection::unavailable("unknown", "no majority in time: it may yet be in force"))
         }
--- a/crates/control-plane/src/service/instances.rs
+++ b/crates/control-plane/src/service/instances.rs
@@ -4,7 +4,7 @@
 use crate::engines::registry::{EngineRegistry, HeartbeatSource};
 use bytes::Bytes;
 use fleet_core::constants;
-use fleet_core::wire::{Engine, EngineState, Weights};
+use fleet_core::wire::{Engine, EngineState, WeightsVersion};
 use std::sync::Arc;
 
 #[derive(serde::Deserialize)]
@@ -51,10 +51,10 @@
         let weights = self
             .models
             .into_iter()
-            .map(|loaded| Weights { model: loaded.name, version: loaded.revision });
+            .map(|loaded| WeightsVersion { model: loaded.name, version: loaded.revision });
         let mut engine = Engine {
             id,
-            call: self.call_seq,
+            call_seq: self.call_seq,
             service: self.service,
             address: self.address,
             zone: self.zone,
@@ -130,9 +130,9 @@
     };
     check_id(&id)?;
     let current = registry.get(&id);
-    let call = current.as_ref().map_or(0, |engine| engine.call);
+    let call_seq = current.as_ref().map_or(0, |engine| engine.call_seq);
     let mut engine = current.unwrap_or_else(|| Engine { id, ..Default::default() });
-    engine.call = call.max(deregister_body.call_seq.unwrap_or(call + 1));
+    engine.call_seq = call_seq.max(deregister_body.call_seq.unwrap_or(call_seq + 1));
     engine.set_state(EngineState::Deregistered);
     let engine = registry.record_heartbeat(engine, HeartbeatSource::Engine);
     require_contact(registry.consensus())?;
--- a/crates/control-plane/src/service/weights.rs
+++ b/crates/control-plane/src/service/weights.rs
@@ -23,10 +23,12 @@
     require_contact(consensus)?;
     let request: SetTargetRequest = serde_json::from_slice(&body)
         .map_err(|error| Rejection::bad_request("malformed", error))?;
-    let change =
-        ChangeKind::Name(SetTargetVersion { model: request.model, version: request.revision });
+    let change = ChangeKind::SetTargetVersion(SetTargetVersion {
+        model: request.model,
+        version: request.revision,
+    });
     match forward::submit(consensus, change).await.outcome() {
-        Outcome::Done => Ok(()),
+        Outcome::Committed => Ok(()),
         _ => Err(Rejection::unavailable("unknown", "no majority in time: it may yet be named")),
     }
 }
--- a/crates/control-plane/tests/cluster/hung_disk.rs
+++ b/crates/control-plane/tests/cluster/hung_disk.rs
@@ -94,7 +94,7 @@
     replace(&cluster, 1, 0, 7).await;
     cluster.wait_until_settled().await;
     let request = PreVoteRequest { key: state_machine::CONFIG.into(), membership: 1 };
-    let grants_pre_vote = || cluster.controller(2).consensus().pre_vote(&request).ok;
+    let grants_pre_vote = || cluster.controller(2).consensus().pre_vote(&request).granted;
     assert!(grants_pre_vote());
     cluster.hang_disk(2, true);
     cluster.wait_until_settled().await;
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -6,7 +6,7 @@
 use fleet_core::delta;
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::Link;
-use fleet_core::wire::{Body, ConfigDelta, ConfigForm, ConfigRequest, ConfigResponse};
+use fleet_core::wire::{Body, ConfigDelta, ConfigPayload, ConfigRequest, ConfigResponse};
 use prost::Message;
 use std::sync::Arc;
 use std::time::Duration;
@@ -225,10 +225,10 @@
     for to in VOTERS.into_iter().chain([NON_VOTER]) {
         let link = link(&cluster, to, None);
         let response = request_config(&link, &bytes::Bytes::new()).await;
-        let Some(ConfigForm::Full(packed)) = response.form else {
+        let Some(ConfigPayload::Full(compressed)) = response.payload else {
             panic!("expected a full configuration")
         };
-        let body = compression::decompress(&packed, 1 << 20).unwrap();
+        let body = compression::decompress(&compressed, 1 << 20).unwrap();
         assert_eq!((response.version, body), (5, config_body(5, 10).to_string().into()));
         links.push((to, link, response.digest));
     }
@@ -236,10 +236,10 @@
     let (old, new) = (config_body(5, 10).to_string(), config_body(6, 11).to_string());
     for (to, link, digest) in links {
         let response = request_config(&link, &digest).await;
-        let Some(ConfigForm::Delta(packed)) = response.form else {
+        let Some(ConfigPayload::Delta(compressed)) = response.payload else {
             panic!("expected a delta from {to}: {response:?}")
         };
-        let plain = compression::decompress(&packed, 1 << 20).unwrap();
+        let plain = compression::decompress(&compressed, 1 << 20).unwrap();
         let delta = ConfigDelta::decode(plain).unwrap();
         assert_eq!(delta::apply(&delta, old.as_bytes(), 1 << 20).unwrap(), new);
         assert_eq!(response.digest, BodyDigest::of(new.as_bytes()).as_bytes());
--- a/crates/control-plane/tests/cluster/relay.rs
+++ b/crates/control-plane/tests/cluster/relay.rs
@@ -89,7 +89,7 @@
     async fn snapshot(&self, node: usize, fencing_token: u64) -> RingResponse {
         let start = Instant::now();
         loop {
-            let request = RingRequest { refill: true, reader: 1, ..Default::default() };
+            let request = RingRequest { request_snapshot: true, reader: 1, ..Default::default() };
             let response = self.fetch(node, request).await;
             let head = response.head.as_ref();
             if head.is_some_and(|head| head.fencing_token >= fencing_token) {
@@ -115,8 +115,8 @@
                 incarnation: head.incarnation,
                 cursor: from.cursor,
                 reader: 1,
-                refill: false,
-                found: head.found,
+                request_snapshot: false,
+                finding_count: head.finding_count,
             };
             let response = self.fetch(node, request).await;
             assert!(!response.reset, "n{node} has lost the reader's position");
@@ -170,7 +170,7 @@
     fleet.cluster.retry_until_ok(1, target).await;
     let invalidates_old_weights = |response: &RingResponse| {
         let is_match = |invalidation: &Option<Invalidation>| matches!(invalidation, Some(Invalidation::Weights(weights)) if weights.version == 2);
-        response.entries.iter().any(|entry| is_match(&entry.what))
+        response.entries.iter().any(|entry| is_match(&entry.invalidation))
     };
     for (node, position) in NODES.iter().zip(&positions) {
         fleet.read_until(*node, position, invalidates_old_weights).await;
@@ -199,7 +199,7 @@
     fleet.snapshot(owner, 0).await;
     fleet.cluster.wait_until_settled().await;
     for node in NODES.into_iter().filter(|node| *node != owner) {
-        let request = RingRequest { refill: true, reader: 1, ..Default::default() };
+        let request = RingRequest { request_snapshot: true, reader: 1, ..Default::default() };
         assert_eq!(fleet.fetch(node, request).await, RingResponse::default(), "n{node}");
     }
 }
--- a/crates/control-plane/tests/exhaustive.rs
+++ b/crates/control-plane/tests/exhaustive.rs
@@ -208,7 +208,7 @@
                     return;
                 }
                 let vote = self.vote(message.voter, request);
-                if !vote.ok {
+                if !vote.granted {
                     return;
                 }
                 let incarnation = self.incarnations[message.proposer];
@@ -287,9 +287,9 @@
                 arrives
                     && match request {
                         Request::Prepare(prepare) => {
-                            voter.prepare(prepare).answer.ok && self.is_awaited(m)
+                            voter.prepare(prepare).answer.granted && self.is_awaited(m)
                         }
-                        Request::Accept(accept) => voter.accept(accept).answer.ok,
+                        Request::Accept(accept) => voter.accept(accept).answer.granted,
                     }
             }
             Content::Vote(_) => self.is_awaited(m),
--- a/crates/control-plane/tests/rollout_status.rs
+++ b/crates/control-plane/tests/rollout_status.rs
@@ -3,12 +3,12 @@
 use control_plane::rollout::plan::Step;
 use control_plane::rollout::status::{State, stall_reason, state_of};
 use fleet_core::constants;
-use fleet_core::wire::{Engine, Weights};
+use fleet_core::wire::{Engine, WeightsVersion};
 use std::time::Duration;
 use tokio::time::Instant;
 
 fn engine(version: u64, update_seq: u64, drain_seq: u64) -> Engine {
-    let weights = vec![Weights { model: "m".into(), version }];
+    let weights = vec![WeightsVersion { model: "m".into(), version }];
     Engine { id: "e".into(), weights, update_seq, drain_seq, ..Default::default() }
 }
 
--- a/crates/control-plane/tests/stored_data.rs
+++ b/crates/control-plane/tests/stored_data.rs
@@ -72,12 +72,17 @@
 }
 
 fn config() -> ConfigValue {
-    ConfigValue { version: 9, isolation: 2, packed: vec![1, 2, 3].into(), ..Default::default() }
+    ConfigValue {
+        version: 9,
+        isolation: 2,
+        compressed_body: vec![1, 2, 3].into(),
+        ..Default::default()
+    }
 }
 
 fn lease() -> LeaseValue {
     let raise = Some(RaiseId { incarnation: 5, attempt: 6 });
-    LeaseValue { fencing_token: 7, holder: "n1".into(), acting: "n2".into(), raise }
+    LeaseValue { fencing_token: 7, holder: "n1".into(), acting_node: "n2".into(), raise }
 }
 
 fn record(registers: Vec<Register>) -> Record {
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -6,7 +6,7 @@
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::{Link, LinkError};
 use fleet_core::log::Event;
-use fleet_core::wire::{Body, ConfigDelta, ConfigForm, ConfigRequest, ConfigResponse};
+use fleet_core::wire::{Body, ConfigDelta, ConfigPayload, ConfigRequest, ConfigResponse};
 use fleet_core::{compression, constants, delta};
 use prost::Message;
 use std::sync::Arc;
@@ -50,21 +50,23 @@
 ///
 /// # Errors
 ///
-/// The response has no body, or a delta where `current` is none; the body can't be unpacked; or the body doesn't match
+/// The response has no body, or a delta where `current` is none; the body can't be decompressed; or the body doesn't match
 /// the digest.
 pub fn rebuild(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
 ) -> Result<ConfigBody, FetchError> {
     const MAX_BYTES: usize = constants::CONFIG_MAX_BYTES;
-    let body = match (&response.form, current) {
-        (Some(ConfigForm::Full(packed)), _) => compression::decompress(packed, MAX_BYTES)?,
-        (Some(ConfigForm::Delta(packed)), Some(current)) => {
-            let unpacked = compression::decompress(packed, MAX_BYTES)?;
-            let delta = ConfigDelta::decode(unpacked).map_err(|_| FetchError::Undecodable)?;
+    let body = match (&response.payload, current) {
+        (Some(ConfigPayload::Full(compressed)), _) => {
+            compression::decompress(compressed, MAX_BYTES)?
+        }
+        (Some(ConfigPayload::Delta(compressed)), Some(current)) => {
+            let decompressed = compression::decompress(compressed, MAX_BYTES)?;
+            let delta = ConfigDelta::decode(decompressed).map_err(|_| FetchError::Undecodable)?;
             delta::apply(&delta, &current.body, MAX_BYTES)?
         }
-        (Some(ConfigForm::Delta(_)), None) | (None, _) => return Err(FetchError::NotNewer),
+        (Some(ConfigPayload::Delta(_)), None) | (None, _) => return Err(FetchError::NotNewer),
     };
     let digest = BodyDigest::of(&body);
     if digest.as_bytes() != &response.digest[..] {
--- a/crates/data-plane/src/fleet_view/config_fetch_tests.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch_tests.rs
@@ -6,25 +6,25 @@
     ConfigBody { digest: BodyDigest::of(body.as_bytes()), body: body.into() }
 }
 
-fn response(body: &str, form: ConfigForm) -> ConfigResponse {
+fn response(body: &str, payload: ConfigPayload) -> ConfigResponse {
     let digest = BodyDigest::of(body.as_bytes());
     ConfigResponse {
         version: 2,
         isolation: 1,
         digest: bytes::Bytes::copy_from_slice(digest.as_bytes()),
-        form: Some(form),
+        payload: Some(payload),
     }
 }
 
-fn delta_form(old: &str, new: &str) -> ConfigForm {
+fn delta_form(old: &str, new: &str) -> ConfigPayload {
     let delta = delta::between(old.as_bytes(), new.as_bytes());
-    ConfigForm::Delta(compression::compress(&delta.encode_to_vec()))
+    ConfigPayload::Delta(compression::compress(&delta.encode_to_vec()))
 }
 
 #[test]
 fn a_body_is_rebuilt_from_a_full_response_and_from_a_delta() {
     let (old, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
-    let full = response(new, ConfigForm::Full(compression::compress(new.as_bytes())));
+    let full = response(new, ConfigPayload::Full(compression::compress(new.as_bytes())));
     assert_eq!(rebuild(&full, None).unwrap(), current(new));
     assert_eq!(rebuild(&full, Some(&current(old))).unwrap(), current(new));
     let delta = response(new, delta_form(old, new));
@@ -34,7 +34,7 @@
 #[test]
 fn a_body_that_does_not_match_its_digest_is_rejected() {
     let (old, new) = ("{\"routes\":[{\"name\":\"a\"}]}", "{\"routes\":[{\"name\":\"b\"}]}");
-    let damaged = response(new, ConfigForm::Full(compression::compress(old.as_bytes())));
+    let damaged = response(new, ConfigPayload::Full(compression::compress(old.as_bytes())));
     assert!(matches!(rebuild(&damaged, None), Err(FetchError::DigestMismatch)));
     let (shared, next) = ("{\"routes\":[{\"name\":\"one\"}", ",{\"name\":\"two\"}]}");
     let mismatched =
@@ -42,7 +42,7 @@
     let other = current("{\"routes\":[{\"name\":\"six\"}");
     assert!(matches!(rebuild(&mismatched, Some(&other)), Err(FetchError::DigestMismatch)));
     assert!(rebuild(&mismatched, None).is_err());
-    let undecodable = response(new, ConfigForm::Delta(compression::compress(&[0xff; 20])));
+    let undecodable = response(new, ConfigPayload::Delta(compression::compress(&[0xff; 20])));
     assert!(matches!(rebuild(&undecodable, Some(&other)), Err(FetchError::Undecodable)));
 }
 
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -227,8 +227,11 @@
 /// Fetches once, and queues the entries to be applied.
 async fn fetch(router: &Router, link: &Link, position: &mut RingPosition) -> Fetch {
     let request = position.request(router.node.incarnation);
-    let timeout =
-        if request.refill { constants::SNAPSHOT_TIMEOUT } else { constants::PHASE_TIMEOUT };
+    let timeout = if request.request_snapshot {
+        constants::SNAPSHOT_TIMEOUT
+    } else {
+        constants::PHASE_TIMEOUT
+    };
     let Ok(Body::RingResponse(response)) = link.call(Body::RingRequest(request), timeout).await
     else {
         return Fetch::NoAnswer;
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -239,7 +239,7 @@
         if update.routers > 0 {
             self.routers.store(update.routers as usize, Ordering::Relaxed);
         }
-        if update.ring.is_some() || update.ring_relay.is_some() || update.nudge {
+        if update.ring.is_some() || update.ring_relay.is_some() || update.catch_up {
             self.ring_changed.notify_one();
         }
         self.announced_config.send_if_modified(|announced| {
--- a/crates/data-plane/src/fleet_view/ring_sources_tests.rs
+++ b/crates/data-plane/src/fleet_view/ring_sources_tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn head(address: &str, fencing_token: u64) -> RingHead {
-    RingHead { fencing_token, incarnation: 1, head: 5, owner: address.into(), found: 0 }
+    RingHead { fencing_token, incarnation: 1, head: 5, owner: address.into(), finding_count: 0 }
 }
 
 fn reader(zone: &str, routers: usize) -> RingReader<'_> {
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -137,7 +137,7 @@
             key: fleet_core::load::engine_key(&engine.id),
             address: engine.address.parse().ok()?,
             first_seen: Instant::now(),
-            is_new: engine.call <= constants::NEW_ENGINE_CALLS,
+            is_new: engine.call_seq <= constants::NEW_ENGINE_CALLS,
             state: parking_lot::RwLock::new(engine.clone()),
             rollout_state_changed_at: parking_lot::Mutex::new(Instant::now()),
             activity: parking_lot::Mutex::default(),
--- a/crates/data-plane/src/pool/engine_tests.rs
+++ b/crates/data-plane/src/pool/engine_tests.rs
@@ -46,7 +46,7 @@
         .filter_map(|i| engine.record_warm_up_latency(ms(10 * (i % 2) + 5)))
         .collect();
     assert_eq!(means, vec![ms(10)]);
-    let old = Engine { call: 99, address: "10.0.0.1:80".into(), ..Default::default() };
+    let old = Engine { call_seq: 99, address: "10.0.0.1:80".into(), ..Default::default() };
     assert!(!EngineHandle::new(&old).unwrap().is_warming_up(Instant::now()));
 }
 
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -6,7 +6,7 @@
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::{LinkError, Peer};
 use fleet_core::wire::{
-    Body, ConfigForm, ConfigRequest, ConfigResponse, Empty, FleetUpdate, Member, Membership,
+    Body, ConfigPayload, ConfigRequest, ConfigResponse, Empty, FleetUpdate, Member, Membership,
 };
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -120,8 +120,8 @@
 }
 
 fn full(version: u64) -> ConfigResponse {
-    let form = Some(ConfigForm::Full(compression::compress(body(version).as_bytes())));
-    ConfigResponse { version, isolation: 1, digest: digest(version), form }
+    let payload = Some(ConfigPayload::Full(compression::compress(body(version).as_bytes())));
+    ConfigResponse { version, isolation: 1, digest: digest(version), payload }
 }
 
 fn respond(pending: PendingRequest, response: ConfigResponse) {
--- a/crates/data-plane/tests/engines/harness.rs
+++ b/crates/data-plane/tests/engines/harness.rs
@@ -2,7 +2,7 @@
 
 use data_plane::Router;
 use data_plane::fleet_view::routing_table::RoutingTable;
-use fleet_core::wire::{Engine, FleetUpdate, TargetWeights, Weights};
+use fleet_core::wire::{Engine, FleetUpdate, TargetWeights, WeightsVersion};
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -281,12 +281,12 @@
 pub fn engine_state(stub: &StubEngine) -> Engine {
     Engine {
         id: stub.id.clone(),
-        call: 1,
+        call_seq: 1,
         service: "s".into(),
         address: stub.address.to_string(),
         zone: "z".into(),
         slots: 8,
-        weights: vec![Weights { model: "m".into(), version: 2 }],
+        weights: vec![WeightsVersion { model: "m".into(), version: 2 }],
         ..Default::default()
     }
 }
--- a/crates/data-plane/tests/engines/main.rs
+++ b/crates/data-plane/tests/engines/main.rs
@@ -108,7 +108,7 @@
         .await;
         let fleet = Fleet::start(&[&stub]).await;
         let mut engine = harness::engine_state(&stub);
-        engine.call = 2;
+        engine.call_seq = 2;
         edit(&mut engine);
         let weights = vec![TargetWeights { model: "m".into(), version: 3, age_ms }];
         fleet.router.fleet_view.apply_update(&FleetUpdate {
@@ -347,7 +347,7 @@
         },
     );
     let mut engine = harness::engine_state(&old);
-    engine.call = 2;
+    engine.call_seq = 2;
     engine.set_state(EngineState::Draining);
     fleet
         .router
@@ -357,7 +357,7 @@
     assert_eq!((old.received_count(), new.received_count()), (0, 1));
     let source = new.received.lock()[0].header("x-kv-source").map(str::to_owned);
     assert_eq!(source, Some(old.address.to_string()));
-    engine.call = 3;
+    engine.call_seq = 3;
     engine.set_state(EngineState::Deregistered);
     fleet
         .router
--- a/crates/data-plane/tests/engines/outdated_weights.rs
+++ b/crates/data-plane/tests/engines/outdated_weights.rs
@@ -5,7 +5,7 @@
     wait_until,
 };
 use fleet_core::constants;
-use fleet_core::wire::{FleetUpdate, TargetWeights, Weights};
+use fleet_core::wire::{FleetUpdate, TargetWeights, WeightsVersion};
 use std::time::Duration;
 
 /// `versionMs` of the harness's deployment.
@@ -31,7 +31,7 @@
     let pass_bound = async {
         wait_until(|| silent.received_count() == 1).await;
         let mut newest = engine_state(&updated);
-        newest.weights = vec![Weights { model: "m".into(), version: 3 }];
+        newest.weights = vec![WeightsVersion { model: "m".into(), version: 3 }];
         fleet
             .router
             .fleet_view
--- a/crates/data-plane/tests/invalidations.rs
+++ b/crates/data-plane/tests/invalidations.rs
@@ -55,7 +55,7 @@
     prefix_view.queue_update(ViewUpdate {
         reset: false,
         snapshot: Vec::new(),
-        entries: vec![RingEntry { scope: 0, what: Some(eviction) }],
+        entries: vec![RingEntry { scope: 0, invalidation: Some(eviction) }],
     });
     assert!(!holds(&prefix_view));
 }
@@ -68,7 +68,7 @@
         use invalidation::ring::{ReadResult, Ring};
         let entry = |part_id: u64| RingEntry {
             scope: 0,
-            what: Some(Invalidation::Part(PartLocation { holder: "e".into(), salt: "m|1|#1".into(), part: part_id, cached_tokens: 0 })),
+            invalidation: Some(Invalidation::Part(PartLocation { holder: "e".into(), salt: "m|1|#1".into(), part: part_id, cached_tokens: 0 })),
         };
         let (mut ring, mut incarnation) = (Ring::<RingEntry>::new(8, 2, 4), 1u64);
         let mut cached = std::collections::HashSet::<u64>::new();
--- a/crates/data-plane/tests/version_bound.rs
+++ b/crates/data-plane/tests/version_bound.rs
@@ -6,7 +6,7 @@
 use data_plane::load_balancer::choose_engine;
 use data_plane::load_balancer::prompt::Prompt;
 use fleet_core::settings::Settings;
-use fleet_core::wire::{Engine, FleetUpdate, TargetWeights, Weights};
+use fleet_core::wire::{Engine, FleetUpdate, TargetWeights, WeightsVersion};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -39,15 +39,15 @@
     (router, table)
 }
 
-fn engine(call: u64, version: u64) -> Engine {
+fn engine(call_seq: u64, version: u64) -> Engine {
     Engine {
         id: "e1".into(),
-        call,
+        call_seq,
         service: "s".into(),
         address: "127.0.0.1:1".into(),
         zone: "z".into(),
         slots: 8,
-        weights: vec![Weights { model: "m".into(), version }],
+        weights: vec![WeightsVersion { model: "m".into(), version }],
         ..Default::default()
     }
 }
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -7,18 +7,18 @@
 /// the roll-out, and deregistration.
 pub fn merge(known: &mut Engine, update: &Engine) -> bool {
     let before = known.clone();
-    if update.call > known.call {
+    if update.call_seq > known.call_seq {
         *known = update.clone();
         merge_monotonic_fields(known, &before);
     } else {
-        if update.call == known.call {
+        if update.call_seq == known.call_seq {
             known.heartbeat_missed = update.heartbeat_missed;
         }
         merge_monotonic_fields(known, update);
     }
-    let call = std::mem::replace(&mut known.call, before.call);
+    let call_seq = std::mem::replace(&mut known.call_seq, before.call_seq);
     let changed = *known != before;
-    known.call = call;
+    known.call_seq = call_seq;
     changed
 }
 
@@ -44,7 +44,7 @@
             true
         }
         None => {
-            engine.weights.push(crate::wire::Weights { model: model.to_owned(), version });
+            engine.weights.push(crate::wire::WeightsVersion { model: model.to_owned(), version });
             true
         }
     }
--- a/crates/fleet-core/src/fleet_tests.rs
+++ b/crates/fleet-core/src/fleet_tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn engine(call: u64, state: EngineState) -> Engine {
-    let mut state_after_call = Engine { id: "i".into(), call, ..Default::default() };
+fn engine(call_seq: u64, state: EngineState) -> Engine {
+    let mut state_after_call = Engine { id: "i".into(), call_seq, ..Default::default() };
     state_after_call.set_state(state);
     state_after_call
 }
@@ -16,7 +16,7 @@
     assert!(merge(&mut known, &engine(3, EngineState::Deregistered)));
     assert!(!merge(&mut known, &engine(9, EngineState::Ready)));
     assert_eq!(known.state(), EngineState::Deregistered);
-    assert_eq!(known.call, 9);
+    assert_eq!(known.call_seq, 9);
 }
 
 #[test]
--- a/crates/fleet-core/src/link/tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -153,9 +153,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn answer_of_an_unexpected_kind_is_an_error() {
-    for body in
-        [Some(Body::LeaseResponse(LeaseResponse { ok: true })), Some(Body::Empty(Empty {})), None]
-    {
+    for body in [
+        Some(Body::LeaseResponse(LeaseResponse { granted: true })),
+        Some(Body::Empty(Empty {})),
+        None,
+    ] {
         let (link, mut remote_ends) = link();
         let mut remote = accept_remote(&mut remote_ends).await;
         let (call, number) = call(&link, &mut remote).await;
--- a/crates/fleet-core/src/wire/changes.rs
+++ b/crates/fleet-core/src/wire/changes.rs
@@ -17,7 +17,7 @@
     pub history: bytes::Bytes,
     /// The operator's configuration body (JSON), compressed with deflate.
     #[prost(bytes = "bytes", tag = "6")]
-    pub packed: bytes::Bytes,
+    pub compressed_body: bytes::Bytes,
     /// Digest of the uncompressed body.
     #[prost(bytes = "bytes", tag = "7")]
     pub digest: bytes::Bytes,
@@ -42,8 +42,10 @@
     ///
     /// The compressed data is corrupt, or the body does not match the digest.
     pub fn body(&self) -> Result<bytes::Bytes, BodyError> {
-        let body =
-            crate::compression::decompress(&self.packed, crate::constants::CONFIG_MAX_BYTES)?;
+        let body = crate::compression::decompress(
+            &self.compressed_body,
+            crate::constants::CONFIG_MAX_BYTES,
+        )?;
         let digest = crate::digest::BodyDigest::of(&body);
         if digest.as_bytes() != &self.digest[..] {
             return Err(BodyError::DigestMismatch);
@@ -65,7 +67,7 @@
 pub struct DeparturesValue {
     /// Number of departures recorded so far, which is the number of the newest record.
     #[prost(uint64, tag = "1")]
-    pub recorded: u64,
+    pub last_number: u64,
     /// The records that are kept, one per engine, with increasing numbers.
     #[prost(message, repeated, tag = "2")]
     pub departures: Vec<Departure>,
@@ -79,7 +81,7 @@
     pub engine: String,
     /// Number of the engine's call that reported it: calls up to this one cannot make the engine ready again.
     #[prost(uint64, tag = "2")]
-    pub call: u64,
+    pub call_seq: u64,
     /// A [`super::EngineState`]; never `Ready`.
     #[prost(enumeration = "super::EngineState", tag = "3")]
     pub state: i32,
@@ -100,7 +102,7 @@
     /// Name of the last node that may have acted as the holder: a new holder on another node waits until that node's
     /// lease has expired.
     #[prost(string, tag = "3")]
-    pub acting: String,
+    pub acting_node: String,
     /// The raise that produced the fencing token.
     #[prost(message, optional, tag = "4")]
     pub raise: Option<RaiseId>,
@@ -126,7 +128,7 @@
     pub kind: Option<ChangeKind>,
     /// Number of times that the request was forwarded.
     #[prost(uint32, tag = "5")]
-    pub hops: u32,
+    pub forward_count: u32,
 }
 
 /// Kinds of changes.
@@ -134,13 +136,13 @@
 pub enum ChangeKind {
     /// Replaces the configuration.
     #[prost(message, tag = "1")]
-    Replace(ReplaceConfig),
+    ReplaceConfig(ReplaceConfig),
     /// Sets the target version of a model's weights.
     #[prost(message, tag = "2")]
-    Name(SetTargetVersion),
+    SetTargetVersion(SetTargetVersion),
     /// Raises the fencing token of a lease.
     #[prost(message, tag = "3")]
-    Raise(RaiseFencingToken),
+    RaiseFencingToken(RaiseFencingToken),
     /// Changes nothing: asks the key's owner to complete a pending round and to confirm that its value is current.
     #[prost(string, tag = "4")]
     Confirm(String),
@@ -149,18 +151,18 @@
     RecordDepartures(RecordDepartures),
 }
 
-/// Replaces the configuration `base` by a newer one.
+/// Replaces the configuration `base_version` by a newer one.
 #[derive(Clone, PartialEq, Message)]
 pub struct ReplaceConfig {
     /// Version that the operator assumes to be in force; the change is stale if it is not.
     #[prost(uint64, tag = "1")]
-    pub base: u64,
+    pub base_version: u64,
     /// Version of the new configuration; has to be above the one in force.
     #[prost(uint64, tag = "2")]
     pub version: u64,
     /// The operator's configuration body (JSON), compressed with deflate.
     #[prost(bytes = "bytes", tag = "4")]
-    pub packed: bytes::Bytes,
+    pub compressed_body: bytes::Bytes,
 }
 
 /// Records the departure of engines. Engines already recorded with the same or a later call are left unchanged.
@@ -201,7 +203,7 @@
     /// Does not raise the token: states that the former holder's lease has expired and that this node acts from now
     /// on. Stale unless the raise with this id is still the newest.
     #[prost(bool, tag = "4")]
-    pub acts: bool,
+    pub records_takeover: bool,
 }
 
 /// Result of a change.
@@ -211,13 +213,13 @@
     /// The result is unknown: the change may still be committed.
     Unknown = 0,
     /// Committed, by this request or an earlier one.
-    Done = 1,
+    Committed = 1,
     /// Not committed and never will be: a different version follows the given base.
     Stale = 2,
     /// Not committed: the value violates a rule.
     Invalid = 3,
     /// A majority was queried, and its state does not show whether the change was ever committed.
-    Unproven = 4,
+    Undetermined = 4,
 }
 
 /// Answer to [`ChangeRequest`].
--- a/crates/fleet-core/src/wire/configurations.rs
+++ b/crates/fleet-core/src/wire/configurations.rs
@@ -23,13 +23,13 @@
     #[prost(bytes = "bytes", tag = "3")]
     pub digest: bytes::Bytes,
     /// The body; `None` if the router has this body already.
-    #[prost(oneof = "ConfigForm", tags = "4, 5")]
-    pub form: Option<ConfigForm>,
+    #[prost(oneof = "ConfigPayload", tags = "4, 5")]
+    pub payload: Option<ConfigPayload>,
 }
 
 /// Encoding of a configuration body.
 #[derive(Clone, PartialEq, Eq, prost::Oneof)]
-pub enum ConfigForm {
+pub enum ConfigPayload {
     /// The complete body, compressed.
     #[prost(bytes = "bytes", tag = "4")]
     Full(bytes::Bytes),
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -4,7 +4,7 @@
 
 /// A version of a model's weights.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Weights {
+pub struct WeightsVersion {
     /// Name of the model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -22,7 +22,7 @@
     pub id: String,
     /// Number of the engine's call that reported this state (`callSeq`); increases within an instance.
     #[prost(uint64, tag = "2")]
-    pub call: u64,
+    pub call_seq: u64,
     /// Name of the service that the engine belongs to.
     #[prost(string, tag = "3")]
     pub service: String,
@@ -40,7 +40,7 @@
     pub state: i32,
     /// Loaded weights, one entry per model.
     #[prost(message, repeated, tag = "8")]
-    pub weights: Vec<Weights>,
+    pub weights: Vec<WeightsVersion>,
     /// No heartbeat for `MISSED_HEARTBEAT_PERIODS` periods, as observed by the sending controller.
     #[prost(bool, tag = "9")]
     pub heartbeat_missed: bool,
--- a/crates/fleet-core/src/wire/invalidations.rs
+++ b/crates/fleet-core/src/wire/invalidations.rs
@@ -1,6 +1,6 @@
 //! Messages of the invalidation ring and the prompt index.
 
-use super::Weights;
+use super::WeightsVersion;
 use prost::Message;
 
 /// Position of the invalidation ring or of a relay's copy; pushed to its readers when it changes.
@@ -20,7 +20,7 @@
     pub owner: String,
     /// Number of findings (parts that were found to be cached by holders) counted so far.
     #[prost(uint64, tag = "5")]
-    pub found: u64,
+    pub finding_count: u64,
 }
 
 /// Requests the entries after the reader's cursor.
@@ -40,10 +40,10 @@
     pub reader: u64,
     /// Requests a snapshot to start from.
     #[prost(bool, tag = "5")]
-    pub refill: bool,
-    /// Number of findings that the reader has seen, as counted by `RingHead::found`.
+    pub request_snapshot: bool,
+    /// Number of findings that the reader has seen, as counted by `RingHead::finding_count`.
     #[prost(uint64, tag = "6")]
-    pub found: u64,
+    pub finding_count: u64,
 }
 
 /// Answer to [`RingRequest`]. Without a head, the index owner does not know yet, and the reader has to retry later.
@@ -76,7 +76,7 @@
     pub scope: u64,
     /// What is invalidated; entries of an unknown kind are skipped.
     #[prost(oneof = "Invalidation", tags = "2, 3, 4, 5")]
-    pub what: Option<Invalidation>,
+    pub invalidation: Option<Invalidation>,
 }
 
 /// What a ring entry invalidates.
@@ -90,7 +90,7 @@
     Holder(String),
     /// All parts cached under older weights of a model.
     #[prost(message, tag = "4")]
-    Weights(Weights),
+    Weights(WeightsVersion),
     /// All parts cached under older generations of the shared isolation.
     #[prost(uint64, tag = "5")]
     Isolation(u64),
--- a/crates/fleet-core/src/wire/leases.rs
+++ b/crates/fleet-core/src/wire/leases.rs
@@ -14,7 +14,7 @@
     pub incarnation: u64,
     /// Duration of the lease in ms. Members use the duration in their own settings.
     #[prost(uint64, tag = "3")]
-    pub ms: u64,
+    pub duration_ms: u64,
     /// Releases the lease.
     #[prost(bool, tag = "4")]
     pub release: bool,
@@ -26,7 +26,7 @@
     pub membership: u64,
     /// Increases with each message of the incarnation, so that delayed messages are detected.
     #[prost(uint64, tag = "7")]
-    pub number: u64,
+    pub sequence: u64,
 }
 
 /// Answer to [`LeaseRequest`].
@@ -34,5 +34,5 @@
 pub struct LeaseResponse {
     /// Granted: the member grants this lease to no other node until the lease has expired, counted from its answer.
     #[prost(bool, tag = "1")]
-    pub ok: bool,
+    pub granted: bool,
 }
--- a/crates/fleet-core/src/wire/membership.rs
+++ b/crates/fleet-core/src/wire/membership.rs
@@ -81,7 +81,7 @@
     pub member: Member,
     /// The controller has no disk: it asks for the membership and never becomes a member.
     #[prost(bool, tag = "2")]
-    pub observes: bool,
+    pub is_observer: bool,
     /// How long its process has been running, in ms.
     #[prost(uint64, tag = "3")]
     pub running_ms: u64,
--- a/crates/fleet-core/src/wire/registers.rs
+++ b/crates/fleet-core/src/wire/registers.rs
@@ -58,7 +58,7 @@
     pub recovery_epoch: u64,
     /// Accepted ballot of the proposer's own acceptor; values that are not newer may be omitted from the answer.
     #[prost(message, required, tag = "5")]
-    pub own_accepted: Ballot,
+    pub proposer_accepted: Ballot,
 }
 
 /// Asks a voter whether the key's owner has timed out, before any ballot is prepared.
@@ -77,7 +77,7 @@
 pub struct PreVoteResponse {
     /// Whether this voter would take part in an election now.
     #[prost(bool, tag = "1")]
-    pub ok: bool,
+    pub granted: bool,
     /// Ballot that the voter has promised for the key; its node is the owner.
     #[prost(message, required, tag = "2")]
     pub promised: Ballot,
@@ -95,7 +95,7 @@
     /// The round in which the value is proposed.
     #[prost(message, required, tag = "3")]
     pub ballot: Ballot,
-    /// The proposed value; empty if `same_as` is set.
+    /// The proposed value; empty if `same_value_as` is set.
     #[prost(bytes = "bytes", tag = "4")]
     pub value: bytes::Bytes,
     /// Recovery epoch of the sender; rejected if the receiver's is later.
@@ -103,7 +103,7 @@
     pub recovery_epoch: u64,
     /// Replaces the value: the ballot with which this voter has accepted the identical value.
     #[prost(message, optional, tag = "6")]
-    pub same_as: Option<Ballot>,
+    pub same_value_as: Option<Ballot>,
 }
 
 /// Answer to [`Prepare`] and [`Accept`]; sent only after the state that it reports is on the voter's disk.
@@ -111,7 +111,7 @@
 pub struct Vote {
     /// Whether the voter promised or accepted.
     #[prost(bool, tag = "1")]
-    pub ok: bool,
+    pub granted: bool,
     /// On a promise, the voter's register with its value; on a rejection, its ballots without the value, if the voter
     /// has the key; otherwise `None`.
     #[prost(message, optional, tag = "2")]
@@ -219,7 +219,7 @@
     pub offset: u64,
     /// Size of the complete value in bytes.
     #[prost(uint64, tag = "3")]
-    pub total: u64,
+    pub total_bytes: u64,
     /// Content of this part.
     #[prost(bytes = "bytes", tag = "4")]
     pub bytes: bytes::Bytes,
--- a/crates/fleet-core/src/wire/views.rs
+++ b/crates/fleet-core/src/wire/views.rs
@@ -53,7 +53,7 @@
     pub routers: u32,
     /// This reader is behind by more than half of the ring and should fetch immediately.
     #[prost(bool, tag = "7")]
-    pub nudge: bool,
+    pub catch_up: bool,
     /// Position of the sender's copy of the invalidation ring, which routers may read instead of the index owner's.
     #[prost(message, optional, tag = "8")]
     pub ring_relay: Option<RingHead>,
--- a/crates/fleet-core/tests/load.rs
+++ b/crates/fleet-core/tests/load.rs
@@ -17,9 +17,9 @@
 #[test]
 fn packed_loads_round_tokens_up() {
     let report = encode_report(&single_engine("e", load(65, 4)));
-    let unpacked: LoadByEngine = decode_report(&report).collect();
+    let decoded: LoadByEngine = decode_report(&report).collect();
     assert_eq!(
-        unpacked[&engine_key("e")],
+        decoded[&engine_key("e")],
         Load { pending_prefill_tokens: 128, in_flight: 4, interactive: 2 }
     );
     assert!(encode_report(&single_engine("e", Load::default())).keys.is_empty());
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -3,7 +3,7 @@
 
 use fleet_core::load::{Load, LoadByEngine, encode_report};
 use fleet_core::wire::{
-    CachedParts, Engine, FleetUpdate, Invalidation, PartLocation, RingEntry, Weights,
+    CachedParts, Engine, FleetUpdate, Invalidation, PartLocation, RingEntry, WeightsVersion,
 };
 use prost::Message;
 
@@ -42,12 +42,12 @@
         engines: (0..n)
             .map(|i| Engine {
                 id: format!("i-{i:010x}"),
-                call: 100,
+                call_seq: 100,
                 service: "huvo11a".into(),
                 address: "10.128.100.100:8080".into(),
                 zone: "zone-a".into(),
                 slots: 12,
-                weights: vec![Weights { model: "daka510000".into(), version: 2 }],
+                weights: vec![WeightsVersion { model: "daka510000".into(), version: 2 }],
                 ..Default::default()
             })
             .collect(),
@@ -56,7 +56,7 @@
     assert!(slope("view, an engine", |n| engine(n).encoded_len()) <= 96.0);
     let entry = |i: usize| RingEntry {
         scope: 0,
-        what: Some(Invalidation::Part(PartLocation {
+        invalidation: Some(Invalidation::Part(PartLocation {
             holder: format!("i-{i:010x}"),
             salt: "daka510000|2|#1".into(),
             part: u64::MAX >> 16,
--- a/crates/fleet-core/tests/wire_format.rs
+++ b/crates/fleet-core/tests/wire_format.rs
@@ -59,13 +59,13 @@
 fn engine() -> Engine {
     Engine {
         id: "e1".into(),
-        call: 8,
+        call_seq: 8,
         service: "s".into(),
         address: "10.0.0.9:80".into(),
         zone: "z2".into(),
         slots: 9,
         state: EngineState::Draining as i32,
-        weights: vec![Weights { model: "m".into(), version: 10 }],
+        weights: vec![WeightsVersion { model: "m".into(), version: 10 }],
         heartbeat_missed: true,
         update_seq: 11,
         drain_seq: 12,
@@ -73,7 +73,13 @@
 }
 
 fn ring_head() -> RingHead {
-    RingHead { fencing_token: 1, incarnation: 2, head: 3, owner: "10.0.0.2".into(), found: 4 }
+    RingHead {
+        fencing_token: 1,
+        incarnation: 2,
+        head: 3,
+        owner: "10.0.0.2".into(),
+        finding_count: 4,
+    }
 }
 
 fn cached_parts() -> CachedParts {
@@ -85,12 +91,12 @@
     }
 }
 
-fn entry(what: Invalidation) -> RingEntry {
-    RingEntry { scope: 21, what: Some(what) }
+fn entry(invalidation: Invalidation) -> RingEntry {
+    RingEntry { scope: 21, invalidation: Some(invalidation) }
 }
 
 fn change(kind: ChangeKind) -> Body {
-    Body::ChangeRequest(ChangeRequest { kind: Some(kind), hops: 2 })
+    Body::ChangeRequest(ChangeRequest { kind: Some(kind), forward_count: 2 })
 }
 
 fn raise_id() -> RaiseId {
@@ -112,7 +118,7 @@
         membership: 1,
         ballot: ballot(2),
         recovery_epoch: 3,
-        own_accepted: ballot(4),
+        proposer_accepted: ballot(4),
     };
     let accept = Accept {
         key: "config".into(),
@@ -120,10 +126,10 @@
         ballot: ballot(2),
         value: vec![9].into(),
         recovery_epoch: 3,
-        same_as: Some(ballot(4)),
+        same_value_as: Some(ballot(4)),
     };
     let vote = Vote {
-        ok: true,
+        granted: true,
         register: Some(register()),
         membership: Some(membership()),
         recovery_epoch: 3,
@@ -136,8 +142,8 @@
     };
     let recover = RecoverRequest { membership: 1, incarnation: 2, recovery_epoch: 3 };
     let chunk_request = ValueChunkRequest { key: "config".into(), ballot: ballot(2), offset: 3 };
-    let chunk = ValueChunk { ballot: ballot(2), offset: 3, total: 4, bytes: vec![5].into() };
-    let join = JoinRequest { member: member(), observes: true, running_ms: 12 };
+    let chunk = ValueChunk { ballot: ballot(2), offset: 3, total_bytes: 4, bytes: vec![5].into() };
+    let join = JoinRequest { member: member(), is_observer: true, running_ms: 12 };
     vec![
         ("4", Body::Prepare(prepare)),
         ("5", Body::Accept(accept)),
@@ -156,37 +162,43 @@
         ("28", Body::ValueChunkRequest(chunk_request)),
         ("29", Body::ValueChunk(chunk)),
         ("40", Body::PreVoteRequest(PreVoteRequest { key: "config".into(), membership: 1 })),
-        ("41", Body::PreVoteResponse(PreVoteResponse { ok: true, promised: ballot(2) })),
+        ("41", Body::PreVoteResponse(PreVoteResponse { granted: true, promised: ballot(2) })),
         ("42", Body::OwnerResigned(Empty {})),
     ]
 }
 
 /// Changes of the control state and their outcomes.
 fn change_bodies() -> Vec<(&'static str, Body)> {
-    let replace = ReplaceConfig { base: 1, version: 2, packed: vec![3].into() };
+    let replace = ReplaceConfig { base_version: 1, version: 2, compressed_body: vec![3].into() };
     let raise = RaiseFencingToken {
         lease_name: "roll-out".into(),
         holder: "n1".into(),
         id: raise_id(),
-        acts: true,
+        records_takeover: true,
     };
     let departures = RecordDepartures { departures: vec![departure(0)], forget_through: 8 };
     vec![
-        ("13-replace", change(ChangeKind::Replace(replace))),
-        ("13-name", change(ChangeKind::Name(SetTargetVersion { model: "m".into(), version: 2 }))),
-        ("13-raise", change(ChangeKind::Raise(raise))),
+        ("13-replace", change(ChangeKind::ReplaceConfig(replace))),
+        (
+            "13-name",
+            change(ChangeKind::SetTargetVersion(SetTargetVersion {
+                model: "m".into(),
+                version: 2,
+            })),
+        ),
+        ("13-raise", change(ChangeKind::RaiseFencingToken(raise))),
         ("13-confirm", change(ChangeKind::Confirm("config".into()))),
         ("13-departures", change(ChangeKind::RecordDepartures(departures))),
         ("14-unknown", change_response(Outcome::Unknown)),
-        ("14-done", change_response(Outcome::Done)),
+        ("14-done", change_response(Outcome::Committed)),
         ("14-stale", change_response(Outcome::Stale)),
         ("14-invalid", change_response(Outcome::Invalid)),
-        ("14-unproven", change_response(Outcome::Unproven)),
+        ("14-unproven", change_response(Outcome::Undetermined)),
     ]
 }
 
 fn departure(number: u64) -> Departure {
-    Departure { engine: "e1".into(), call: 5, state: EngineState::Draining as i32, number }
+    Departure { engine: "e1".into(), call_seq: 5, state: EngineState::Draining as i32, number }
 }
 
 /// Messages about leases, engines and routers, and messages pushed to routers.
@@ -201,11 +213,11 @@
     let lease = LeaseRequest {
         lease_name: "roll-out".into(),
         incarnation: 2,
-        ms: 3,
+        duration_ms: 3,
         release: true,
         node: "n1".into(),
         membership: 6,
-        number: 7,
+        sequence: 7,
     };
     let update = FleetUpdate {
         membership: Some(membership()),
@@ -214,7 +226,7 @@
         engines: vec![engine()],
         ring: Some(ring_head()),
         routers: 6,
-        nudge: true,
+        catch_up: true,
         ring_relay: None,
     };
     let loads = LoadReport {
@@ -223,14 +235,19 @@
         in_flight: vec![5, 6],
         interactive: vec![7, 8],
     };
-    let response = |form| {
+    let response = |payload| {
         let digest = vec![3].into();
-        Body::ConfigResponse(ConfigResponse { version: 1, isolation: 2, digest, form: Some(form) })
+        Body::ConfigResponse(ConfigResponse {
+            version: 1,
+            isolation: 2,
+            digest,
+            payload: Some(payload),
+        })
     };
     vec![
         ("3", Body::Handshake(handshake)),
         ("15", Body::LeaseRequest(lease)),
-        ("16", Body::LeaseResponse(LeaseResponse { ok: true })),
+        ("16", Body::LeaseResponse(LeaseResponse { granted: true })),
         (
             "17",
             Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine()], request_all: true }),
@@ -241,8 +258,8 @@
         ("25", Body::Acknowledged(Empty {})),
         ("27", Body::LoadReport(loads)),
         ("32", Body::ConfigRequest(ConfigRequest { digest: vec![1].into() })),
-        ("33-whole", response(ConfigForm::Full(vec![4].into()))),
-        ("33-delta", response(ConfigForm::Delta(vec![5].into()))),
+        ("33-whole", response(ConfigPayload::Full(vec![4].into()))),
+        ("33-delta", response(ConfigPayload::Delta(vec![5].into()))),
     ]
 }
 
@@ -253,14 +270,14 @@
         incarnation: 2,
         cursor: 3,
         reader: 4,
-        refill: true,
-        found: 6,
+        request_snapshot: true,
+        finding_count: 6,
     };
     let part = PartLocation { holder: "e1".into(), salt: "salt".into(), part: 3, cached_tokens: 4 };
     let entries = vec![
         entry(Invalidation::Part(part)),
         entry(Invalidation::Holder("e1".into())),
-        entry(Invalidation::Weights(Weights { model: "m".into(), version: 2 })),
+        entry(Invalidation::Weights(WeightsVersion { model: "m".into(), version: 2 })),
         entry(Invalidation::Isolation(5)),
     ];
     let response = RingResponse {
@@ -287,17 +304,17 @@
         version: 1,
         isolation: 2,
         history: vec![3].into(),
-        packed: vec![4].into(),
+        compressed_body: vec![4].into(),
         digest: vec![5].into(),
         isolated: vec!["t".into()],
     };
     let lease = LeaseValue {
         fencing_token: 1,
         holder: "n1".into(),
-        acting: "n2".into(),
+        acting_node: "n2".into(),
         raise: Some(raise_id()),
     };
-    let departures = DeparturesValue { recorded: 9, departures: vec![departure(9)] };
+    let departures = DeparturesValue { last_number: 9, departures: vec![departure(9)] };
     let chunk = DeltaOp { from: 1, length: 2, insert: vec![3] };
     vec![
         ("value-config", config.encode_to_vec()),
--- a/crates/invalidation/src/cache.rs
+++ b/crates/invalidation/src/cache.rs
@@ -2,7 +2,7 @@
 //! owner's index, or a router's prompt index.
 
 use crate::salt::parse_salt;
-use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry, Weights};
+use fleet_core::wire::{CachedParts, Invalidation, PartLocation, RingEntry, WeightsVersion};
 
 /// A record of which prompt parts each holder (an engine or a store) has cached.
 pub trait Cache {
@@ -23,7 +23,7 @@
 }
 
 /// Whether a salt names the same model with an older version of its weights.
-pub fn has_older_weights(salt: &str, weights: &Weights) -> bool {
+pub fn has_older_weights(salt: &str, weights: &WeightsVersion) -> bool {
     parse_salt(salt)
         .is_some_and(|salt| salt.model == weights.model && salt.version < weights.version)
 }
@@ -40,7 +40,7 @@
     if entry.scope != 0 && !in_scope(entry.scope) {
         return false;
     }
-    match &entry.what {
+    match &entry.invalidation {
         Some(Invalidation::Part(PartLocation { holder, salt, part, cached_tokens })) => {
             cache.evict_part(holder, salt, *part, *cached_tokens);
         }
--- a/crates/invalidation/src/reader.rs
+++ b/crates/invalidation/src/reader.rs
@@ -34,13 +34,18 @@
     fencing_token: u64,
     incarnation: u64,
     cursor: u64,
-    found: u64,
+    finding_count: u64,
 }
 
 impl RingPosition {
-    /// A position in the ring with this fencing token and incarnation; `found` is the number of findings seen.
-    pub fn new(fencing_token: u64, incarnation: u64, cursor: u64, found: u64) -> RingPosition {
-        RingPosition { fencing_token, incarnation, cursor, found }
+    /// A position in the ring with this fencing token and incarnation; `finding_count` is the number of findings seen.
+    pub fn new(
+        fencing_token: u64,
+        incarnation: u64,
+        cursor: u64,
+        finding_count: u64,
+    ) -> RingPosition {
+        RingPosition { fencing_token, incarnation, cursor, finding_count }
     }
 
     /// The fencing token of the index owner whose ring this is; 0 before the first response.
@@ -65,8 +70,8 @@
             incarnation: self.incarnation,
             cursor: self.cursor,
             reader,
-            refill: *self == RingPosition::default(),
-            found: self.found,
+            request_snapshot: *self == RingPosition::default(),
+            finding_count: self.finding_count,
         }
     }
 }
@@ -91,7 +96,7 @@
         fencing_token: head.fencing_token,
         incarnation: head.incarnation,
         cursor: response.cursor,
-        found: head.found,
+        finding_count: head.finding_count,
     };
     let RingResponse { reset, snapshot, entries, .. } = response;
     let has_changes = reset || !entries.is_empty() || !snapshot.is_empty();
--- a/crates/invalidation/src/view_tests.rs
+++ b/crates/invalidation/src/view_tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use fleet_core::wire::{Invalidation, PartLocation};
 
-fn ring_entry(what: Invalidation) -> RingEntry {
-    RingEntry { scope: 0, what: Some(what) }
+fn ring_entry(invalidation: Invalidation) -> RingEntry {
+    RingEntry { scope: 0, invalidation: Some(invalidation) }
 }
 
 #[test]
@@ -29,7 +29,7 @@
     assert!(!view.holds("e1", part_key(&old_salt, 1)));
     assert!(view.holds("e1", part_key(&old_salt, 2)) && view.holds("e1", part_key(&new_salt, 1)));
     view.apply(
-        &ring_entry(Invalidation::Weights(fleet_core::wire::Weights {
+        &ring_entry(Invalidation::Weights(fleet_core::wire::WeightsVersion {
             model: "m".into(),
             version: 2,
         })),
--- a/crates/router/tests/version_bound.rs
+++ b/crates/router/tests/version_bound.rs
@@ -12,7 +12,7 @@
 use data_plane::load_balancer::prompt::Prompt;
 use fleet_core::constants;
 use fleet_core::settings::Settings;
-use fleet_core::wire::{Engine, Weights};
+use fleet_core::wire::{Engine, WeightsVersion};
 use proptest::prelude::*;
 use std::sync::Arc;
 use std::time::Duration;
@@ -110,12 +110,12 @@
         self.engine_call_number += 1;
         let engine = Engine {
             id: "e1".into(),
-            call: self.engine_call_number,
+            call_seq: self.engine_call_number,
             service: "s".into(),
             address: "127.0.0.1:1".into(),
             zone: "z".into(),
             slots: 8,
-            weights: vec![Weights { model: "m".into(), version: self.engine_version }],
+            weights: vec![WeightsVersion { model: "m".into(), version: self.engine_version }],
             ..Default::default()
         };
         for controller in &self.controllers {
--- a/crates/simulation/src/read_workload.rs
+++ b/crates/simulation/src/read_workload.rs
@@ -135,7 +135,7 @@
     let answer =
         link.call(Body::ConfigRequest(request), fleet_core::constants::CONFIG_FETCH_TIMEOUT).await;
     let Ok(Body::ConfigResponse(response)) = answer else { return None };
-    if response.form.is_none() {
+    if response.payload.is_none() {
         return current
             .filter(|current| current.digest.as_bytes() == &response.digest[..])
             .cloned();
