--- a/crates/simulation/src/checker/changes.rs
+++ b/crates/simulation/src/checker/changes.rs
@@ -20,7 +20,7 @@
     }
 
     /// Whether it was in effect before `other` was first sent. If `other` does not build on it, it was lost.
-    pub(super) fn was_superseded_by(&self, other: &Change) -> bool {
+    pub(super) fn was_in_effect_before(&self, other: &Change) -> bool {
         self.in_effect_by().is_some_and(|by| by < other.first_invoked)
     }
 
@@ -35,7 +35,7 @@
 
 pub(super) struct Changes {
     pub(super) all: BTreeMap<Version, Change>,
-    /// reads of versions that no operator sent
+    /// Reads of versions that no operator sent.
     pub(super) unsent: Vec<Read>,
 }
 
--- a/crates/simulation/src/checker/configuration.rs
+++ b/crates/simulation/src/checker/configuration.rs
@@ -21,7 +21,7 @@
                 "{:?} on base {} and {:?} on base {} are both in effect",
                 before.version, before.base, after.version, after.base
             );
-            let is_lost = before.was_superseded_by(after) || after.was_superseded_by(before);
+            let is_lost = before.was_in_effect_before(after) || after.was_in_effect_before(before);
             findings.add(if is_lost { Invariant::Durability } else { Invariant::Chain }, why);
         }
     }
--- a/crates/simulation/src/constants.rs
+++ b/crates/simulation/src/constants.rs
@@ -1,96 +1,97 @@
-//! Parameters of the simulation, with their units and reasons.
+//! Parameters of the simulation, with their reasons.
 
 use std::time::Duration;
 
-/// us; minimum delay of a chunk of bytes between two machines, that of a hop inside a zone.
+/// Minimum delay of a chunk of bytes between two machines, that of a hop inside a zone.
 pub const MIN_DELAY_US: u64 = 200;
-/// us; maximum additional delay of a chunk, so that messages on different links overtake each other.
+/// Maximum additional delay of a chunk, so that messages on different links overtake each other.
 pub const DELAY_JITTER_US: u64 = 1800;
-/// us; maximum additional delay of a chunk on a slow link, long enough for callers to time out first.
+/// Maximum additional delay of a chunk on a slow link, long enough for callers to time out first.
 pub const SLOW_LINK_JITTER_US: u64 = 400_000;
-/// bytes; capacity of a stream's buffer, beyond which its writer waits.
+/// Capacity of a stream's buffer; a writer waits while the buffer is full.
 pub const STREAM_BUFFER_BYTES: usize = 64 << 10;
-/// connections; a listener's queue of connections that it has not yet accepted.
+/// Maximum number of connections that wait for a listener to accept them.
 pub const BACKLOG: usize = 256;
-/// ms; a connection that is blocked for this long is closed, as the kernel's TCP user timeout does.
+/// A connection that is blocked for this long is closed, as by the kernel's TCP user timeout.
 pub const BLOCKED_STREAM_TIMEOUT: Duration = fleet_core::constants::TCP_USER_TIMEOUT;
-/// us; minimum duration of a synced write.
+/// Minimum duration of a synced write.
 pub const MIN_SYNC_US: u64 = 300;
-/// us; maximum additional duration of a synced write.
+/// Maximum additional duration of a synced write.
 pub const SYNC_JITTER_US: u64 = 2700;
-/// ms; additional duration of each synced write on a slow disk.
+/// Additional duration of each synced write on a slow disk.
 pub const SLOW_DISK_DELAY: Duration = Duration::from_millis(150);
-/// s; a caller of `control` tries another node if it got no response within this time.
+/// A caller of `control` tries another node if it got no response within this time.
 pub const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
-/// ms; an operator's first pause before it resends an update; doubles with each attempt.
+/// An operator's first pause before it resends an update; doubles with each attempt.
 pub const RESEND_BACKOFF_MS: u64 = 60;
-/// ms; an operator's longest pause before it resends an update.
+/// An operator's longest pause before it resends an update.
 pub const MAX_RESEND_BACKOFF_MS: u64 = 1000;
-/// attempts; an operator abandons an update after this many without a definite response.
+/// An operator abandons an update after this many attempts without a definite response.
 pub const MAX_SEND_ATTEMPTS: usize = 12;
-/// ms; mean pause between two updates of one operator.
+/// Mean pause between two updates of one operator.
 pub const UPDATE_INTERVAL_MS: u64 = 250;
-/// ms; base of the random pause between two reads of one reader.
+/// Base of the random pause between two reads of one reader.
 pub const READ_INTERVAL_MS: u64 = 120;
-/// ms; interval at which leases and memberships are sampled.
+/// Interval at which leases and memberships are sampled.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
-/// s; time before the first fault, in which the machines bootstrap the membership and grow it to five.
+/// Time before the first fault, in which the machines bootstrap the membership and grow it to five.
 pub const WARM_UP: Duration = Duration::from_secs(8);
-/// s; faults begin within this time after the warm-up.
+/// Faults begin within this time after the warm-up.
 pub const FAULT_WINDOW: Duration = Duration::from_secs(25);
-/// s; a change must be acknowledged within this time after the last fault: several times the duration
+/// A change must be acknowledged within this time after the last fault: several times the duration
 /// of an election, a recovery and a link's reconnection together.
 pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(12);
-/// s; maximum duration of one fault.
+/// Maximum duration of one fault.
 pub const MAX_FAULT_DURATION: Duration = Duration::from_secs(12);
-/// port; where controllers accept links from each other.
+/// Port on which controllers accept links from each other.
 pub const PEER_PORT: u16 = 7100;
-/// port; the `control` address in the settings. Simulated callers call the controller directly.
+/// Port of the `control` address in the settings. Simulated callers call the controller directly.
 pub const CONTROL_PORT: u16 = 8080;
-/// ms; a restarted or new machine counts as lost for this long, the time that the platform allows for
+/// A restarted or new machine counts as lost for this long, the time that the platform allows for
 /// catching up.
 pub const CATCH_UP_MS: u64 = 4000;
-/// machines; number of seed addresses in the settings.
+/// Number of seed addresses in the settings.
 pub const SEED_COUNT: usize = 3;
-/// ms; all machines start within this time.
+/// All machines start within this time.
 pub const MAX_START_DELAY_MS: u64 = 300;
-/// ms; interval between two heartbeats of an engine.
+/// Interval between two heartbeats of an engine.
 pub const HEARTBEAT_MS: u64 = 1000;
-/// percent; engine heartbeats that are delayed.
+/// Share of engine heartbeats that are delayed.
 pub const DELAYED_HEARTBEAT_PERCENT: u64 = 30;
-/// ms; maximum delay of a delayed heartbeat.
+/// Maximum delay of a delayed heartbeat.
 pub const MAX_HEARTBEAT_DELAY_MS: u64 = 10_000;
-/// ms; an engine announces its departure within this time from the start of the run.
+/// An engine announces its departure within this time from the start of the run.
 pub const MAX_DEPARTURE_MS: u64 = 30_000;
-/// s; time limit for the final read at one node.
+/// Time limit for the final read at one node.
 pub const FINAL_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// s; time that each workload has to finish its last call at the end of the run.
+/// Time that each workload has to finish its last call at the end of the run.
 pub const WORKLOAD_STOP_TIMEOUT: Duration = Duration::from_secs(3);
-/// percent; updates with a body that must be rejected as invalid.
+/// Share of updates with a body that must be rejected as invalid.
 pub const INVALID_UPDATE_PERCENT: u64 = 8;
-/// percent; updates that repeat an earlier acknowledged one.
+/// Share of updates that repeat an earlier acknowledged one.
 pub const REPEATED_UPDATE_PERCENT: u64 = 15;
 /// Second octet of the addresses of machines.
 pub const MACHINE_OCTET: u8 = 0;
 /// Second octet of the addresses of clients outside the cluster.
 pub const CLIENT_OCTET: u8 = 9;
-/// zones; number of zones that the machines are distributed over.
+/// Number of zones that the machines are distributed over.
 pub const ZONE_COUNT: u8 = 3;
-/// port; where the echo service for link calls listens.
+/// Port on which the echo service for link calls listens.
 pub const ECHO_PORT: u16 = 7300;
-/// ms; timeout of a call to the echo service.
+/// Timeout of a call to the echo service.
 pub const ECHO_TIMEOUT: Duration = Duration::from_millis(300);
-/// ms; maximum delay of the echo service's response; longer than the timeout, so that some come too late.
+/// Maximum delay of the echo service's response; longer than the timeout, so that some responses come
+/// too late.
 pub const MAX_ECHO_DELAY_MS: u64 = 400;
-/// ms; interval between two calls to the echo service.
+/// Interval between two calls to the echo service.
 pub const ECHO_INTERVAL_MS: u64 = 40;
-/// ms; a router switches to another controller after at most this time.
+/// A router switches to another controller after at most this time.
 pub const MAX_ROUTER_LINK_MS: u64 = 6000;
-/// s; a process that was told to leave is killed after this time, the platform's grace period.
+/// A process that is shutting down is killed after this time, the platform's grace period.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(8);
-/// ms; duration of a lease.
+/// Duration of a lease.
 pub const LEASE_MS: u64 = 3000;
-/// ms; duration of a lease on the node with the injected bug `LongLease`.
+/// Duration of a lease on the node with the injected bug `LongLease`.
 pub const LONG_LEASE_MS: u64 = 30_000;
-/// reads; attempts of an operator to find out the current version before it goes on.
+/// Number of reads in which an operator tries to find out the current version before it goes on.
 pub const MAX_RESOLVE_ATTEMPTS: usize = 6;
--- a/crates/simulation/src/disk.rs
+++ b/crates/simulation/src/disk.rs
@@ -25,7 +25,7 @@
     image: Arc<Mutex<State>>,
     condition: watch::Sender<Condition>,
     rng: Arc<Mutex<fastrand::Rng>>,
-    /// loses half of the writes that it acknowledges: an injected bug for the checker to detect
+    /// Whether the disk loses half of the writes that it acknowledges, an injected bug that the checker must detect.
     loses_writes: bool,
 }
 
--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: drawn from a seed, saved, replayed, and left out one by one when a failing run is shrunk.
+//! The faults of a run: drawn from a seed, saved, replayed, and removed one by one to shrink a failing run.
 //!
 //! A [`Plan`] lists the scheduled [`Fault`]s of a run; a [`FaultMix`] selects the kinds that `shape` draws.
 
@@ -19,100 +19,100 @@
     /// The machine is partitioned from all other machines; clients may still reach it.
     #[serde(rename = "cut-off")]
     Isolation {
-        /// which machine
+        /// The machine that is partitioned.
         machine: usize,
-        /// whether it is partitioned from clients as well
+        /// Whether it is partitioned from clients as well.
         callers_too: bool,
     },
     /// Traffic from one machine to another is blocked; the reverse direction stays open.
     OneWay {
-        /// the sender
+        /// The machine whose outgoing traffic is blocked.
         from: usize,
-        /// the receiver
+        /// The machine that the traffic is addressed to.
         to: usize,
     },
     /// The connections between two machines are reset, once.
     Reset {
-        /// one end
+        /// One end of the connections.
         one: usize,
-        /// the other end
+        /// The other end of the connections.
         other: usize,
     },
     /// The clients cannot reach a machine, or only its responses are lost.
     #[serde(rename = "callers-cut")]
     ClientPartition {
-        /// which machine
+        /// The machine that clients cannot reach.
         machine: usize,
-        /// whether only responses are blocked, and calls still arrive
+        /// Whether only responses are blocked, so that calls still arrive.
         answers_only: bool,
     },
     /// The process is killed, and restarted when the fault ends.
     Kill {
-        /// which machine
+        /// The machine whose process is killed.
         machine: usize,
     },
-    /// The process is told to leave, and restarted when the fault ends.
+    /// The process is shut down gracefully, and restarted when the fault ends.
     Leave {
-        /// which machine
+        /// The machine whose process is shut down.
         machine: usize,
     },
     /// The machine loses power: unsynced writes are lost, and its connections hang.
     PowerLoss {
-        /// which machine
+        /// The machine that loses power.
         machine: usize,
     },
     /// The machine loses power, and its disk comes back empty.
     LoseDisk {
-        /// which machine
+        /// The machine that loses power and the content of its disk.
         machine: usize,
     },
     /// The machine neither sends, receives nor syncs; its timers continue.
     Freeze {
-        /// which machine
+        /// The machine that stops communicating and syncing.
         machine: usize,
     },
     /// Traffic to and from the machine is delayed, at times beyond the caller's timeout.
     SlowLinks {
-        /// which machine
+        /// The machine whose traffic is delayed.
         machine: usize,
     },
-    /// Each sync is slow.
+    /// Each sync is delayed.
     SlowDisk {
-        /// which machine
+        /// The machine with the slow disk.
         machine: usize,
     },
     /// Syncs do not complete.
     HungDisk {
-        /// which machine
+        /// The machine whose disk hangs.
         machine: usize,
     },
     /// Writes fail because the disk is full.
     FullDisk {
-        /// which machine
+        /// The machine whose disk is full.
         machine: usize,
     },
     /// The machine is removed permanently; when the fault ends, a new one with a new address and an empty disk replaces it.
     Replace {
-        /// which machine
+        /// The machine that is removed.
         machine: usize,
     },
     /// All machines go down at once, and are restarted together.
     AllDown {
-        /// whether they lose power, instead of only having their processes killed
+        /// Whether they lose power, instead of only having their processes killed.
         power: bool,
-        /// machines whose disks come back empty
+        /// The machines whose disks come back empty.
         wiped: Vec<usize>,
     },
     /// The seeds in a machine's settings are replaced by the addresses of the last machines.
     Reseed {
-        /// which machine
+        /// The machine whose settings change.
         machine: usize,
     },
 }
 
 impl FaultKind {
     /// The machine that may be unavailable during the fault, if any; `None` also for [`FaultKind::AllDown`].
-    pub fn machine_lost(&self) -> Option<usize> {
+    pub fn unavailable_machine(&self) -> Option<usize> {
         match self {
             FaultKind::Reset { .. }
             | FaultKind::ClientPartition { .. }
@@ -143,9 +143,9 @@
 /// A scheduled fault.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Start; ms since the run began.
+    /// Start, in milliseconds since the run began.
     pub from_ms: u64,
-    /// Duration; ms.
+    /// Duration in milliseconds.
     pub for_ms: u64,
     /// Kind of fault.
     #[serde(flatten)]
@@ -159,7 +159,7 @@
         other.from_ms < blocked_until(self) && self.from_ms < blocked_until(other)
     }
 
-    /// End; ms since the run began.
+    /// End, in milliseconds since the run began.
     pub fn end_ms(&self) -> u64 {
         self.from_ms + self.for_ms
     }
--- a/crates/simulation/src/fault/plan.rs
+++ b/crates/simulation/src/fault/plan.rs
@@ -18,7 +18,7 @@
     pub standbys: usize,
     /// Number of operators that send configurations.
     pub operators: usize,
-    /// ms; mean pause between two updates of one operator.
+    /// Mean pause between two updates of one operator.
     #[serde(rename = "order_pause_ms")]
     pub update_interval_ms: u64,
     /// Faults, ordered by start time.
@@ -54,7 +54,7 @@
         (self.members - 1) / 2
     }
 
-    /// End of the last fault, or of the warm-up if that is later; ms since the run began.
+    /// End of the last fault, or of the warm-up if that is later, in milliseconds since the run began.
     pub fn faults_end_ms(&self) -> u64 {
         let last = self.faults.iter().map(Fault::end_ms).max().unwrap_or(0);
         last.max(constants::WARM_UP.as_millis() as u64)
@@ -65,19 +65,20 @@
     fn allows(&self, new: &Fault) -> bool {
         let overlapping: Vec<&Fault> =
             self.faults.iter().filter(|fault| fault.overlaps(new)).collect();
-        let loses_machine =
-            |fault: &&&Fault| fault.kind.machine_lost().is_some() || fault.kind.is_full_outage();
+        let loses_machine = |fault: &&&Fault| {
+            fault.kind.unavailable_machine().is_some() || fault.kind.is_full_outage()
+        };
         if new.kind.is_full_outage() {
             return !overlapping.iter().any(|fault| loses_machine(&fault));
         }
-        let Some(machine) = new.kind.machine_lost() else { return true };
+        let Some(machine) = new.kind.unavailable_machine() else { return true };
         if overlapping.iter().any(|fault| fault.kind.is_full_outage())
             || self.affects_removed_machine(machine, new)
         {
             return false;
         }
         let mut others: Vec<usize> =
-            overlapping.iter().filter_map(|fault| fault.kind.machine_lost()).collect();
+            overlapping.iter().filter_map(|fault| fault.kind.unavailable_machine()).collect();
         others.sort_unstable();
         others.dedup();
         !others.contains(&machine) && others.len() < self.max_losses()
@@ -89,7 +90,7 @@
         let removed_before = self.faults.iter().any(is_removal);
         let is_removed_too_early = is_removal(new)
             && self.faults.iter().any(|fault| {
-                fault.kind.machine_lost() == Some(machine) && fault.from_ms > new.from_ms
+                fault.kind.unavailable_machine() == Some(machine) && fault.from_ms > new.from_ms
             });
         removed_before || is_removed_too_early
     }
--- a/crates/simulation/src/fault/tests.rs
+++ b/crates/simulation/src/fault/tests.rs
@@ -26,7 +26,7 @@
                 .faults
                 .iter()
                 .filter(|f| f.from_ms <= at && at < f.end_ms() + constants::CATCH_UP_MS)
-                .filter_map(|f| f.kind.machine_lost())
+                .filter_map(|f| f.kind.unavailable_machine())
                 .collect();
             assert!(lost.len() <= plan.max_losses(), "seed {seed} at {at}: {lost:?}");
         }
@@ -40,7 +40,7 @@
         for removal in &plan.faults {
             let FaultKind::Replace { machine } = removal.kind else { continue };
             let later = |fault: &&Fault| {
-                fault.kind.machine_lost() == Some(machine) && fault.from_ms > removal.from_ms
+                fault.kind.unavailable_machine() == Some(machine) && fault.from_ms > removal.from_ms
             };
             assert_eq!(plan.faults.iter().find(later), None, "seed {seed}");
         }
--- a/crates/simulation/src/machine.rs
+++ b/crates/simulation/src/machine.rs
@@ -54,7 +54,7 @@
 struct Process {
     start: u64,
     controller: Arc<Controller>,
-    /// taken by `shut_down` for a graceful shutdown
+    /// `None` once `shut_down` has taken it for a graceful shutdown.
     running: Option<RunningController>,
     io: ProcessIo,
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -16,9 +16,9 @@
 const EXIT_VIOLATION: u8 = 1;
 /// The command line or the replay file is invalid, or a run could not be started.
 const EXIT_USAGE: u8 = 2;
-/// s; interval between progress lines.
+/// Interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// runs; limit on the runs spent on shrinking a failing plan.
+/// Maximum number of runs spent on shrinking a failing plan.
 const SHRINK_RUNS: usize = 60;
 
 #[derive(Debug, Options)]
--- a/crates/simulation/src/nemesis.rs
+++ b/crates/simulation/src/nemesis.rs
@@ -90,7 +90,7 @@
         FaultKind::FullDisk { machine } => {
             world.machine(machine).disk.update_condition(|disk| disk.full = true);
         }
-        FaultKind::AllDown { power, wiped } => all_down(world, power, &wiped),
+        FaultKind::AllDown { power, wiped } => take_all_down(world, power, &wiped),
         FaultKind::Reseed { machine } => reseed(world, machine),
     }
 }
@@ -144,7 +144,7 @@
     }
 }
 
-fn all_down(world: &World, power: bool, wiped: &[usize]) {
+fn take_all_down(world: &World, power: bool, wiped: &[usize]) {
     for machine in world.machines() {
         if power {
             machine.lose_power();
--- a/crates/simulation/src/network.rs
+++ b/crates/simulation/src/network.rs
@@ -22,31 +22,31 @@
 #[derive(Clone)]
 pub struct Network {
     state: Arc<Mutex<State>>,
-    /// notified of each change of reachability; wakes waiters in the order in which they began to wait
+    /// Notified of each change of reachability; wakes waiters in the order in which they began to wait.
     changed: Arc<Notify>,
 }
 
 struct State {
-    /// blocked directions, with the number of active blocks on each
+    /// Blocked directions, with the number of active blocks on each.
     blocks: BTreeMap<(Ipv4Addr, Ipv4Addr), usize>,
-    /// machines that neither send nor receive
+    /// Machines that neither send nor receive.
     powered_off: BTreeSet<Ipv4Addr>,
-    /// machines that are partitioned from the other machines, but not from clients outside
+    /// Machines that are partitioned from the other machines, but not from outside clients.
     isolated: BTreeSet<Ipv4Addr>,
-    /// machines with slow links in both directions
+    /// Machines with slow links in both directions.
     slow: BTreeSet<Ipv4Addr>,
     listeners: BTreeMap<SocketAddr, mpsc::Sender<DuplexStream>>,
     streams: BTreeMap<u64, Stream>,
     next_stream: u64,
     seed: u64,
-    /// one generator for each direction, so that traffic on one link does not affect the delays of another
+    /// One generator for each direction, so that traffic on one link does not affect the delays of another.
     delays: BTreeMap<(Ipv4Addr, Ipv4Addr), fastrand::Rng>,
 }
 
 struct Stream {
     ends: [Ipv4Addr; 2],
-    /// true once the connection was reset
-    lost: watch::Sender<bool>,
+    /// Holds `true` once the connection was reset.
+    reset: watch::Sender<bool>,
 }
 
 /// Accepts connections to one address of a simulated machine.
@@ -106,7 +106,7 @@
         self.notify_changed();
     }
 
-    /// Partitions a machine from all other machines; clients outside still reach it.
+    /// Partitions a machine from all other machines; outside clients still reach it.
     pub fn isolate(&self, machine: Ipv4Addr) {
         self.state.lock().isolated.insert(machine);
         self.notify_changed();
@@ -149,7 +149,7 @@
         state.streams.retain(|_, stream| {
             let is_chosen = chosen(stream);
             if is_chosen {
-                stream.lost.send_replace(true);
+                stream.reset.send_replace(true);
             }
             !is_chosen
         });
@@ -233,24 +233,24 @@
 
     /// Starts to forward the bytes of a new connection until both directions end, or it is reset or times out.
     fn forward(&self, ends: [Ipv4Addr; 2], near: DuplexStream, far: DuplexStream) {
-        let (lost, is_lost) = watch::channel(false);
+        let (reset, is_reset) = watch::channel(false);
         let number = {
             let mut state = self.state.lock();
             state.next_stream += 1;
             let number = state.next_stream;
-            state.streams.insert(number, Stream { ends, lost });
+            state.streams.insert(number, Stream { ends, reset });
             number
         };
         let (near_read, near_write) = tokio::io::split(near);
         let (far_read, far_write) = tokio::io::split(far);
         let network = self.clone();
         tokio::spawn(async move {
-            let mut is_lost = is_lost;
+            let mut is_reset = is_reset;
             let outbound = network.forward_direction(ends[0], ends[1], near_read, far_write);
             let inbound = network.forward_direction(ends[1], ends[0], far_read, near_write);
             tokio::select! {
                 biased;
-                _ = is_lost.wait_for(|lost| *lost) => {}
+                _ = is_reset.wait_for(|reset| *reset) => {}
                 _ = async { tokio::join!(outbound, inbound) } => {}
                 () = network.wait_for_block_timeout(ends) => {}
             }
--- a/crates/simulation/src/operator_workload.rs
+++ b/crates/simulation/src/operator_workload.rs
@@ -26,7 +26,7 @@
     world: Arc<World>,
     number: usize,
     rng: fastrand::Rng,
-    /// the version that it considers current
+    /// The number of the version that the operator considers current.
     base: u64,
     updates_created: u64,
     acknowledged: Vec<ConfigUpdate>,
--- a/crates/simulation/src/panics.rs
+++ b/crates/simulation/src/panics.rs
@@ -6,7 +6,7 @@
 static HOOK: Once = Once::new();
 
 thread_local! {
-    /// `None` while no run is active on this thread
+    /// `None` while no run is active on this thread.
     static RECORDED: RefCell<Option<Vec<String>>> = const { RefCell::new(None) };
 }
 
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -41,7 +41,7 @@
     let index = Index::of(history);
     for request in &history.requests {
         check_ending(request, history, &index, &mut findings);
-        check_answer(request, &index, &mut findings);
+        check_response(request, &index, &mut findings);
     }
     check_drains(history, &mut findings);
     check_processes(history, &mut findings);
@@ -140,7 +140,7 @@
     })
 }
 
-fn check_answer(request: &Request, index: &Index, findings: &mut Findings) {
+fn check_response(request: &Request, index: &Index, findings: &mut Findings) {
     let executions = index.executed_by(&request.attempt);
     if request.kind != Kind::Safe && executions.len() > 1 {
         findings.add(Rule::Twice, format!("executed by {executions:?}: {request:?}"));
@@ -150,12 +150,12 @@
     if is_refusal && request.kind != Kind::Safe && !executions.is_empty() {
         findings.add(Rule::Refused, format!("executed by {executions:?}: {request:?}"));
     }
-    if *status == 200 && !executions.iter().any(|engine| is_answer_of(request, engine, body)) {
+    if *status == 200 && !executions.iter().any(|engine| is_response_to(request, engine, body)) {
         findings.add(Rule::Mixed, format!("executed by {executions:?}: {request:?}"));
     }
 }
 
-fn is_answer_of(request: &Request, engine: &str, body: &str) -> bool {
+fn is_response_to(request: &Request, engine: &str, body: &str) -> bool {
     let expected = format!("{} {engine}", request.attempt);
     if request.kind != Kind::Stream {
         return body == expected;
--- a/crates/soak/src/constants.rs
+++ b/crates/soak/src/constants.rs
@@ -1,45 +1,45 @@
-//! Parameters of the soak test, with their units. The bounds are those of the deployments.
+//! Parameters of the soak test. The bounds are those of the deployments.
 
 use std::time::Duration;
 
-/// s; time from SIGTERM to SIGKILL.
+/// Time from SIGTERM to SIGKILL.
 pub const GRACE_PERIOD: Duration = Duration::from_secs(4);
-/// s; a machine counts as connected if neither it nor any controller was disrupted for this time.
+/// A machine counts as connected if neither it nor any controller was disrupted for this time.
 pub const CONTACT_PERIOD: Duration = Duration::from_secs(3);
-/// s; time for which an engine may receive requests after its departure was acknowledged.
+/// Time for which an engine may receive requests after its departure was acknowledged.
 pub const DRAIN_PERIOD: Duration = Duration::from_secs(2);
-/// ms; a router answers a request that it has read but not forwarded within this time. If a connection closes without
+/// A router answers a request that it has read but not forwarded within this time. If a connection closes without
 /// a response sooner, the request may have crossed the close, and does not count as lost.
 pub const UNFORWARDED_RESPONSE_LIMIT: Duration = Duration::from_millis(200);
-/// s; requests sent later than this after SIGTERM must get a complete response in any case.
+/// Requests sent later than this after SIGTERM must get a complete response in any case.
 pub const LATE_REQUEST_THRESHOLD: Duration = Duration::from_secs(3);
-/// ms; interval between two heartbeats of an engine.
+/// Interval between two heartbeats of an engine.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1200);
-/// s; timeout after which a caller tries another controller.
+/// Timeout after which a caller tries another controller.
 pub const CALLER_TIMEOUT: Duration = Duration::from_secs(1);
-/// ms; the deadline of every request.
+/// Time that every request gives as its deadline.
 pub const DEADLINE_MS: u64 = 25_000;
-/// s; a client abandons a request after this time.
+/// A client abandons a request after this time.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_secs(26);
-/// s; the fleet must become ready, and pending disruptions must complete, within this time.
+/// The fleet must become ready, and pending disruptions must complete, within this time.
 pub const START_TIMEOUT: Duration = Duration::from_secs(30);
-/// s; undisturbed time before the first disruption.
+/// Undisturbed time before the first disruption.
 pub const WARM_UP: Duration = Duration::from_secs(2);
-/// s; undisturbed time after the last disruption, in which requests show whether acknowledged changes persist.
+/// Undisturbed time after the last disruption, in which requests show whether acknowledged changes persist.
 pub const COOL_DOWN: Duration = Duration::from_secs(8);
-/// s; maximum time of a request in an engine's queue.
+/// Maximum time of a request in an engine's queue.
 pub const MAX_QUEUE_TIME: Duration = Duration::from_secs(7);
-/// s; maximum delay of a delayed heartbeat.
+/// Maximum delay of a delayed heartbeat.
 pub const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(5);
 /// Number of machines with a controller.
 pub const CONTROLLER_MACHINES: usize = 3;
 /// Number of engines that serve at a time.
 pub const ENGINES: usize = 4;
-/// Number of events in a stream, one each [`EVENT_INTERVAL`].
+/// Number of events in a stream, one every [`EVENT_INTERVAL`].
 pub const STREAM_EVENTS: u64 = 20;
-/// ms; interval between two events of a stream.
+/// Interval between two events of a stream.
 pub const EVENT_INTERVAL: Duration = Duration::from_millis(50);
-/// ms; interval at which a process that was sent SIGTERM is polled for its exit.
+/// Interval at which a process that was sent SIGTERM is polled for its exit.
 pub const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Name of the engines' service.
 pub const SERVICE: &str = "s";
--- a/crates/soak/src/disruption.rs
+++ b/crates/soak/src/disruption.rs
@@ -9,33 +9,33 @@
 pub enum Disruption {
     /// A machine's processes get SIGTERM and are restarted once they have exited.
     Restart {
-        /// number of the machine
+        /// Number of the machine.
         machine: usize,
-        /// time between the exit and the start
+        /// Time between the exit of the processes and their restart.
         pause: Duration,
     },
     /// A machine's processes are killed and restarted.
     Kill {
-        /// number of the machine
+        /// Number of the machine.
         machine: usize,
-        /// time between the kill and the start
+        /// Time between the kill and the restart.
         pause: Duration,
     },
     /// The processes of all machines with a controller are killed at once, and restarted together.
     KillControllers {
-        /// time between the kill and the start
+        /// Time between the kill and the restart.
         pause: Duration,
     },
     /// A machine's processes get SIGHUP.
     HangUp {
-        /// number of the machine
+        /// Number of the machine.
         machine: usize,
     },
     /// The operator sends a new configuration.
     Reconfigure,
     /// A new engine starts, and the oldest one departs.
     ReplaceEngine {
-        /// how it announces its departure
+        /// How the oldest engine announces its departure.
         announcement: Announcement,
     },
 }
@@ -65,16 +65,16 @@
                 .push(ScheduledDisruption { at, disruption: draw_disruption(rng, machines) });
         }
     }
-    // each run has an engine departure shortly before all controllers are killed
+    // Each run has an engine departure shortly before all controllers are killed
     let from = rng.u64(0..span.as_millis() as u64);
-    let announcement = announcement(rng);
+    let announcement = draw_announcement(rng);
     let departure = Disruption::ReplaceEngine { announcement };
     disruptions
         .push(ScheduledDisruption { at: Duration::from_millis(from), disruption: departure });
     let at = Duration::from_millis(from + rng.u64(20..1500));
     disruptions.push(ScheduledDisruption {
         at,
-        disruption: Disruption::KillControllers { pause: pause(rng) },
+        disruption: Disruption::KillControllers { pause: draw_pause(rng) },
     });
     disruptions.sort_by_key(|scheduled| scheduled.at);
     disruptions
@@ -83,21 +83,21 @@
 fn draw_disruption(rng: &mut fastrand::Rng, machines: usize) -> Disruption {
     let machine = rng.usize(0..machines);
     match rng.u8(0..100) {
-        0..40 => Disruption::Restart { machine, pause: pause(rng) },
-        40..50 => Disruption::Kill { machine, pause: pause(rng) },
-        50..55 => Disruption::KillControllers { pause: pause(rng) },
+        0..40 => Disruption::Restart { machine, pause: draw_pause(rng) },
+        40..50 => Disruption::Kill { machine, pause: draw_pause(rng) },
+        50..55 => Disruption::KillControllers { pause: draw_pause(rng) },
         55..70 => Disruption::HangUp { machine },
         70..80 => Disruption::Reconfigure,
-        _ => Disruption::ReplaceEngine { announcement: announcement(rng) },
+        _ => Disruption::ReplaceEngine { announcement: draw_announcement(rng) },
     }
 }
 
-fn announcement(rng: &mut fastrand::Rng) -> Announcement {
+fn draw_announcement(rng: &mut fastrand::Rng) -> Announcement {
     if rng.bool() { Announcement::Drain } else { Announcement::Deregister }
 }
 
 /// Draws the time until a restart, less than a second.
-fn pause(rng: &mut fastrand::Rng) -> Duration {
+fn draw_pause(rng: &mut fastrand::Rng) -> Duration {
     Duration::from_millis(rng.u64(20..1000))
 }
 
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -40,7 +40,7 @@
     ///
     /// If it cannot listen on its address.
     pub async fn start(number: usize, context: &RunContext) -> std::io::Result<Arc<Engine>> {
-        let address = context.engine(number);
+        let address = context.engine_address(number);
         let listener = TcpListener::bind(address).await?;
         let engine = Arc::new(Engine {
             id: format!("i-{number:08x}"),
@@ -68,7 +68,7 @@
             let queue_time = Duration::from_millis(queue_ms(&request));
             tokio::select! {
                 () = tokio::time::sleep(queue_time) => {}
-                // drop the request when its connection closes
+                // Drops the request when its connection closes
                 () = reader.wait_for_activity() => return,
             }
             self.recorder.add(|history| history.executions.push(self.event(&attempt)));
@@ -93,8 +93,8 @@
         if !request.path().contains(Kind::Stream.path()) {
             let body = format!("{attempt} {}", self.id);
             let length = body.len();
-            let answer = format!("{head}Content-Length: {length}\r\n\r\n{body}");
-            return write.write_all(answer.as_bytes()).await;
+            let response = format!("{head}Content-Length: {length}\r\n\r\n{body}");
+            return write.write_all(response.as_bytes()).await;
         }
         let head =
             format!("{head}Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -165,12 +165,12 @@
 
     async fn call(&self, controller: SocketAddr, name: &str, body: &str) -> bool {
         let head = format!("POST /anisedyke/Instances.{name}/{} HTTP/1.1\r\n", self.id);
-        let answer = http::call(controller, &head, body, constants::CALLER_TIMEOUT).await;
-        answer.is_some_and(|answer| answer.status() == 200)
+        let response = http::call(controller, &head, body, constants::CALLER_TIMEOUT).await;
+        response.is_some_and(|response| response.status() == 200)
     }
 }
 
-/// The time in the queue, which is the last segment of the path; ms.
+/// The time in milliseconds that a request spends in the queue, given by the last segment of its path.
 fn queue_ms(request: &Message) -> u64 {
     request.path().rsplit('/').next().and_then(|part| part.parse().ok()).unwrap_or(0)
 }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -38,9 +38,9 @@
 pub enum Ending {
     /// A complete response.
     Answered {
-        /// status code
+        /// The HTTP status code.
         status: u16,
-        /// body without its framing
+        /// The body, without its framing.
         body: String,
     },
     /// The connection closed, or the response was malformed.
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -38,7 +38,7 @@
     }
 
     /// The address of an engine, unique in the run.
-    pub fn engine(&self, number: usize) -> SocketAddr {
+    pub fn engine_address(&self, number: usize) -> SocketAddr {
         let ip =
             Ipv4Addr::new(127, self.network, 100 + (number / 200) as u8, 1 + (number % 200) as u8);
         SocketAddr::new(ip.into(), 8688)
@@ -195,7 +195,7 @@
     ///
     /// If a program cannot be restarted.
     pub async fn restart_by_kill(&self, pause: std::time::Duration) -> std::io::Result<()> {
-        // kill before taking the lock, so that a graceful stop in progress does not delay the kill by its grace period
+        // Kills before taking the lock, so that a graceful stop in progress does not delay the kill by its grace period
         self.kill_all(Action::Killed);
         let _guard = self.restart_lock.lock().await;
         self.kill_all(Action::Killed);
