--- a/crates/simulation/src/checker/mod.rs
+++ b/crates/simulation/src/checker/mod.rs
@@ -57,7 +57,7 @@
 /// A violated invariant, with its evidence.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Violation {
-    /// The invariant.
+    /// The invariant that is violated.
     pub invariant: Invariant,
     /// The operations that contradict each other.
     pub why: String,
--- a/crates/simulation/src/history.rs
+++ b/crates/simulation/src/history.rs
@@ -44,7 +44,7 @@
     pub invoked: Micros,
     /// When the response arrived or the operator timed out; `u64::MAX` while it is pending.
     pub completed: Micros,
-    /// The response.
+    /// The response; `Unknown` while the attempt is pending.
     pub reply: Reply,
 }
 
@@ -68,7 +68,7 @@
     pub lease_name: &'static str,
     /// Number of the machine that held it.
     pub machine: usize,
-    /// Which start of that machine's process.
+    /// Number of the start of that machine's process.
     pub start: u64,
     /// Its fencing token.
     pub fencing_token: u64,
--- a/crates/simulation/src/injected_bug.rs
+++ b/crates/simulation/src/injected_bug.rs
@@ -3,7 +3,7 @@
 use crate::checker::Invariant;
 use crate::fault::FaultMix;
 
-/// An injected bug.
+/// A bug that a run injects into its controllers, disks or callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InjectedBug {
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -23,7 +23,7 @@
 pub struct Outcome {
     /// The recorded history.
     pub history: History,
-    /// Violations in the history.
+    /// Violations in the history; empty if every invariant holds.
     pub violations: Vec<Violation>,
 }
 
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -29,7 +29,7 @@
 /// A broken rule.
 #[derive(Debug, Clone)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that was broken.
     pub rule: Rule,
     /// The events that broke it.
     pub why: String,
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -10,7 +10,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// A client.
+/// A client, which sends requests to the routers of random machines.
 pub struct Client {
     /// Number of the client.
     pub number: usize,
@@ -82,7 +82,7 @@
     }
 }
 
-/// Draws the time in the queue. Most are short; a few exceed a router's grace period.
+/// Draws the time for which a request is queued. Most are short; a few exceed a router's grace period.
 fn queue_ms(rng: &mut fastrand::Rng) -> u64 {
     match rng.u8(0..100) {
         0..85 => rng.u64(1..30),
--- a/crates/soak/src/disruption.rs
+++ b/crates/soak/src/disruption.rs
@@ -4,7 +4,7 @@
 use crate::engine::Announcement;
 use std::time::Duration;
 
-/// A disruption.
+/// A change or a failure that a run inflicts on the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Disruption {
     /// A machine's processes get SIGTERM and are restarted once they have exited.
@@ -45,7 +45,7 @@
 pub struct ScheduledDisruption {
     /// When it begins, since the end of the warm-up.
     pub at: Duration,
-    /// The disruption.
+    /// The disruption to carry out.
     pub disruption: Disruption,
 }
 
@@ -65,7 +65,7 @@
                 .push(ScheduledDisruption { at, disruption: draw_disruption(rng, machines) });
         }
     }
-    // Each run has an engine departure shortly before all controllers are killed
+    // Each run has an engine departure shortly before all controllers are killed.
     let from = rng.u64(0..span.as_millis() as u64);
     let announcement = draw_announcement(rng);
     let departure = Disruption::ReplaceEngine { announcement };
--- a/crates/soak/src/engine.rs
+++ b/crates/soak/src/engine.rs
@@ -68,7 +68,7 @@
             let queue_time = Duration::from_millis(queue_ms(&request));
             tokio::select! {
                 () = tokio::time::sleep(queue_time) => {}
-                // Drops the request when its connection closes
+                // Drops the request when its connection closes.
                 () = reader.wait_for_activity() => return,
             }
             self.recorder.add(|history| history.executions.push(self.event(&attempt)));
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -54,7 +54,7 @@
 pub struct Request {
     /// Attempt id, unique in the run.
     pub attempt: String,
-    /// Its kind.
+    /// How often it may be executed, and whether its response is a stream.
     pub kind: Kind,
     /// Number of the machine that it was sent to.
     pub machine: usize,
@@ -122,7 +122,7 @@
     pub machine: usize,
     /// The program that the process runs.
     pub program: Program,
-    /// The action.
+    /// What happened to the process.
     pub action: Action,
     /// When it happened; for an exit, when it was detected.
     pub at: Timestamp,
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -195,7 +195,7 @@
     ///
     /// If a program cannot be restarted.
     pub async fn restart_by_kill(&self, pause: std::time::Duration) -> std::io::Result<()> {
-        // Kills before taking the lock, so that a graceful stop in progress does not delay the kill by its grace period
+        // Kills before taking the lock, so that a graceful stop in progress does not delay the kill by its grace period.
         self.kill_all(Action::Killed);
         let _guard = self.restart_lock.lock().await;
         self.kill_all(Action::Killed);
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -74,7 +74,7 @@
     let broken = runtime.block_on(async {
         tokio::select! {
             broken = run_all(&command_line, &programs) => broken,
-            // Dropping the machines kills their processes
+            // Dropping the machines kills their processes.
             () = wait_for_interrupt() => 1,
         }
     });
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -49,7 +49,7 @@
 pub struct Outcome {
     /// One line with the counts of requests and disruptions.
     pub summary: String,
-    /// The rules that were broken.
+    /// Violations of the rules; empty if every rule holds.
     pub violations: Vec<Violation>,
 }
 
@@ -142,7 +142,7 @@
             let is_ready = async || {
                 let probe =
                     http::call(machine.readiness_address(), head, "", constants::CALLER_TIMEOUT);
-                probe.await.is_some_and(|answer| answer.status() == 200)
+                probe.await.is_some_and(|response| response.status() == 200)
             };
             while !is_ready().await {
                 if Instant::now() > end {
