--- a/crates/simulation/src/constants.rs
+++ b/crates/simulation/src/constants.rs
@@ -93,5 +93,5 @@
 pub const LEASE_MS: u64 = 3000;
 /// Duration of a lease on the node with the injected bug `LongLease`.
 pub const LONG_LEASE_MS: u64 = 30_000;
-/// Number of reads in which an operator tries to find out the current version before it goes on.
+/// Maximum number of reads in which an operator tries to find out the current version before it goes on.
 pub const MAX_RESOLVE_ATTEMPTS: usize = 6;
--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -41,7 +41,7 @@
     /// The clients cannot reach a machine, or only its responses are lost.
     #[serde(rename = "callers-cut")]
     ClientPartition {
-        /// The machine that clients cannot reach.
+        /// The machine that is partitioned from clients.
         machine: usize,
         /// Whether only responses are blocked, so that calls still arrive.
         answers_only: bool,
