--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -1,7 +1,7 @@
 //! The HTTP API for engines and operators: one handler per call, one file per resource.
 //!
-//! Handlers only translate between HTTP and [`crate::service`], which makes all decisions. They receive bodies as raw bytes
-//! rather than typed by the server, so that the message of a 400 can name the location in the body.
+//! Handlers only translate between HTTP and [`crate::service`], which makes all decisions. They receive bodies as raw
+//! bytes rather than typed by the server, so that the message of a 400 can name the location in the body.
 
 mod config;
 mod fleet;
--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -207,8 +207,8 @@
         position.is_none_or(|position| position != log.head() && log.since(position).is_none())
     }
 
-    /// The current position and an update with everything that changed since `position`. The update is `None` if nothing
-    /// changed, and holds the complete state if the changes since then are no longer retained.
+    /// The current position and an update with everything that changed since `position`. The update is `None` if
+    /// nothing changed, and holds the complete state if the changes since then are no longer retained.
     pub fn update_since(&self, position: Option<u64>) -> (u64, Option<FleetUpdate>) {
         let log = self.log.lock();
         let head = log.head();
--- a/crates/control-plane/src/cluster_state/engine_updates.rs
+++ b/crates/control-plane/src/cluster_state/engine_updates.rs
@@ -1,7 +1,7 @@
 //! Updates of single engines in the cluster state.
 //!
-//! Each update reads, modifies and writes the engine under one acquisition of the store's lock. Otherwise the write could
-//! revert a drain that was recorded between the read and the write.
+//! Each update reads, modifies and writes the engine under one acquisition of the store's lock. Otherwise the write
+//! could revert a drain that was recorded between the read and the write.
 
 use super::{ClusterState, ClusterStateStore, StateChange};
 use crate::engines::departures::{self, Departures};
--- a/crates/control-plane/src/config_distribution/bodies.rs
+++ b/crates/control-plane/src/config_distribution/bodies.rs
@@ -47,7 +47,8 @@
         compression::decompress(self.compressed(digest)?, constants::CONFIG_MAX_BYTES).ok()
     }
 
-    /// The compressed delta from one body to another; `None` unless both are still retained. Computed once for all routers.
+    /// The compressed delta from one body to another; `None` unless both are still retained. Computed once for all
+    /// routers.
     pub fn delta(&mut self, base: BodyDigest, target: BodyDigest) -> Option<bytes::Bytes> {
         let retained =
             self.deltas.iter().find(|delta| delta.base == base && delta.target == target);
--- a/crates/control-plane/src/config_distribution/mod.rs
+++ b/crates/control-plane/src/config_distribution/mod.rs
@@ -1,8 +1,8 @@
 //! Distributes configurations to routers: each is confirmed by a majority, and sent as a delta where possible.
 //!
-//! A router sends the digest of the body that it has. If that body is still retained here, the router gets a delta against
-//! it, otherwise the full compressed body. When a configuration comes into force, all routers request it at the same
-//! time: requests that wait behind a read share the next one.
+//! A router sends the digest of the body that it has. If that body is still retained here, the router gets a delta
+//! against it, otherwise the full compressed body. When a configuration comes into force, all routers request it at the
+//! same time: requests that wait behind a read share the next one.
 
 mod bodies;
 mod shared_read;
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Addresses of the KV stores in a configuration. The result is cached, so that each configuration is parsed only once.
+    /// Addresses of the KV stores in a configuration. The result is cached, so that each configuration is parsed only
+    /// once.
     pub fn kv_stores(&self, value: &ConfigValue) -> Vec<String> {
         let mut cached = self.kv_stores.lock();
         if cached.digest != value.digest {
@@ -116,8 +117,8 @@
         self.confirmed_read.get(read).await
     }
 
-    /// Answers a router's request for the configuration in force. The version is 0 if no majority confirms one; the router
-    /// then tries another controller.
+    /// Answers a router's request for the configuration in force. The version is 0 if no majority confirms one; the
+    /// router then tries another controller.
     pub async fn answer(&self, request: &ConfigRequest) -> ConfigResponse {
         let value = self.read_confirmed().await;
         value.map_or_else(ConfigResponse::default, |value| self.bodies.respond(request, &value))
--- a/crates/control-plane/src/config_distribution/shared_read.rs
+++ b/crates/control-plane/src/config_distribution/shared_read.rs
@@ -5,9 +5,9 @@
 
 /// Shares the outcome of a read among all callers that arrived before the read started.
 ///
-/// When a configuration comes into force, all routers request it at the same time. A caller needs a read that contacts a
-/// majority after the caller's own request arrived, so it can't use one that is already in progress; but all callers that
-/// wait for that one to finish can share the next.
+/// When a configuration comes into force, all routers request it at the same time. A caller needs a read that contacts
+/// a majority after the caller's own request arrived, so it can't use one that is already in progress; but all callers
+/// that wait for that one to finish can share the next.
 pub struct SharedRead<T> {
     /// Number of reads started so far.
     started: AtomicU64,
--- a/crates/control-plane/src/consensus/campaign.rs
+++ b/crates/control-plane/src/consensus/campaign.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Pre-vote: whether a majority has seen no progress of the key's owner for the election time-out.
+    /// Pre-vote: whether a majority has seen no progress of the key's owner for the election timeout.
     async fn owner_timed_out(self: &Arc<Self>, key: &str) -> bool {
         let membership = self.membership();
         let request = PreVoteRequest { key: key.to_owned(), membership: membership.epoch };
--- a/crates/control-plane/src/consensus/election.rs
+++ b/crates/control-plane/src/consensus/election.rs
@@ -1,6 +1,6 @@
-//! Election time-outs: a key may be taken over only once voters have seen no progress of its owner for a while.
+//! Election timeouts: a key may be taken over only once voters have seen no progress of its owner for a while.
 //!
-//! Safety rests on ballots alone. The time-out only keeps nodes from preempting an owner in the middle of a round,
+//! Safety rests on ballots alone. The timeout only keeps nodes from preempting an owner in the middle of a round,
 //! which can make both rounds fail. Pure state: the time is passed in.
 
 use std::time::Duration;
--- a/crates/control-plane/src/consensus/forward.rs
+++ b/crates/control-plane/src/consensus/forward.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Size of the value that a change carries, for its time-outs; 0 for small values.
+/// Size of the value that a change carries, for its timeouts; 0 for small values.
 fn value_bytes(change: &ChangeKind) -> usize {
     match change {
         ChangeKind::ReplaceConfig(r) => r.compressed_body.len(),
--- a/crates/control-plane/src/consensus/key_owner.rs
+++ b/crates/control-plane/src/consensus/key_owner.rs
@@ -77,7 +77,7 @@
         futures_util::future::join_all(releases).await;
     }
 
-    /// Whether the owner of the key has made no progress for the election time-out, which is longer for large values
+    /// Whether the owner of the key has made no progress for the election timeout, which is longer for large values
     /// because they take longer to send.
     pub(super) fn has_owner_timed_out(&self, key: &str, value_bytes: usize) -> bool {
         let election_timeout = constants::ELECTION_TIMEOUT + constants::phase_timeout(value_bytes)
--- a/crates/control-plane/src/consensus/proposer.rs
+++ b/crates/control-plane/src/consensus/proposer.rs
@@ -3,8 +3,8 @@
 //! A proposer prepares a ballot with a quorum, completes the accepted value with the highest ballot, and then owns the
 //! key: each further value takes one accept round under the same epoch, with the next sequence number. The local
 //! acceptor is always asked first, so that a value is on the owner's disk before any other voter sees it
-//! (docs/control-safety.md explains why). The proposer uses no I/O, clock or task: `super::round_driver` drives it in the
-//! program, and the schedule tests and the exhaustive search drive it as well.
+//! (docs/control-safety.md explains why). The proposer uses no I/O, clock or task: `super::round_driver` drives it in
+//! the program, and the schedule tests and the exhaustive search drive it as well.
 
 use super::round::{Round, RoundStatus};
 use fleet_core::wire::{Accept, Ballot, Prepare, Vote};
--- a/crates/control-plane/src/consensus/resignation.rs
+++ b/crates/control-plane/src/consensus/resignation.rs
@@ -1,5 +1,5 @@
 //! Resignation: a node that shuts down releases its keys, so that voters elect new owners at once instead of after the
-//! election time-out.
+//! election timeout.
 
 use super::Consensus;
 use crate::membership::peer_links::MemberLink;
@@ -33,7 +33,7 @@
     consensus.key_owners.release_keys().await;
     record_resignation(consensus, consensus.process.node.ip);
     let calls = consensus.links_to_voters().into_iter().map(|MemberLink { link, .. }| async move {
-        // A voter that can't be reached waits for the election time-out instead.
+        // A voter that can't be reached waits for the election timeout instead.
         let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
     });
     futures_util::future::join_all(calls).await;
--- a/crates/control-plane/src/consensus/voter_calls.rs
+++ b/crates/control-plane/src/consensus/voter_calls.rs
@@ -14,7 +14,7 @@
     /// Calls these members, except this node, in parallel. The receiver yields their answers in the order of arrival.
     ///
     /// A later membership in an answer is adopted, even if the answer arrives after the receiver was dropped. The
-    /// spawned tasks end with the time-out of their calls.
+    /// spawned tasks end with the timeout of their calls.
     pub(crate) fn call_members(
         self: &Arc<Self>,
         members: &[Member],
--- a/crates/control-plane/src/engines/departure_recorder.rs
+++ b/crates/control-plane/src/engines/departure_recorder.rs
@@ -7,8 +7,8 @@
 use parking_lot::Mutex;
 use std::sync::Arc;
 
-/// Records departures by one change at a time. Departures that arrive while a change is in progress are batched into the
-/// next one.
+/// Records departures by one change at a time. Departures that arrive while a change is in progress are batched into
+/// the next one.
 pub struct DepartureRecorder {
     consensus: Arc<Consensus>,
     cluster_state: Arc<ClusterStateStore>,
--- a/crates/control-plane/src/engines/departures.rs
+++ b/crates/control-plane/src/engines/departures.rs
@@ -1,8 +1,8 @@
 //! Departures of engines that are known to be recorded by a majority, and their effect on the engines' state.
 //!
 //! The records survive a restart of all controllers, whereas the engines themselves are known only from heartbeats. A
-//! heartbeat sent before its engine departed may arrive after such a restart. It must not make the engine ready again, so
-//! the recorded departure takes precedence.
+//! heartbeat sent before its engine departed may arrive after such a restart. It must not make the engine ready again,
+//! so the recorded departure takes precedence.
 
 use crate::consensus::departure_records::covers;
 use fleet_core::constants;
@@ -68,8 +68,8 @@
         record.is_some_and(|record| record.state >= engine.state)
     }
 
-    /// Applies the recorded departure to an update that was sent before it. If the engine has reported itself ready in a
-    /// later call, its record is dropped instead, unless it was deregistered.
+    /// Applies the recorded departure to an update that was sent before it. If the engine has reported itself ready in
+    /// a later call, its record is dropped instead, unless it was deregistered.
     pub fn apply(&mut self, update: &mut Engine) {
         let Some(record) = self.by_engine.get(&update.id) else { return };
         let is_final = record.state() == EngineState::Deregistered;
--- a/crates/control-plane/src/engines/mod.rs
+++ b/crates/control-plane/src/engines/mod.rs
@@ -1,7 +1,7 @@
 //! Registry of the engines, and HTTP calls to them.
 //!
-//! The [`registry`] is rebuilt from heartbeats and never stored. Routine heartbeats are sent to the other controllers in
-//! batches. A drain or a deregistration is acknowledged only once a majority has it both in memory and on disk:
+//! The [`registry`] is rebuilt from heartbeats and never stored. Routine heartbeats are sent to the other controllers
+//! in batches. A drain or a deregistration is acknowledged only once a majority has it both in memory and on disk:
 //! [`departure_recorder`] records it, and [`departures`] holds the records known to this controller. [`client`] sends
 //! commands and reads reports; a call that exceeds its timeout resets its connection.
 
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -95,9 +95,9 @@
         fleet_core::log_event!(self.process.log, event, "id" => &engine.id, "at" => &engine.address);
     }
 
-    /// Engines to send to another controller when a link comes up. A ready engine that misses its heartbeats here is left
-    /// out, because it may have announced its departure to other controllers: only its own next heartbeat shows that it
-    /// is still ready.
+    /// Engines to send to another controller when a link comes up. A ready engine that misses its heartbeats here is
+    /// left out, because it may have announced its departure to other controllers: only its own next heartbeat shows
+    /// that it is still ready.
     pub fn engines_to_share(&self) -> Vec<Engine> {
         let is_shareable =
             |engine: &&Engine| !engine.heartbeat_missed || engine.state() != EngineState::Ready;
@@ -126,8 +126,8 @@
         self.consensus.majority_agrees(&membership, timeout, body, is_voter, is_confirmed).await
     }
 
-    /// Sends all shareable engines to the other controllers before this one shuts down, since some of their state may be
-    /// held by this controller and just one other. Returns once they have confirmed it or the timeout has passed.
+    /// Sends all shareable engines to the other controllers before this one shuts down, since some of their state may
+    /// be held by this controller and just one other. Returns once they have confirmed it or the timeout has passed.
     pub async fn share_all(&self) {
         let heartbeats = EngineHeartbeats { engines: self.engines_to_share(), request_all: false };
         let calls = self.links.all().into_iter().map(|(_, link)| {
@@ -193,8 +193,8 @@
     }
 }
 
-/// Sends routine heartbeats to the other controllers in batches, and exchanges the known engines with a controller whose
-/// link has come up.
+/// Sends routine heartbeats to the other controllers in batches, and exchanges the known engines with a controller
+/// whose link has come up.
 pub async fn run_heartbeat_sharing(registry: Arc<EngineRegistry>) {
     let mut connected = HashSet::new();
     loop {
--- a/crates/control-plane/src/environment.rs
+++ b/crates/control-plane/src/environment.rs
@@ -44,8 +44,8 @@
 struct OpenedDisk {
     disk: DiskWriter,
     state: State,
-    /// Whether this is the very first start of the cluster. An empty disk alone doesn't show this: its contents may have been
-    /// lost.
+    /// Whether this is the very first start of the cluster. An empty disk alone doesn't show this: its contents may
+    /// have been lost.
     first_start: bool,
 }
 
--- a/crates/control-plane/src/index_owner/feed.rs
+++ b/crates/control-plane/src/index_owner/feed.rs
@@ -17,8 +17,8 @@
 }
 
 impl PublishedIndex {
-    /// Returns the entries after the reader's cursor, or a reset with a snapshot. A response without a head asks the reader
-    /// to retry later.
+    /// Returns the entries after the reader's cursor, or a reset with a snapshot. A response without a head asks the
+    /// reader to retry later.
     pub fn answer(&self, request: &RingRequest, reader: Reader) -> RingResponse {
         self.readers.lock().insert(request.reader, Instant::now());
         self.entries(request).unwrap_or_else(|| self.snapshot_response(request.reader, reader))
--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -20,8 +20,8 @@
     pub is_engine: bool,
 }
 
-/// Engines to follow, by id. If two engines are known at the same address, one of them has terminated without this being
-/// known yet. Neither is followed then, since a response doesn't show which engine sent it.
+/// Engines to follow, by id. If two engines are known at the same address, one of them has terminated without this
+/// being known yet. Neither is followed then, since a response doesn't show which engine sent it.
 pub fn engines<'a>(engines: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, HolderEndpoint> {
     let mut by_address: BTreeMap<&str, Option<&Engine>> = BTreeMap::new();
     for engine in engines
@@ -48,8 +48,8 @@
 #[derive(Debug, PartialEq, Eq)]
 struct PositionUpdate {
     position: Position,
-    /// Everything learned about the holder is void.
-    is_void: bool,
+    /// Everything learned about the holder is invalid.
+    is_invalid: bool,
     /// The events of the response can be applied.
     accepts_events: bool,
 }
@@ -60,7 +60,7 @@
     let next = if other_incarnation { 0 } else { batch.next_token };
     PositionUpdate {
         position: Position { epoch: batch.epoch, next },
-        is_void: other_incarnation || gap,
+        is_invalid: other_incarnation || gap,
         accepts_events: !other_incarnation,
     }
 }
@@ -76,8 +76,8 @@
         index_owner.published.commit([Invalidation::Holder(holder.clone())]);
     };
     loop {
-        // The response to the first call can be large, since the holder may have cached many parts already: the semaphore
-        // bounds how many of these are in memory at the same time.
+        // The response to the first call can be large, since the holder may have cached many parts already: the
+        // semaphore bounds how many of these are in memory at the same time.
         let permit = match position {
             None => index_owner.first_reads.acquire().await.ok(),
             Some(_) => None,
@@ -93,7 +93,7 @@
         };
         let update = advance(position, &batch);
         position = Some(update.position);
-        if update.is_void {
+        if update.is_invalid {
             invalidate_holder();
         }
         if update.accepts_events {
--- a/crates/control-plane/src/index_owner/follower_tests.rs
+++ b/crates/control-plane/src/index_owner/follower_tests.rs
@@ -31,21 +31,21 @@
         continued,
         PositionUpdate {
             position: Position { epoch: 7, next: 9 },
-            is_void: false,
+            is_invalid: false,
             accepts_events: true
         }
     );
     let gap = advance(Some(position), &events(7, 9, true));
-    assert!(gap.is_void && gap.accepts_events);
+    assert!(gap.is_invalid && gap.accepts_events);
     let restarted = advance(Some(position), &events(8, 3, false));
     assert_eq!(
         restarted,
         PositionUpdate {
             position: Position { epoch: 8, next: 0 },
-            is_void: true,
+            is_invalid: true,
             accepts_events: false
         }
     );
     let first = advance(None, &events(8, 3, true));
-    assert!(!first.is_void && first.accepts_events, "nothing was learned before");
+    assert!(!first.is_invalid && first.accepts_events, "nothing was learned before");
 }
--- a/crates/control-plane/src/index_owner/index.rs
+++ b/crates/control-plane/src/index_owner/index.rs
@@ -157,7 +157,7 @@
     }
 
     /// Records the parts that are cached as a result of a router's requests. These parts are shared from then on.
-    pub fn record_found(&mut self, found: &[CachedParts]) {
+    pub fn record_findings(&mut self, found: &[CachedParts]) {
         self.prune_shared_parts();
         for part in found.iter().flat_map(|entry| &entry.parts) {
             if !self.shared_parts.insert(*part) {
@@ -194,8 +194,8 @@
         self.findings_total
     }
 
-    /// Findings after a position. Findings that are no longer retained are omitted: a reader that misses them only finds
-    /// fewer cached prefixes.
+    /// Findings after a position. Findings that are no longer retained are omitted: a reader that misses them only
+    /// finds fewer cached prefixes.
     pub fn findings_since(&self, position: u64) -> Vec<CachedParts> {
         let behind = self.findings_total.saturating_sub(position) as usize;
         let skip = self.recent_findings.len().saturating_sub(behind);
--- a/crates/control-plane/src/index_owner/index_tests.rs
+++ b/crates/control-plane/src/index_owner/index_tests.rs
@@ -20,7 +20,7 @@
         r#"[1,"+","m|1|#1","ff",8,"m"],[2,"+","m|1|#1","fe",8,"m"],[3,"-","m|1|#1","ff",0,"m"]"#,
     );
     let mut index = Index::default();
-    index.record_found(&[cached("other", vec![0xff, 0xfe])]);
+    index.record_findings(&[cached("other", vec![0xff, 0xfe])]);
     let invalidations = index.apply_events("h", &batch);
     let part =
         PartLocation { holder: "h".into(), salt: "m|1|#1".into(), part: 0xff, cached_tokens: 0 };
@@ -54,7 +54,7 @@
     let mut index = Index::default();
     let invalidations = index.apply_events("a", &events(r#"[1,"+","m|1|#1","aa",8,"m"]"#));
     assert!(invalidations.is_empty() && index.snapshot().iter().all(|h| h.parts.is_empty()));
-    index.record_found(&[cached("b", vec![0xaa])]);
+    index.record_findings(&[cached("b", vec![0xaa])]);
     let mut holders: Vec<String> =
         index.snapshot().into_iter().filter(|h| !h.parts.is_empty()).map(|h| h.holder).collect();
     holders.sort();
@@ -87,7 +87,7 @@
     for holder in 0..20 {
         let mut cached = cached(&format!("i-{holder:08x}"), (0..500).map(|i| i << 40).collect());
         cached.cached_tokens = vec![4096; 500];
-        index.record_found(&[cached]);
+        index.record_findings(&[cached]);
     }
     let response =
         fleet_core::wire::RingResponse { snapshot: index.snapshot(), ..Default::default() };
@@ -100,9 +100,9 @@
 #[test]
 fn shared_parts_that_no_holder_caches_are_pruned() {
     let mut index = Index::default();
-    index.record_found(&[cached("stays", vec![u64::MAX])]);
+    index.record_findings(&[cached("stays", vec![u64::MAX])]);
     for part in 0..constants::SHARED_PARTS_CAPACITY as u64 * 3 {
-        index.record_found(&[cached("h", vec![part])]);
+        index.record_findings(&[cached("h", vec![part])]);
         index.evict_part("h", "m|1|#1", part, 0);
     }
     assert!(
--- a/crates/control-plane/src/index_owner/mod.rs
+++ b/crates/control-plane/src/index_owner/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! One controller does this at a time, under [`INDEX_OWNER_LEASE`]. Each time the lease is acquired, a new `IndexOwner`
 //! starts with a new ring and an empty index, and readers of the former ring start over from a snapshot. One task polls
-//! each holder (`follower`); `index` stores what they learn, `published` combines it with the ring, `feed` serves readers
-//! from there, and `throttle` limits the snapshots in flight.
+//! each holder (`follower`); `index` stores what they learn, `published` combines it with the ring, `feed` serves
+//! readers from there, and `throttle` limits the snapshots in flight.
 //!
 //! If there are many routers, the other voters read the ring too, and relay it to the routers near them (`relay`).
 //!
@@ -81,16 +81,16 @@
     }
 
     /// Records which prefixes a router's requests left cached. A relay forwards them to its readers and to the owner.
-    pub fn record_found(&self, found: CachedPrefixes) {
+    pub fn record_findings(&self, found: CachedPrefixes) {
         let owner = self.current.lock().clone();
         match owner {
-            Some(owner) => owner.published.index.lock().record_found(&found.entries),
-            None => self.relay_found(found),
+            Some(owner) => owner.published.index.lock().record_findings(&found.entries),
+            None => self.relay_findings(found),
         }
     }
 
-    /// Answers a reader of the ring. The response is empty if this controller neither owns nor relays the ring; the reader
-    /// then switches to another controller.
+    /// Answers a reader of the ring. The response is empty if this controller neither owns nor relays the ring; the
+    /// reader then switches to another controller.
     pub fn answer_reader(&self, request: &RingRequest, reader: Reader) -> RingResponse {
         let owner = self.current.lock().clone();
         let is_owner = self.dependencies.leases.fencing_token(INDEX_OWNER_LEASE).is_some();
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Announces a new head to the routers that read the ring from this controller. Other routers read from relays; they
-    /// learn of the ring when it starts and when they connect to this controller.
+    /// Announces a new head to the routers that read the ring from this controller. Other routers read from relays;
+    /// they learn of the ring when it starts and when they connect to this controller.
     fn announce_to_readers(&self, published: &PublishedIndex, head: RingHead) {
         self.dependencies.cluster_state.update_silently(|state| state.ring = Some(head.clone()));
         published.push_to_readers(&FleetUpdate { ring: Some(head), ..Default::default() });
@@ -189,7 +189,8 @@
     transport: Arc<dyn Transport>,
     fencing_token: u64,
     published: Arc<PublishedIndex>,
-    /// Limits concurrent first calls to holders, whose responses can be large because they cover everything cached so far.
+    /// Limits concurrent first calls to holders, whose responses can be large because they cover everything cached so
+    /// far.
     first_reads: tokio::sync::Semaphore,
     /// Number of holders that are being followed.
     holder_count: AtomicUsize,
@@ -304,7 +305,8 @@
 }
 
 impl PublishedInvalidations {
-    /// Invalidations of weights that no ready engine serves any more, and of former generations of the shared isolation.
+    /// Invalidations of weights that no ready engine serves any more, and of former generations of the shared
+    /// isolation.
     fn collect(&mut self, state: &ClusterState) -> Vec<Invalidation> {
         let mut invalidations = Vec::new();
         for model in state.weights.keys() {
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -15,7 +15,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The index and its ring. Lock order: the index, then the throttle; no other lock is taken while one of the others is held.
+/// The index and its ring. Lock order: the index, then the throttle; no other lock is taken while one of the others is
+/// held.
 pub struct PublishedIndex {
     process: Arc<Process>,
     routers: Arc<Routers>,
@@ -90,8 +91,8 @@
         self.routers.push_to_prompt_readers(&readers, &Body::FleetUpdate(update.clone()));
     }
 
-    /// Drops the cursors of readers that have sent no request within [`constants::READER_TIMEOUT`], so that they don't hold
-    /// back the ring.
+    /// Drops the cursors of readers that have sent no request within [`constants::READER_TIMEOUT`], so that they don't
+    /// hold back the ring.
     pub fn drop_inactive_readers(&self) {
         let mut inactive = Vec::new();
         self.readers.lock().retain(|reader, last_read| {
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -2,16 +2,17 @@
 //!
 //! The owner sends each finding and each invalidation once to every reader. With hundreds of routers as direct readers
 //! this would saturate its network link, and most of the traffic would cross zones. The other voters therefore read the
-//! ring as well, keep a copy of the index, and serve the routers near them: the owner sends only one copy per voter, and
-//! a router that has to rebuild its view gets a snapshot from its own zone.
+//! ring as well, keep a copy of the index, and serve the routers near them: the owner sends only one copy per voter,
+//! and a router that has to rebuild its view gets a snapshot from its own zone.
 //!
-//! Routers report which prefixes their requests leave cached to the relay that they read. The relay forwards these reports
-//! to its readers at once and to the owner, so that routers of one zone continue to learn from each other while the owner
-//! is being replaced.
+//! Routers report which prefixes their requests leave cached to the relay that they read. The relay forwards these
+//! reports to its readers at once and to the owner, so that routers of one zone continue to learn from each other while
+//! the owner is being replaced.
 //!
-//! A relay's ring numbers its entries independently, and a reader that switches from another ring starts from a snapshot,
-//! as after a change of the owner. A relay that loses contact with the owner notifies its readers, which switch to
-//! another relay or to the owner. A relay holds no state that exists only there, so its failure loses nothing.
+//! A relay's ring numbers its entries independently, and a reader that switches from another ring starts from a
+//! snapshot, as after a change of the owner. A relay that loses contact with the owner notifies its readers, which
+//! switch to another relay or to the owner. A relay holds no state that exists only there, so its failure loses
+//! nothing.
 
 use super::published::PublishedIndex;
 use super::{IndexOwnership, IndexOwnershipDependencies};
@@ -34,8 +35,8 @@
     cluster_state.read(|state| state.routers) as usize >= constants::RELAY_MIN_ROUTERS
 }
 
-/// The copy of the ring that this controller relays, and the newest known head of the owner's ring. No other lock is taken
-/// while its lock is held.
+/// The copy of the ring that this controller relays, and the newest known head of the owner's ring. No other lock is
+/// taken while its lock is held.
 #[derive(Default)]
 pub struct RingRelay {
     published: Mutex<Option<Arc<PublishedIndex>>>,
@@ -89,16 +90,16 @@
             return self.start_relaying(position, &update);
         }
         let Some(published) = self.relay.published() else { return };
-        published.index.lock().record_found(&update.snapshot);
+        published.index.lock().record_findings(&update.snapshot);
         published.commit(update.entries.into_iter().filter_map(|entry| entry.invalidation));
         self.relay.changed.notify_one();
     }
 
-    /// Records which prefixes a router's requests left cached. The readers of this relay learn of them at once, even while
-    /// there is no owner; all other routers learn of them through the owner.
-    pub fn relay_found(&self, found: CachedPrefixes) {
+    /// Records which prefixes a router's requests left cached. The readers of this relay learn of them at once, even
+    /// while there is no owner; all other routers learn of them through the owner.
+    pub fn relay_findings(&self, found: CachedPrefixes) {
         if let Some(published) = self.relay.published() {
-            published.index.lock().record_found(&found.entries);
+            published.index.lock().record_findings(&found.entries);
             self.relay.changed.notify_one();
         }
         let owner = self.relay.upstream.borrow().as_ref().map(|head| head.owner.clone());
@@ -121,7 +122,7 @@
         let incarnation = self.dependencies.process.random() | 1;
         let token = position.fencing_token();
         let published = PublishedIndex::new(&self.dependencies, token, incarnation, Instant::now());
-        published.index.lock().record_found(&update.snapshot);
+        published.index.lock().record_findings(&update.snapshot);
         let head = published.head();
         *self.relay.published.lock() = Some(Arc::new(published));
         fleet_core::log_event!(self.dependencies.process.log, Event::RelayStarted, "fence" => token);
--- a/crates/control-plane/src/leases/lease.rs
+++ b/crates/control-plane/src/leases/lease.rs
@@ -1,5 +1,5 @@
-//! Rules of leases as pure state machines, for the voter that grants a lease and for the node that holds it. There is no
-//! I/O, clock or task in this module: the caller passes in the current time.
+//! Rules of leases as pure state machines, for the voter that grants a lease and for the node that holds it. There is
+//! no I/O, clock or task in this module: the caller passes in the current time.
 
 use fleet_core::constants;
 use fleet_core::wire::{LeaseRequest, RaiseId};
@@ -45,9 +45,9 @@
     pub expires_at: Instant,
 }
 
-/// The grants of one voter, kept in memory. After a restart, and after becoming a voter, it grants no lease whose holder
-/// commands engines until a full lease duration has passed, because it or its predecessor may have granted one that it
-/// no longer knows.
+/// The grants of one voter, kept in memory. After a restart, and after becoming a voter, it grants no lease whose
+/// holder commands engines until a full lease duration has passed, because it or its predecessor may have granted one
+/// that it no longer knows.
 #[derive(Default)]
 pub struct Grantor {
     grants_by_lease: hashbrown::HashMap<String, Vec<Grant>>,
--- a/crates/control-plane/src/leases/lease_holder.rs
+++ b/crates/control-plane/src/leases/lease_holder.rs
@@ -71,8 +71,8 @@
     }
 
     /// A command sent under `fencing_token` was rejected, because another node has used a higher token. This node stops
-    /// acting under its token even if the voters' grants still run, and requests the lease again with a token higher than
-    /// both.
+    /// acting under its token even if the voters' grants still run, and requests the lease again with a token higher
+    /// than both.
     pub fn on_token_rejected(&self, name: &'static str, fencing_token: u64) {
         let was_held = self.with_holder(name, |holder| holder.drop_if_rejected(fencing_token));
         self.log_release(name, was_held);
--- a/crates/control-plane/src/leases/lease_tests.rs
+++ b/crates/control-plane/src/leases/lease_tests.rs
@@ -22,8 +22,8 @@
     }
 }
 
-/// Candidates whose attempts fail must not block each other. If each failed attempt blocked the lease for a while, several
-/// candidates could keep each other from acquiring it indefinitely.
+/// Candidates whose attempts fail must not block each other. If each failed attempt blocked the lease for a while,
+/// several candidates could keep each other from acquiring it indefinitely.
 #[test]
 fn withdrawn_request_frees_the_lease_immediately() {
     let start = Instant::now();
@@ -512,8 +512,8 @@
 proptest::proptest! {
     #![proptest_config(proptest::test_runner::Config { cases: 4000, failure_persistence: None, ..Default::default() })]
 
-    /// Under pauses, restarts, lost and late messages, two nodes never act within one lease duration, and fencing tokens
-    /// never decrease and are each used by one node.
+    /// Under pauses, restarts, lost and late messages, two nodes never act within one lease duration, and fencing
+    /// tokens never decrease and are each used by one node.
     #[test]
     fn actions_of_different_holders_are_a_lease_duration_apart(steps in proptest::collection::vec((0u8..24, 0usize..997), 50..500)) {
         run(&steps).map_err(proptest::test_runner::TestCaseError::fail)?;
--- a/crates/control-plane/src/leases/mod.rs
+++ b/crates/control-plane/src/leases/mod.rs
@@ -46,8 +46,8 @@
 }
 
 impl LeaseManager {
-    /// Creates the leases of a starting node. Grants of its former incarnation may still run for `grant_block`, which is
-    /// `None` at the very first start.
+    /// Creates the leases of a starting node. Grants of its former incarnation may still run for `grant_block`, which
+    /// is `None` at the very first start.
     pub fn new(
         process: Arc<Process>,
         consensus: Arc<Consensus>,
@@ -65,8 +65,9 @@
         }
     }
 
-    /// Answers a request for a lease or a release of one. Only a voter grants, and only if it and the requester know the
-    /// same membership, because a majority of an older membership need not overlap with a majority of the current one.
+    /// Answers a request for a lease or a release of one. Only a voter grants, and only if it and the requester know
+    /// the same membership, because a majority of an older membership need not overlap with a majority of the current
+    /// one.
     pub fn grant(&self, request: &LeaseRequest) -> LeaseResponse {
         let policy = self.policy(&request.lease_name);
         let may_grant =
@@ -77,8 +78,8 @@
         }
     }
 
-    /// Grants no lease whose holder commands engines for the given duration. Called for a member that becomes a voter: it
-    /// does not know what former members granted.
+    /// Grants no lease whose holder commands engines for the given duration. Called for a member that becomes a voter:
+    /// it does not know what former members granted.
     pub fn block_grants_for(&self, lease: Duration) {
         self.grantor.lock().block_until(Instant::now() + lease);
     }
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,9 +1,9 @@
 //! The control plane: the library that the `controller` program runs.
 //!
-//! A controller replicates the state on which routers, engines and operators have to agree, and runs the tasks that only
-//! one node at a time may run. [`Controller`] connects the components below and has no logic of its own. Each component
-//! owns its state and its locks, and receives the components that it depends on when it is constructed, so that the order
-//! of construction in [`controller`] is also the order in which locks may be taken.
+//! A controller replicates the state on which routers, engines and operators have to agree, and runs the tasks that
+//! only one node at a time may run. [`Controller`] connects the components below and has no logic of its own. Each
+//! component owns its state and its locks, and receives the components that it depends on when it is constructed, so
+//! that the order of construction in [`controller`] is also the order in which locks may be taken.
 //!
 //! Suggested reading order:
 //!
--- a/crates/control-plane/src/membership/candidates.rs
+++ b/crates/control-plane/src/membership/candidates.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Recent join requests by address. The map is ordered because the iteration order affects which membership is proposed,
-/// and simulated runs have to be reproducible.
+/// Recent join requests by address. The map is ordered because the iteration order affects which membership is
+/// proposed, and simulated runs have to be reproducible.
 #[derive(Debug, Default)]
 pub struct Candidates {
     requests: BTreeMap<String, ReceivedRequest>,
--- a/crates/control-plane/src/membership/load_reports.rs
+++ b/crates/control-plane/src/membership/load_reports.rs
@@ -1,5 +1,5 @@
-//! Aggregation of engine loads: each controller sums up the reports of its routers, and sends the routers the total over
-//! all controllers.
+//! Aggregation of engine loads: each controller sums up the reports of its routers, and sends the routers the total
+//! over all controllers.
 //!
 //! A router reports to only one controller. The controllers exchange the sums over their own routers, so that each can
 //! compute the total without counting a router twice.
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -43,8 +43,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Handles join requests and recoveries, and proposes membership changes. No other lock is taken while one of its locks is
-/// held.
+/// Handles join requests and recoveries, and proposes membership changes. No other lock is taken while one of its locks
+/// is held.
 pub struct MembershipManager {
     process: Arc<Process>,
     consensus: Arc<Consensus>,
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -21,8 +21,8 @@
     pub link: Arc<Link>,
 }
 
-/// Links from this node to other controllers, one for each. Maps whose iteration order affects what is sent are ordered,
-/// so that simulated runs are reproducible. No other lock is taken while one of its locks is held.
+/// Links from this node to other controllers, one for each. Maps whose iteration order affects what is sent are
+/// ordered, so that simulated runs are reproducible. No other lock is taken while one of its locks is held.
 pub struct PeerLinks {
     process: Arc<Process>,
     transport: Arc<dyn Transport>,
@@ -37,8 +37,8 @@
     incarnations: Mutex<HashMap<String, Incarnations>>,
 }
 
-/// Incarnations of the controller at one address. Those from before a disk loss are retired: messages of theirs that are
-/// still in flight are rejected.
+/// Incarnations of the controller at one address. Those from before a disk loss are retired: messages of theirs that
+/// are still in flight are rejected.
 #[derive(Default)]
 struct Incarnations {
     observed: HashSet<u64>,
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Opens and closes links so that there is one to each member and, while this node does not vote, to each seed and to
-    /// each controller that opened a link to this node.
+    /// Opens and closes links so that there is one to each member and, while this node does not vote, to each seed and
+    /// to each controller that opened a link to this node.
     pub fn relink(&self, membership: &Membership, votes: bool) {
         let settings = self.process.settings();
         let mut required: BTreeSet<Ipv4Addr> =
@@ -124,8 +124,8 @@
         self.zones.lock().get(&ip).cloned()
     }
 
-    /// Records the handshake of a process that opened a link to this node. Incarnations are recorded of controllers only:
-    /// a router on the same machine has an incarnation of its own, which a disk loss does not retire.
+    /// Records the handshake of a process that opened a link to this node. Incarnations are recorded of controllers
+    /// only: a router on the same machine has an incarnation of its own, which a disk loss does not retire.
     pub fn register(&self, handshake: &Handshake) {
         let ip: Option<Ipv4Addr> = handshake.ip.parse().ok();
         if handshake.role == Role::Controller as u32 {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Retires all observed incarnations of the controller at an address except the current one. Called when a controller
-    /// has restarted with an empty disk.
+    /// Retires all observed incarnations of the controller at an address except the current one. Called when a
+    /// controller has restarted with an empty disk.
     pub fn retire_incarnations(&self, ip: &str, current: u64) {
         let mut incarnations = self.incarnations.lock();
         let of_address = incarnations.entry_ref(ip).or_default();
--- a/crates/control-plane/src/membership/peer_service.rs
+++ b/crates/control-plane/src/membership/peer_service.rs
@@ -1,7 +1,7 @@
 //! Dispatches messages from routers and other controllers to the components that handle them.
 //!
-//! Messages of a controller's former incarnation whose disk has been lost since are dropped, because its votes no longer
-//! count.
+//! Messages of a controller's former incarnation whose disk has been lost since are dropped, because its votes no
+//! longer count.
 
 use super::routers::Routers;
 use super::{MembershipManager, load_reports::LoadReports, peer_links::PeerLinks, register_reads};
@@ -120,7 +120,7 @@
             Body::JoinRequest(request) => self.join(request),
             Body::RouterHeartbeat(_) => self.router_heartbeat(peer),
             Body::CachedPrefixes(found) => {
-                dependencies.index.record_found(found);
+                dependencies.index.record_findings(found);
                 None
             }
             Body::LoadReport(report) => {
@@ -175,8 +175,8 @@
         report.map(Body::BallotReport)
     }
 
-    /// Handles the start of a member's recovery. If the membership matches, messages of the member's former incarnations
-    /// are dropped from now on.
+    /// Handles the start of a member's recovery. If the membership matches, messages of the member's former
+    /// incarnations are dropped from now on.
     async fn begin_recovery(&self, peer: &Peer, request: &RecoverRequest) -> Option<Body> {
         let consensus = &self.dependencies.consensus;
         let report = if request.membership == consensus.membership_epoch() {
@@ -222,7 +222,8 @@
         Some(Body::Acknowledged(Empty {}))
     }
 
-    /// Answers a reader of the invalidation ring, unless too many earlier messages to it are still unsent; it asks again.
+    /// Answers a reader of the invalidation ring, unless too many earlier messages to it are still unsent; it asks
+    /// again.
     fn ring(&self, peer: &Peer, request: &RingRequest) -> Option<Body> {
         if peer.backlog() >= constants::SLOW_READER_QUEUE_FRAMES {
             return None;
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -81,8 +81,8 @@
     }
 }
 
-/// Asks all linked controllers to be admitted as a member, and adopts newer memberships from their answers. A node without
-/// a writable disk could not vote, so it asks only as an observer, to learn the membership.
+/// Asks all linked controllers to be admitted as a member, and adopts newer memberships from their answers. A node
+/// without a writable disk could not vote, so it asks only as an observer, to learn the membership.
 async fn request_membership(manager: &Arc<MembershipManager>) {
     let is_observer = manager.consensus.is_disk_absent() || manager.consensus.is_disk_broken();
     for (_, link) in manager.links.all() {
@@ -120,8 +120,9 @@
     }
 }
 
-/// Proposes the next membership when a change is due. Any voter may propose; ballots decide between concurrent proposals.
-/// To make these rare, each voter first waits for a delay that grows with the number of voters with lower IDs.
+/// Proposes the next membership when a change is due. Any voter may propose; ballots decide between concurrent
+/// proposals. To make these rare, each voter first waits for a delay that grows with the number of voters with lower
+/// IDs.
 pub async fn run_replacement(manager: Arc<MembershipManager>) {
     let mut vote_monitor = VoteMonitor::default();
     let mut last_check = Instant::now();
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -1,9 +1,9 @@
 //! Recovery of a member's state from the other members, after a disk loss or after joining.
 //!
-//! First, each value is read in chunks from one of the members that have accepted the highest ballot of its register. Then
-//! a majority advances to a new recovery epoch, which forces the owners of keys to prepare again, and reports its ballots.
-//! Values that have changed since are read again. Values read so far are kept when a source or the membership changes
-//! during the recovery, so that a recovery that is interrupted often still completes.
+//! First, each value is read in chunks from one of the members that have accepted the highest ballot of its register.
+//! Then a majority advances to a new recovery epoch, which forces the owners of keys to prepare again, and reports its
+//! ballots. Values that have changed since are read again. Values read so far are kept when a source or the membership
+//! changes during the recovery, so that a recovery that is interrupted often still completes.
 
 use super::MembershipManager;
 use super::peer_links::MemberLink;
@@ -75,8 +75,8 @@
 
 impl CatchUp {
     /// Reads one value completely, at the given ballot or at a later one that a source has accepted meanwhile. Returns
-    /// false if none of the sources could supply the rest. What was read before at another ballot is discarded, because it
-    /// may have been accepted only by a voter of an earlier recovery epoch, without a majority.
+    /// false if none of the sources could supply the rest. What was read before at another ballot is discarded, because
+    /// it may have been accepted only by a voter of an earlier recovery epoch, without a majority.
     pub async fn fetch<S: ChunkSource>(
         &mut self,
         key: &str,
@@ -141,8 +141,8 @@
     latest
 }
 
-/// Attempts to recover this member's state. Reads the values of a majority, advances a majority to a new recovery epoch,
-/// and reads what has changed since; then the member votes again, unless the membership has changed meanwhile.
+/// Attempts to recover this member's state. Reads the values of a majority, advances a majority to a new recovery
+/// epoch, and reads what has changed since; then the member votes again, unless the membership has changed meanwhile.
 pub async fn recover(manager: &Arc<MembershipManager>, membership: u64, catch_up: &mut CatchUp) {
     let initial_reports =
         query_all(manager, Body::ReadBallots(ReadBallots { membership, values: false })).await;
@@ -175,8 +175,8 @@
     }
 }
 
-/// Reads each value from one of its sources. The first source rotates from key to key, to spread the load; the others are
-/// tried if it fails. Returns false if a value could not be read.
+/// Reads each value from one of its sources. The first source rotates from key to key, to spread the load; the others
+/// are tried if it fails. Returns false if a value could not be read.
 async fn fetch_all(
     manager: &Arc<MembershipManager>,
     reports: &[(u64, BallotReport)],
@@ -197,8 +197,8 @@
     true
 }
 
-/// Sends a request to all other members at once and returns their reports. Adopts a later membership if a report contains
-/// one.
+/// Sends a request to all other members at once and returns their reports. Adopts a later membership if a report
+/// contains one.
 pub async fn query_all(
     manager: &Arc<MembershipManager>,
     request: Body,
--- a/crates/control-plane/src/membership/register_reads.rs
+++ b/crates/control-plane/src/membership/register_reads.rs
@@ -4,8 +4,8 @@
 use fleet_core::wire::{Register, RegisterRequest, RegisterResponse};
 
 impl Consensus {
-    /// The newest value of a register that this node knows, either accepted by it as a voter or learned as chosen. It may
-    /// be outdated.
+    /// The newest value of a register that this node knows, either accepted by it as a voter or learned as chosen. It
+    /// may be outdated.
     pub fn newest_register(&self, key: &str) -> Option<Register> {
         let learned = self.learned(key);
         let accepted = self.with_acceptor(|acceptor| acceptor.register(key).cloned());
--- a/crates/control-plane/src/membership/replacement.rs
+++ b/crates/control-plane/src/membership/replacement.rs
@@ -31,17 +31,17 @@
 }
 
 impl Candidate {
-    /// Whether this candidate is presumably the successor of a lost member, because its process started after the member
-    /// became unreachable. A candidate that started earlier is a standby, whose presence does not indicate whether the
-    /// member will come back.
+    /// Whether this candidate is presumably the successor of a lost member, because its process started after the
+    /// member became unreachable. A candidate that started earlier is a standby, whose presence does not indicate
+    /// whether the member will come back.
     fn is_successor_of(&self, lost: &MemberStatus) -> bool {
         lost.was_reachable && self.uptime < lost.unreachable_for
     }
 }
 
-/// Time for which a member has to be unreachable before a successor from another zone may replace it. It is short enough
-/// for the successor to vote by the time the lost member stops counting, but not shorter than for a candidate from the
-/// member's own zone, since members may be restarting.
+/// Time for which a member has to be unreachable before a successor from another zone may replace it. It is short
+/// enough for the successor to vote by the time the lost member stops counting, but not shorter than for a candidate
+/// from the member's own zone, since members may be restarting.
 pub fn successor_wait(catch_up: Duration) -> Duration {
     catch_up
         .saturating_sub(constants::REPLACEMENT_DURATION)
@@ -63,10 +63,10 @@
 }
 
 impl MembershipPlanner<'_> {
-    /// The next membership, or `None` if no change is due. In order of priority: a lost member is replaced, whatever the
-    /// size of the membership; the membership grows to its target size; members are redistributed over the failure
-    /// domains. A quorum of the next membership always votes already and so has the state, which a new member first has to
-    /// read.
+    /// The next membership, or `None` if no change is due. In order of priority: a lost member is replaced, whatever
+    /// the size of the membership; the membership grows to its target size; members are redistributed over the failure
+    /// domains. A quorum of the next membership always votes already and so has the state, which a new member first has
+    /// to read.
     pub fn next(&self) -> Option<Membership> {
         let voters = self.members.iter().filter(|status| status.votes).count();
         if voters < self.membership.majority() {
@@ -165,8 +165,8 @@
         (exposed < current && self.quorum_has_state(&next)).then_some(next)
     }
 
-    /// Whether a member counts as lost with regard to a candidate: it does not vote, and it has been unreachable for a time
-    /// that depends on the candidate, or has not voted for far longer than a recovery takes.
+    /// Whether a member counts as lost with regard to a candidate: it does not vote, and it has been unreachable for a
+    /// time that depends on the candidate, or has not voted for far longer than a recovery takes.
     fn is_lost(&self, status: &MemberStatus, candidate: &Candidate) -> bool {
         let limit = if status.member.zone == candidate.member.zone {
             constants::MEMBER_TIMEOUT_SAME_ZONE
--- a/crates/control-plane/src/membership/replacement_tests.rs
+++ b/crates/control-plane/src/membership/replacement_tests.rs
@@ -130,8 +130,8 @@
     assert_eq!(next(&five, &candidates, &two), None, "at the target size");
 }
 
-/// Guards against an earlier rule by which a membership below its target size could only grow, and only while all of its
-/// members voted, so that a lost member blocked every change.
+/// Guards against an earlier rule by which a membership below its target size could only grow, and only while all of
+/// its members voted, so that a lost member blocked every change.
 #[test]
 fn a_lost_member_is_replaced_at_any_size() {
     let [a, b, c] =
--- a/crates/control-plane/src/membership/routers.rs
+++ b/crates/control-plane/src/membership/routers.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Pushes a message to those of the given routers whose backlog is small. The others are skipped; they receive a newer
-    /// message later.
+    /// Pushes a message to those of the given routers whose backlog is small. The others are skipped; they receive a
+    /// newer message later.
     pub fn push_to_prompt_readers(&self, incarnations: &[u64], body: &Body) {
         let links = self.links.lock();
         for peer in incarnations.iter().filter_map(|incarnation| links.get(incarnation)) {
--- a/crates/control-plane/src/membership/state_transfer.rs
+++ b/crates/control-plane/src/membership/state_transfer.rs
@@ -20,8 +20,8 @@
 }
 
 impl StateTransfers {
-    /// The requested chunk for the member at address `peer`; `current` is the register's current value on this node. The
-    /// chunk is empty if the register is unknown here.
+    /// The requested chunk for the member at address `peer`; `current` is the register's current value on this node.
+    /// The chunk is empty if the register is unknown here.
     pub fn chunk(
         &self,
         peer: &str,
--- a/crates/control-plane/src/process.rs
+++ b/crates/control-plane/src/process.rs
@@ -1,7 +1,7 @@
 //! Process-wide context that all components of a controller share.
 //!
-//! It is built once, before any component, and holds none of the replicated state: only the identity of the process, its
-//! log, the current settings, the random number generator, and the shutdown signal.
+//! It is built once, before any component, and holds none of the replicated state: only the identity of the process,
+//! its log, the current settings, the random number generator, and the shutdown signal.
 
 use fleet_core::node::Node;
 use fleet_core::random::RandomSource;
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -92,8 +92,8 @@
         fleet::version_of(engine, &self.model).is_some_and(|version| version < self.version)
     }
 
-    /// Time until routers stop sending requests to an engine with older weights, minus a margin. Counted from the time at
-    /// which the first version that the engine lacks was set, even if newer versions have been set since.
+    /// Time until routers stop sending requests to an engine with older weights, minus a margin. Counted from the time
+    /// at which the first version that the engine lacks was set, even if newer versions have been set since.
     fn remaining(&self, engine: &Engine, bound: Duration, now: Instant) -> Duration {
         let margin = constants::VERSION_MARGIN + constants::ROLLOUT_MARGIN;
         bound.saturating_sub(margin).saturating_sub(self.outdated_for(engine, now))
--- a/crates/control-plane/src/rollout/plan.rs
+++ b/crates/control-plane/src/rollout/plan.rs
@@ -25,7 +25,8 @@
     pub in_flight: u32,
     /// Time until routers stop sending it requests because of its outdated weights; the older these are, the shorter.
     pub remaining: Duration,
-    /// Time in which it should load the target weights: requests that it serves with older weights later are worth less.
+    /// Time in which it should load the target weights: requests that it serves with older weights later are worth
+    /// less.
     pub goal: Duration,
 }
 
@@ -178,8 +179,8 @@
         } else {
             constants::ROLLOUT_MAX_SHARE
         };
-        // Don't go faster than the goal requires: cached prefixes are void under the new weights, and the more engines
-        // are updated at the same time, the more prefixes have to be recomputed at once.
+        // Don't go faster than the goal requires: cached prefixes are invalid under the new weights, and the more
+        // engines are updated at the same time, the more prefixes have to be recomputed at once.
         let baseline = concurrency.min(share_of_engines(constants::ROLLOUT_INITIAL_SHARE));
         let target_concurrency =
             baseline.max(required).max(desired).min(share_of_engines(max_share));
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Rollouts of all models. The views declare their fields in alphabetical order, which is the order in which clients have
-/// always received them.
+/// Rollouts of all models. The views declare their fields in alphabetical order, which is the order in which clients
+/// have always received them.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RolloutView {
     /// Whether this node holds the lease and so runs the rollouts.
--- a/crates/control-plane/src/runtime.rs
+++ b/crates/control-plane/src/runtime.rs
@@ -48,15 +48,15 @@
         &self.controller
     }
 
-    /// Shuts down gracefully, as the program does on SIGTERM: releases the leases and the ownership of keys, and sends the
-    /// other controllers any engine state that they may lack.
+    /// Shuts down gracefully, as the program does on SIGTERM: releases the leases and the ownership of keys, and sends
+    /// the other controllers any engine state that they may lack.
     pub async fn shut_down(&self) {
         self.controller.shut_down().await;
     }
 
-    /// Stops at once, as in a crash: aborts all tasks and closes all connections. Operations that were already handed over
-    /// (records to be written, responses being produced) complete only as far as the transport and the disk still accept
-    /// them.
+    /// Stops at once, as in a crash: aborts all tasks and closes all connections. Operations that were already handed
+    /// over (records to be written, responses being produced) complete only as far as the transport and the disk still
+    /// accept them.
     pub fn abort(self) {
         drop(self);
     }
--- a/crates/control-plane/src/service/instances.rs
+++ b/crates/control-plane/src/service/instances.rs
@@ -74,8 +74,8 @@
 ///
 /// # Errors
 ///
-/// 400 for an invalid call; 503 without contact with a majority, and if no majority records a drain in time. After 503 the
-/// heartbeat is recorded on this node all the same.
+/// 400 for an invalid call; 503 without contact with a majority, and if no majority records a drain in time. After 503
+/// the heartbeat is recorded on this node all the same.
 pub async fn heartbeat(
     registry: &Arc<EngineRegistry>,
     id: String,
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's view of the control plane itself. Computed on request: no state is kept for it, and the voters' responses
-//! don't change this node's state.
+//! The operator's view of the control plane itself. Computed on request: no state is kept for it, and the voters'
+//! responses don't change this node's state.
 
 mod view;
 
--- a/crates/control-plane/src/service/mod.rs
+++ b/crates/control-plane/src/service/mod.rs
@@ -1,5 +1,5 @@
-//! Operations that engines and operators request from a controller, independent of HTTP: the handlers in `api` translate
-//! requests into calls of these functions, which tests and simulations call directly.
+//! Operations that engines and operators request from a controller, independent of HTTP: the handlers in `api`
+//! translate requests into calls of these functions, which tests and simulations call directly.
 //!
 //! Each function takes the components that it works on. All except the views require contact with a majority
 //! ([`require_contact`]).
@@ -11,8 +11,8 @@
 
 use crate::consensus::Consensus;
 
-/// Checks for contact with a majority of the voters. Without it, requests are neither acknowledged, refused nor served, so
-/// that the caller tries another node at once.
+/// Checks for contact with a majority of the voters. Without it, requests are neither acknowledged, refused nor served,
+/// so that the caller tries another node at once.
 ///
 /// # Errors
 ///
--- a/crates/control-plane/src/service/weights.rs
+++ b/crates/control-plane/src/service/weights.rs
@@ -17,8 +17,8 @@
 ///
 /// # Errors
 ///
-/// 400 for an invalid body; 503 without contact with a majority, and if no majority decided in time. In the latter case the
-/// target may have been set.
+/// 400 for an invalid body; 503 without contact with a majority, and if no majority decided in time. In the latter case
+/// the target may have been set.
 pub async fn put(consensus: &Arc<Consensus>, body: Bytes) -> Result<(), Rejection> {
     require_contact(consensus)?;
     let request: SetTargetRequest = serde_json::from_slice(&body)
--- a/crates/control-plane/src/storage/monitor.rs
+++ b/crates/control-plane/src/storage/monitor.rs
@@ -18,7 +18,7 @@
 struct PendingWrites {
     /// Total size of their values.
     bytes: AtomicUsize,
-    /// Number of records that have waited longer than their time-out.
+    /// Number of records that have waited longer than their timeout.
     overdue: AtomicUsize,
     log: slog::Logger,
 }
@@ -62,7 +62,7 @@
 }
 
 impl PendingWrites {
-    /// Waits until a record is written, and counts it as overdue once its time-out has passed. The time-out depends on
+    /// Waits until a record is written, and counts it as overdue once its timeout has passed. The timeout depends on
     /// the size of all pending records.
     async fn track(
         &self,
--- a/crates/control-plane/tests/calls_to_engines.rs
+++ b/crates/control-plane/tests/calls_to_engines.rs
@@ -11,7 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// Time-out of each wait, generous for busy machines.
+/// Timeout of each wait, generous for busy machines.
 const LIMIT: Duration = Duration::from_secs(30);
 
 /// A request as the engine received it.
--- a/crates/control-plane/tests/cluster/leases.rs
+++ b/crates/control-plane/tests/cluster/leases.rs
@@ -11,7 +11,7 @@
 /// Default lease duration of the settings.
 pub const LEASE: Duration = Duration::from_secs(3);
 
-/// The node that holds the roll-out lease, with its fencing token. Asserts that there is at most one.
+/// The node that holds the rollout lease, with its fencing token. Asserts that there is at most one.
 fn holder(cluster: &Cluster, nodes: &[usize]) -> Option<(usize, u64)> {
     let fencing_token =
         |node: &usize| cluster.controller(*node).leases().fencing_token(ROLLOUT_LEASE);
@@ -21,7 +21,7 @@
     first
 }
 
-/// Waits until one of the nodes holds the roll-out lease.
+/// Waits until one of the nodes holds the rollout lease.
 pub async fn next_holder(cluster: &Cluster, nodes: &[usize]) -> (usize, u64) {
     let end = Instant::now() + LEASE * 5;
     loop {
--- a/crates/control-plane/tests/cluster/operator.rs
+++ b/crates/control-plane/tests/cluster/operator.rs
@@ -1,4 +1,5 @@
-//! Requests of operators and routers to controllers that run as in the program, except that disks and network are simulated.
+//! Requests of operators and routers to controllers that run as in the program, except that disks and network are
+//! simulated.
 
 use super::harness::Cluster;
 use control_plane::service::{Rejection, configuration};
--- a/crates/control-plane/tests/cluster/resignation.rs
+++ b/crates/control-plane/tests/cluster/resignation.rs
@@ -9,7 +9,8 @@
 /// after an owner's last round during which voters elect no other owner.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Replaces the configuration with one request, without retries, and asserts that it succeeds within [`CHANGE_TIMEOUT`].
+/// Replaces the configuration with one request, without retries, and asserts that it succeeds within
+/// [`CHANGE_TIMEOUT`].
 async fn assert_replaced_in_time(cluster: &Cluster, node: usize, base: u64) {
     let (version, started_at) = (base + 1, Instant::now());
     let base = base.to_string();
--- a/crates/control-plane/tests/cluster/rollout.rs
+++ b/crates/control-plane/tests/cluster/rollout.rs
@@ -1,4 +1,4 @@
-//! Update orders to engines: requests in flight that outlast the routers' time-out for an update in progress, and
+//! Update orders to engines: requests in flight that outlast the routers' timeout for an update in progress, and
 //! fencing tokens that an engine refuses.
 
 use super::{Cluster, instances};
--- a/crates/control-plane/tests/http_api.rs
+++ b/crates/control-plane/tests/http_api.rs
@@ -37,7 +37,7 @@
         while self.call("POST", "Instances.Heartbeat/e1", "0", HEARTBEAT).await.0 != 200 {}
     }
 
-    /// Waits until the roll-out view lists models, and returns it.
+    /// Waits until the rollout view lists models, and returns it.
     async fn rollout_with_models(&self) -> Value {
         loop {
             let rollout = self.get("Rollout.Look").await;
--- a/crates/control-plane/tests/program/mod.rs
+++ b/crates/control-plane/tests/program/mod.rs
@@ -8,7 +8,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Time-out of a call, generous for busy machines.
+/// Timeout of a call, generous for busy machines.
 const LIMIT: Duration = Duration::from_secs(20);
 
 fn free_port(ip: Ipv4Addr) -> u16 {
--- a/crates/control-plane/tests/rollout_plan.rs
+++ b/crates/control-plane/tests/rollout_plan.rs
@@ -1,4 +1,4 @@
-//! The order, concurrency and steps of a roll-out, at times set by the tests.
+//! The order, concurrency and steps of a rollout, at times set by the tests.
 
 use control_plane::rollout::concurrency::ConcurrencyLimit;
 use control_plane::rollout::plan::{Action, OutdatedEngine, Plan, Step};
--- a/crates/control-plane/tests/rollout_status.rs
+++ b/crates/control-plane/tests/rollout_status.rs
@@ -1,4 +1,4 @@
-//! The status of engines in a roll-out, as shown to operators.
+//! The status of engines in a rollout, as shown to operators.
 
 use control_plane::rollout::plan::Step;
 use control_plane::rollout::status::{State, stall_reason, state_of};
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -45,13 +45,13 @@
     pub body: bytes::Bytes,
 }
 
-/// Decodes the body in a response, applying a delta to `current`, and checks it against the digest that a majority of the
-/// controllers has confirmed.
+/// Decodes the body in a response, applying a delta to `current`, and checks it against the digest that a majority of
+/// the controllers has confirmed.
 ///
 /// # Errors
 ///
-/// The response has no body, or a delta where `current` is none; the body can't be decompressed; or the body doesn't match
-/// the digest.
+/// The response has no body, or a delta where `current` is none; the body can't be decompressed; or the body doesn't
+/// match the digest.
 pub fn rebuild(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
@@ -89,8 +89,8 @@
 }
 
 impl Fetcher {
-    /// Timeout of the next fetch. It is short at first, so that another controller is tried soon, and doubles with further
-    /// failures to allow for slow links.
+    /// Timeout of the next fetch. It is short at first, so that another controller is tried soon, and doubles with
+    /// further failures to allow for slow links.
     fn timeout(&self) -> Duration {
         let expects_full = self.current.is_none() || self.request_full;
         let first = if expects_full {
--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -36,9 +36,9 @@
 }
 
 impl Viewpoint<'_> {
-    /// Position of an engine in the router's preference order, from 0 to 1. Rendezvous hashing spreads the engines evenly
-    /// over the routers, and changes few positions when a router or an engine joins or leaves. Engines in the router's
-    /// zone are scaled towards 0.
+    /// Position of an engine in the router's preference order, from 0 to 1. Rendezvous hashing spreads the engines
+    /// evenly over the routers, and changes few positions when a router or an engine joins or leaves. Engines in the
+    /// router's zone are scaled towards 0.
     fn distance(&self, engine: &str, same_zone: bool) -> f64 {
         let hash = fleet_core::node::stable_hash(&[self.router.as_bytes(), engine.as_bytes()]);
         let uniform = hash as f64 / u64::MAX as f64;
@@ -47,7 +47,8 @@
 }
 
 impl Endpoint {
-    /// Rendezvous hash of a prompt part and this engine; the part is preferably routed to the engine with the highest rank.
+    /// Rendezvous hash of a prompt part and this engine; the part is preferably routed to the engine with the highest
+    /// rank.
     pub fn rank(&self, part: u64) -> u64 {
         let mixed = (self.rank ^ part).wrapping_mul(0xff51_afd7_ed55_8ccd);
         let mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -56,8 +57,8 @@
 }
 
 /// Number of engines for prefill-heavy requests: [`constants::PREFILL_HEAVY_SHARE`] of them, or fewer if interactive
-/// requests need more than the rest, but at least [`constants::PREFILL_HEAVY_MIN_SHARE`]. `interactive` is the number of
-/// interactive requests in flight at all routers.
+/// requests need more than the rest, but at least [`constants::PREFILL_HEAVY_MIN_SHARE`]. `interactive` is the number
+/// of interactive requests in flight at all routers.
 pub fn prefill_heavy_count(engines: usize, slots: u32, interactive: f64) -> usize {
     let all = engines as f64;
     let interactive_engines =
@@ -171,9 +172,9 @@
         self.engine_updates.fetch_add(1, Ordering::Release);
     }
 
-    /// Records the number of interactive requests in flight at `engines` ready engines with `slots` slots each. The division
-    /// of the engines changes only once it is off by [`constants::PREFILL_HEAVY_HYSTERESIS`] of them, and by at least
-    /// one.
+    /// Records the number of interactive requests in flight at `engines` ready engines with `slots` slots each. The
+    /// division of the engines changes only once it is off by [`constants::PREFILL_HEAVY_HYSTERESIS`] of them, and by
+    /// at least one.
     pub fn record_interactive(&self, in_flight: u32, engines: usize, slots: u32) {
         let mut interactive = self.interactive.lock();
         interactive.smoothed +=
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -1,5 +1,5 @@
-//! Keeps the prompt index valid: fetches entries of the invalidation ring in the background, and applies them before the
-//! index is next used.
+//! Keeps the prompt index valid: fetches entries of the invalidation ring in the background, and applies them before
+//! the index is next used.
 
 use super::FleetView;
 use crate::Router;
@@ -86,8 +86,8 @@
         &self.index
     }
 
-    /// Records that a dispatch of this router has left a prompt in the cache of a holder. Shared parts that the index didn't
-    /// list there are queued to be reported.
+    /// Records that a dispatch of this router has left a prompt in the cache of a holder. Shared parts that the index
+    /// didn't list there are queued to be reported.
     pub fn record_dispatch(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
         let index = self.current_index();
         let location = index.admit(holder);
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -42,8 +42,8 @@
     settings.seeds.iter().filter_map(ipv4).collect()
 }
 
-/// The controller of this machine, if there is one. It is linked even if it is not a member, because at shutdown it waits
-/// for this router only if the two are linked.
+/// The controller of this machine, if there is one. It is linked even if it is not a member, because at shutdown it
+/// waits for this router only if the two are linked.
 fn local_controller(settings: &Settings) -> Option<Ipv4Addr> {
     settings.counted.then_some(settings.ip)
 }
@@ -68,8 +68,8 @@
     }
 }
 
-/// Opens a link to the controller at an address. A task applies the updates that arrive on it, and ends when the link is
-/// dropped.
+/// Opens a link to the controller at an address. A task applies the updates that arrive on it, and ends when the link
+/// is dropped.
 fn open_link(router: &Arc<Router>, ip: Ipv4Addr) -> Arc<Link> {
     let (update_sender, updates) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
     let address = router.settings().peer_addr(ip.into());
@@ -78,8 +78,8 @@
     link
 }
 
-/// Sends a heartbeat to all controllers. Each is sent by a separate task with a timeout, so that a controller that doesn't
-/// respond delays no other.
+/// Sends a heartbeat to all controllers. Each is sent by a separate task with a timeout, so that a controller that
+/// doesn't respond delays no other.
 fn send_heartbeats(router: &Router) {
     let heartbeat = RouterHeartbeat {
         version: router.fleet_view.routing_table().map_or(0, |table| table.version),
--- a/crates/data-plane/src/fleet_view/load_reports.rs
+++ b/crates/data-plane/src/fleet_view/load_reports.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The controller that a node prefers, by rendezvous hashing among those that are up; controllers in the node's zone come
-/// first.
+/// The controller that a node prefers, by rendezvous hashing among those that are up; controllers in the node's zone
+/// come first.
 pub fn preferred_controller<'a>(
     members: impl Iterator<Item = &'a Member>,
     zone: &str,
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -1,8 +1,8 @@
 //! The router's view of the fleet, from updates of controllers and from its own requests.
 //!
-//! Within an incarnation of the process no state is replaced by an older one: versions, epochs and tokens only increase,
-//! and updates of an engine are ordered by their call number. Updates may therefore come from several controllers, late
-//! and repeatedly.
+//! Within an incarnation of the process no state is replaced by an older one: versions, epochs and tokens only
+//! increase, and updates of an engine are ordered by their call number. Updates may therefore come from several
+//! controllers, late and repeatedly.
 //!
 //! | module | purpose |
 //! |---|---|
@@ -41,7 +41,8 @@
 /// The target versions of each model's weights, by model. Requests hold references to them.
 type Targets = hashbrown::HashMap<String, Arc<TargetVersions>, ahash::RandomState>;
 
-/// State of the fleet, as controllers report it and as this router observes it. No part of it reverts to an older state.
+/// State of the fleet, as controllers report it and as this router observes it. No part of it reverts to an older
+/// state.
 pub struct FleetView {
     routing_table: parking_lot::RwLock<Option<Arc<routing_table::RoutingTable>>>,
     /// The highest configuration version that a controller announced.
@@ -87,7 +88,8 @@
         self.routing_table.read().clone()
     }
 
-    /// Puts a configuration in force. Returns false, and changes nothing, if the same version or a newer one already is.
+    /// Puts a configuration in force. Returns false, and changes nothing, if the same version or a newer one already
+    /// is.
     pub fn set_routing_table(&self, newer: routing_table::RoutingTable) -> bool {
         let mut current = self.routing_table.write();
         if current.as_ref().is_some_and(|routing_table| routing_table.version >= newer.version) {
@@ -121,8 +123,8 @@
         targets.iter().map(|(model, targets)| (model.clone(), targets.clone())).collect()
     }
 
-    /// Records the loss of a controller. It may delay the rollout, so all version bounds are counted from this time at the
-    /// earliest.
+    /// Records the loss of a controller. It may delay the rollout, so all version bounds are counted from this time at
+    /// the earliest.
     pub fn record_controller_loss(&self, at: Instant) {
         let mut controller_lost_at = self.controller_lost_at.lock();
         *controller_lost_at = controller_lost_at.map_or(Some(at), |before| Some(before.max(at)));
--- a/crates/data-plane/src/fleet_view/ring_sources.rs
+++ b/crates/data-plane/src/fleet_view/ring_sources.rs
@@ -1,8 +1,8 @@
 //! Selects the copy of the invalidation ring to read: the index owner's, or that of a controller that relays it.
 //!
-//! Reading from a relay in the same zone causes no traffic between zones, and takes load off the owner's link, which all
-//! readers share. The owner's ring is read if the owner is in the same zone, if there are few routers, or if no relay is
-//! reachable.
+//! Reading from a relay in the same zone causes no traffic between zones, and takes load off the owner's link, which
+//! all readers share. The owner's ring is read if the owner is in the same zone, if there are few routers, or if no
+//! relay is reachable.
 
 use fleet_core::constants;
 use fleet_core::wire::{Member, RingHead};
@@ -81,8 +81,8 @@
         self.owner.lock().as_ref().map(|owner| owner.head.clone())
     }
 
-    /// The address of the controller to read the ring from; none while no owner is known, or while the relay that would be
-    /// preferred may still start.
+    /// The address of the controller to read the ring from; none while no owner is known, or while the relay that would
+    /// be preferred may still start.
     pub fn choose(
         &self,
         members: &[Member],
--- a/crates/data-plane/src/fleet_view/routing_table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -123,8 +123,8 @@
         self.tenants.get(*self.tenant_by_key.get(key)?)
     }
 
-    /// Whether a user waits for the response: the route is more urgent, by priority and target latency, than the least urgent
-    /// route of its services.
+    /// Whether a user waits for the response: the route is more urgent, by priority and target latency, than the least
+    /// urgent route of its services.
     pub fn is_interactive(&self, route: &Route) -> bool {
         let least_urgent = route
             .weighted_services()
@@ -144,8 +144,8 @@
         &self.stores
     }
 
-    /// Selects a service of a route by weight, with `random` drawn uniformly from all values of `u64`; none if all weights
-    /// are 0.
+    /// Selects a service of a route by weight, with `random` drawn uniformly from all values of `u64`; none if all
+    /// weights are 0.
     pub fn pick_service<'a>(&self, route: &'a Route, random: u64) -> Option<&'a str> {
         let weighted_services = route.weighted_services();
         let total: u64 = weighted_services.iter().map(|(_, weight)| u64::from(*weight)).sum();
--- a/crates/data-plane/src/fleet_view/version_bound.rs
+++ b/crates/data-plane/src/fleet_view/version_bound.rs
@@ -1,14 +1,14 @@
 //! Decides whether a request may begin under the weights that an engine has.
 //!
 //! No other code decides this. First dispatches, retries and resumed streams all use the load balancer's
-//! [`candidates`](crate::load_balancer::candidates), which checks the bound here, and `proxy::dispatch` enforces it after a
-//! dispatch.
+//! [`candidates`](crate::load_balancer::candidates), which checks the bound here, and `proxy::dispatch` enforces it
+//! after a dispatch.
 //!
-//! The rule applies to the time when an engine begins to run a request, which the engine decides. Between the dispatch and
-//! that time lie the network latency and the wait in the engine's queue. A router can only estimate that wait from what
-//! engines and other routers report. It therefore stops dispatching to an outdated engine [`constants::VERSION_MARGIN`]
-//! plus the expected wait before the bound, and cancels a request that still has no response
-//! [`constants::VERSION_CUTOFF_MARGIN`] before the bound.
+//! The rule applies to the time when an engine begins to run a request, which the engine decides. Between the dispatch
+//! and that time lie the network latency and the wait in the engine's queue. A router can only estimate that wait from
+//! what engines and other routers report. It therefore stops dispatching to an outdated engine
+//! [`constants::VERSION_MARGIN`] plus the expected wait before the bound, and cancels a request that still has no
+//! response [`constants::VERSION_CUTOFF_MARGIN`] before the bound.
 
 use fleet_core::constants;
 use fleet_core::target_versions::TargetVersions;
@@ -20,8 +20,8 @@
 #[derive(Debug, Clone)]
 pub struct VersionBound {
     targets: Arc<TargetVersions>,
-    /// Bounds are counted from this time at the earliest, since the loss of a controller may delay the rollout; none if no
-    /// controller was lost.
+    /// Bounds are counted from this time at the earliest, since the loss of a controller may delay the rollout; none if
+    /// no controller was lost.
     controller_lost_at: Option<Instant>,
     bound: Duration,
 }
@@ -50,14 +50,15 @@
         Some(since + self.bound)
     }
 
-    /// Whether a request may be dispatched to an engine with a version of the weights, given its expected wait there before
-    /// it begins.
+    /// Whether a request may be dispatched to an engine with a version of the weights, given its expected wait there
+    /// before it begins.
     pub fn allows(&self, version: u64, expected_wait: Duration, now: Instant) -> bool {
         let margin = constants::VERSION_MARGIN + expected_wait;
         self.end_of(version).is_none_or(|end| now + margin < end)
     }
 
-    /// When a dispatch under a version of the weights is cancelled if no response has begun; none for the newest version.
+    /// When a dispatch under a version of the weights is cancelled if no response has begun; none for the newest
+    /// version.
     pub fn cutoff_of(&self, version: u64) -> Option<Instant> {
         self.end_of(version).map(|end| end - constants::VERSION_CUTOFF_MARGIN)
     }
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -11,7 +11,7 @@
 //! 3. [`pool`]: connections to engines, and the state that is kept for each engine
 //! 4. [`retry_budget`]: limits how many requests may be sent to a second engine
 //! 5. [`fleet_view`]: what controllers send, and the configuration in force
-//! 6. [`runtime`]: start-up and shutdown; [`shutdown`]: the phases of a shutdown; [`counters`] and `metrics`: what the
+//! 6. [`runtime`]: startup and shutdown; [`shutdown`]: the phases of a shutdown; [`counters`] and `metrics`: what the
 //!    router reports about itself
 
 // A process that carries traffic must not panic on a missing value; tests may.
--- a/crates/data-plane/src/load_balancer/candidates.rs
+++ b/crates/data-plane/src/load_balancer/candidates.rs
@@ -27,8 +27,8 @@
 enum Liveness {
     /// Heartbeats are missed, and the engine has served nothing since a connection to it broke.
     ProbablyDead,
-    /// Either heartbeats are missed or a connection broke recently. Neither alone is conclusive: a controller that is cut
-    /// off misses the heartbeats of all engines, and a connection may fail once.
+    /// Either heartbeats are missed or a connection broke recently. Neither alone is conclusive: a controller that is
+    /// cut off misses the heartbeats of all engines, and a connection may fail once.
     Uncertain,
     /// Heartbeats arrive, and no connection broke recently.
     Alive,
--- a/crates/data-plane/src/load_balancer/kv_transfer.rs
+++ b/crates/data-plane/src/load_balancer/kv_transfer.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Adds the holders of one depth that have the fewest transfers in progress; among equals, those in this router's zone
-    /// come first.
+    /// Adds the holders of one depth that have the fewest transfers in progress; among equals, those in this router's
+    /// zone come first.
     fn add_engines(
         &mut self,
         request: &RequestProfile,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// The holder of the longest prefix other than the engine itself, in case the engine has evicted blocks that the index
-    /// still lists.
+    /// The holder of the longest prefix other than the engine itself, in case the engine has evicted blocks that the
+    /// index still lists.
     pub fn alternative(&self, endpoint: &Endpoint) -> Option<&Source> {
         self.sources
             .iter()
--- a/crates/data-plane/src/load_balancer/mod.rs
+++ b/crates/data-plane/src/load_balancer/mod.rs
@@ -1,9 +1,9 @@
 //! Selects the engine for a request: the one with the lowest cost to this request and to others, in milliseconds.
 //!
-//! [`candidates`] filters out engines that must not or should not serve the request, [`prefix_cache`] and [`kv_transfer`]
-//! determine what each engine has cached or could receive, and [`cost`] computes the total (docs/load-balancing.md).
-//! Selection only reads the fleet view and the engine handles, and never waits. Correctness doesn't depend on it: a stale
-//! view costs time, but never breaks a rule.
+//! [`candidates`] filters out engines that must not or should not serve the request, [`prefix_cache`] and
+//! [`kv_transfer`] determine what each engine has cached or could receive, and [`cost`] computes the total
+//! (docs/load-balancing.md). Selection only reads the fleet view and the engine handles, and never waits. Correctness
+//! doesn't depend on it: a stale view costs time, but never breaks a rule.
 
 pub mod candidates;
 pub mod cost;
@@ -113,8 +113,8 @@
     context.request.subset.max_distance(candidates.iter().map(distance).collect())
 }
 
-/// The engine to which the deepest shared prompt part is routed, by rendezvous hashing; all routers agree on it. Engines
-/// that prefer requests of this kind, prefill-heavy or not, come first.
+/// The engine to which the deepest shared prompt part is routed, by rendezvous hashing; all routers agree on it.
+/// Engines that prefer requests of this kind, prefill-heavy or not, come first.
 fn affinity_target(context: &SelectionContext, candidates: &[Candidate]) -> Option<usize> {
     let part = context.request.prompt.deepest_shared()?;
     let prefill_heavy = context.request.prompt.is_prefill_heavy();
--- a/crates/data-plane/src/load_balancer/request_profile.rs
+++ b/crates/data-plane/src/load_balancer/request_profile.rs
@@ -30,10 +30,11 @@
 
 /// The subset of the engines that a router prefers when there are many routers.
 ///
-/// Each router orders the engines differently ([`Endpoint::distance`](crate::fleet_view::endpoints::Endpoint::distance))
-/// and uses the first candidates in its order. The size of the subset is chosen so that each engine is in the subsets of
-/// about [`SUBSET_ROUTERS_PER_ENGINE`](constants::SUBSET_ROUTERS_PER_ENGINE) routers, whatever the numbers of routers
-/// and engines. A router then reuses its connections to the same engines, and an engine that looks idle is selected by a
+/// Each router orders the engines differently
+/// ([`Endpoint::distance`](crate::fleet_view::endpoints::Endpoint::distance)) and uses the first candidates in its
+/// order. The size of the subset is chosen so that each engine is in the subsets of about
+/// [`SUBSET_ROUTERS_PER_ENGINE`](constants::SUBSET_ROUTERS_PER_ENGINE) routers, whatever the numbers of routers and
+/// engines. A router then reuses its connections to the same engines, and an engine that looks idle is selected by a
 /// few routers before their load reports reach each other, not by hundreds. The subset is taken from the candidates, so
 /// an engine that can't serve is replaced by the next one. Engines with the prefix cached are considered whether they
 /// are in the subset or not.
@@ -124,8 +125,8 @@
     pub mbps: f64,
     /// Position of the store in the prompt index.
     pub index_location: IndexLocation,
-    /// Rendezvous hash of the store and a prompt part; the store with the highest rank is preferred. All routers compute
-    /// the same rank.
+    /// Rendezvous hash of the store and a prompt part; the store with the highest rank is preferred. All routers
+    /// compute the same rank.
     pub rank: u64,
 }
 
@@ -153,7 +154,8 @@
 }
 
 impl TransferEstimate {
-    /// Time saved by the transfer compared to computing the tokens, in milliseconds; negative if the transfer is slower.
+    /// Time saved by the transfer compared to computing the tokens, in milliseconds; negative if the transfer is
+    /// slower.
     pub fn saved_ms(&self) -> f64 {
         self.tokens as f64 / constants::PREFILL_TOKENS_PER_MS - self.ms
     }
--- a/crates/data-plane/src/pool/engine.rs
+++ b/crates/data-plane/src/pool/engine.rs
@@ -111,7 +111,7 @@
     first_seen: Instant,
     is_new: bool,
     state: parking_lot::RwLock<Engine>,
-    /// When the roll-out last changed its state.
+    /// When the rollout last changed its state.
     rollout_state_changed_at: parking_lot::Mutex<Instant>,
     activity: parking_lot::Mutex<EngineActivity>,
     /// Open connections, in use or idle. Not in `activity`, since connections are also dropped while that lock is held.
@@ -160,7 +160,7 @@
         is_changed
     }
 
-    /// Whether its roll-out state is recent. Older ones are ignored, since the controller that set them may have
+    /// Whether its rollout state is recent. Older ones are ignored, since the controller that set them may have
     /// failed.
     pub fn has_recent_rollout_state(&self, now: Instant) -> bool {
         now.duration_since(*self.rollout_state_changed_at.lock()) < constants::ROLLOUT_STATE_TIMEOUT
@@ -230,7 +230,7 @@
     }
 
     /// Clears its failures after a response. Returns the shortest idle time after which it closed a connection, if it
-    /// did: the engine is alive, so its idle time-out was the cause.
+    /// did: the engine is alive, so its idle timeout was the cause.
     pub fn record_success(&self) -> Option<Duration> {
         let mut activity = self.activity();
         activity.ejection_time = Duration::ZERO;
--- a/crates/data-plane/src/proxy/dispatch.rs
+++ b/crates/data-plane/src/proxy/dispatch.rs
@@ -313,7 +313,7 @@
     Some(outgoing)
 }
 
-/// Reads the body of a rejection in a task of its own, limited by a time-out, only so that the connection can be
+/// Reads the body of a rejection in a task of its own, limited by a timeout, only so that the connection can be
 /// reused.
 fn drain_rejection_body(connection: RespondingConnection, body: Incoming) {
     if body.is_end_stream() {
--- a/crates/data-plane/src/proxy/stage.rs
+++ b/crates/data-plane/src/proxy/stage.rs
@@ -40,7 +40,7 @@
     pub retry_mode: RetryMode,
     /// When it had been read completely.
     pub accepted_at: Instant,
-    /// The client's deadline or the route's time-out, whichever comes first.
+    /// The client's deadline or the route's timeout, whichever comes first.
     pub deadline: Instant,
     /// The client's id of this attempt.
     pub attempt_id: HeaderValue,
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -1,4 +1,4 @@
-//! Start-up, main loop and shutdown of a router.
+//! Startup, main loop and shutdown of a router.
 
 use crate::shutdown::Phase;
 use crate::{Router, fleet_view, pool, proxy};
--- a/crates/data-plane/tests/engines/draining.rs
+++ b/crates/data-plane/tests/engines/draining.rs
@@ -216,7 +216,7 @@
     assert!(!response.ends_with("0\r\n\r\n"), "the truncated stream looks complete: {response}");
 }
 
-/// A connection is idle only between requests: the idle time-out must not close one that waits for its response.
+/// A connection is idle only between requests: the idle timeout must not close one that waits for its response.
 #[tokio::test]
 async fn pending_response_is_not_subject_to_the_idle_timeout() {
     let signal = Arc::new(Notify::new());
--- a/crates/data-plane/tests/engines/timeouts.rs
+++ b/crates/data-plane/tests/engines/timeouts.rs
@@ -1,4 +1,4 @@
-//! Engines that never respond: deadlines and time-outs.
+//! Engines that never respond: deadlines and timeouts.
 
 use super::harness::{
     AfterResponse, Fleet, ReceivedRequest, StubEngine, advance_time, chunk, complete_stream,
--- a/crates/data-plane/tests/invalidations.rs
+++ b/crates/data-plane/tests/invalidations.rs
@@ -61,8 +61,8 @@
 }
 
 proptest::proptest! {
-    /// A reader's view never holds what an entry before its cursor removed, even after lost responses, overruns, and new
-    /// incarnations of the index owner.
+    /// A reader's view never holds what an entry before its cursor removed, even after lost responses, overruns, and
+    /// new incarnations of the index owner.
     #[test]
     fn a_view_never_holds_purged_parts(steps in proptest::collection::vec((0u8..6, 0u64..6), 1..120)) {
         use invalidation::ring::{ReadResult, Ring};
--- a/crates/fleet-core/src/configuration/schema.rs
+++ b/crates/fleet-core/src/configuration/schema.rs
@@ -156,7 +156,7 @@
     pub max_header_bytes: usize,
     /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Time-out in ms for receiving a request's head.
+    /// Timeout in ms for receiving a request's head.
     pub header_timeout_ms: u64,
     /// Time in ms after which an idle client connection is closed.
     pub idle_timeout_ms: u64,
--- a/crates/fleet-core/src/constants/config_distribution.rs
+++ b/crates/fleet-core/src/constants/config_distribution.rs
@@ -17,9 +17,9 @@
 /// A router asks another controller for the configuration after this time. A confirming consensus round takes tens of
 /// milliseconds, and three attempts have to fit well within the time in which a change must be in force.
 pub const CONFIG_FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same time-out for a configuration that has to be sent in full: all routers may then share a few network links.
+/// The same timeout for a configuration that has to be sent in full: all routers may then share a few network links.
 pub const CONFIG_FULL_FETCH_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Upper bound of this time-out, for a large configuration over a slow network link.
+/// Upper bound of this timeout, for a large configuration over a slow network link.
 pub const CONFIG_FETCH_TIMEOUT_MAX: Duration = Duration::from_millis(4000);
 /// Initial upper bound, in ms, of the randomized delay before a failed configuration fetch is retried; doubles with
 /// each failure.
--- a/crates/fleet-core/src/constants/consensus.rs
+++ b/crates/fleet-core/src/constants/consensus.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-/// Time-out of one phase of a register round: two syncs of a slow disk and a round trip.
+/// Timeout of one phase of a register round: two syncs of a slow disk and a round trip.
 pub const PHASE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time-out of a change that was forwarded to the owner of its key, after which the forwarding node proposes it
+/// Timeout of a change that was forwarded to the owner of its key, after which the forwarding node proposes it
 /// itself; well below the one second that callers wait.
 pub const OWNER_TIMEOUT: Duration = Duration::from_millis(350);
-/// Time-out of a change, so that its caller learns of the failure within its own time-out of one second.
+/// Timeout of a change, so that its caller learns of the failure within its own timeout of one second.
 pub const CHANGE_TIMEOUT: Duration = Duration::from_millis(900);
 /// How often a controller compares its registers with those of its peers.
 pub const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_millis(500);
@@ -17,11 +17,11 @@
 /// A controller counts as in contact for this long after it asked a majority of the voters: two anti-entropy rounds
 /// with one member unreachable, plus a margin.
 pub const CONTACT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Largest allowed ratio of our contact time-out to the platform's bound (`bounds.contactMs`).
+/// Largest allowed ratio of our contact timeout to the platform's bound (`bounds.contactMs`).
 pub const CONTACT_MAX_BOUND_RATIO: f64 = 0.5;
 /// Interval between checks of whether quorum contact is still established.
 pub const CONTACT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// When less than this ratio of the contact time-out is left, the voters are asked without waiting for the next
+/// When less than this ratio of the contact timeout is left, the voters are asked without waiting for the next
 /// anti-entropy round.
 pub const CONTACT_RENEWAL_RATIO: f64 = 0.34;
 /// Minimum rate, in bytes per ms, at which a value reaches all other voters. Four copies share the sender's network
@@ -42,17 +42,17 @@
 /// syncs and a round trip.
 pub const READ_BACKOFF_MS: u64 = 20;
 
-/// Time-out of one round that carries a value of this many bytes.
+/// Timeout of one round that carries a value of this many bytes.
 pub fn phase_timeout(bytes: usize) -> Duration {
     PHASE_TIMEOUT + Duration::from_millis(bytes as u64 / VALUE_BYTES_PER_MS)
 }
 
-/// Time-out of a change that carries this many bytes; callers wait longer for large bodies.
+/// Timeout of a change that carries this many bytes; callers wait longer for large bodies.
 pub fn change_timeout(bytes: usize) -> Duration {
     CHANGE_TIMEOUT + Duration::from_millis(bytes as u64 / VALUE_BYTES_PER_MS)
 }
 
-/// Time-out of a change of this many bytes that was forwarded to the owner of its key.
+/// Timeout of a change of this many bytes that was forwarded to the owner of its key.
 pub fn owner_timeout(bytes: usize) -> Duration {
     OWNER_TIMEOUT + Duration::from_millis(bytes as u64 / VALUE_BYTES_PER_MS)
 }
--- a/crates/fleet-core/src/constants/engines.rs
+++ b/crates/fleet-core/src/constants/engines.rs
@@ -6,7 +6,7 @@
 pub const HEARTBEAT_MAX_BYTES: usize = 4096;
 /// How often routine heartbeats are sent to the other controllers.
 pub const HEARTBEAT_REPLICATION_INTERVAL: Duration = Duration::from_millis(300);
-/// Time-out for sending heartbeats to the other controllers. A drain is replicated to a majority within this time,
+/// Timeout for sending heartbeats to the other controllers. A drain is replicated to a majority within this time,
 /// which is below the one second that engines wait.
 pub const DRAIN_REPLICATION_TIMEOUT: Duration = Duration::from_millis(700);
 /// Heartbeat periods without a heartbeat after which an engine is suspected.
@@ -29,7 +29,7 @@
 /// Read buffer, in bytes, of a connection to an engine or store. The index owner has a connection to each, and this
 /// is the smallest buffer that the HTTP library accepts.
 pub const ENGINE_CLIENT_BUFFER: usize = 8 << 10;
-/// Time-out of orders and reports; an engine answers within a round trip and one engine step.
+/// Timeout of orders and reports; an engine answers within a round trip and one engine step.
 pub const ENGINE_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time after which an order has reached its engine over a healthy network link.
 pub const ORDER_DELIVERY_TIME: Duration = Duration::from_millis(100);
--- a/crates/fleet-core/src/constants/membership.rs
+++ b/crates/fleet-core/src/constants/membership.rs
@@ -23,7 +23,7 @@
 pub const VOTE_CHECK_INTERVAL: Duration = Duration::from_secs(2);
 /// Chunk size in bytes for transferring a value to a member: a tenth of a second of a 10 Mbit/s network link.
 pub const CHUNK_BYTES: usize = 128 << 10;
-/// Time-out of one chunk over a busy network link, after which the next holder is asked.
+/// Timeout of one chunk over a busy network link, after which the next holder is asked.
 pub const CHUNK_TIMEOUT: Duration = Duration::from_millis(1500);
 /// After a reader's last request, a holder keeps a replaced value for this long so that the reader can continue.
 pub const STATE_TRANSFER_RETENTION: Duration = Duration::from_secs(10);
--- a/crates/fleet-core/src/constants/process.rs
+++ b/crates/fleet-core/src/constants/process.rs
@@ -1,4 +1,4 @@
-//! Start-up, shutdown and resources of a process.
+//! Startup, shutdown and resources of a process.
 
 use std::time::Duration;
 
--- a/crates/fleet-core/src/constants/rollout.rs
+++ b/crates/fleet-core/src/constants/rollout.rs
@@ -1,8 +1,8 @@
-//! Roll-out of weights.
+//! Rollout of weights.
 
 use std::time::Duration;
 
-/// Interval at which the roll-out checks its engines.
+/// Interval at which the rollout checks its engines.
 pub const ROLLOUT_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay between announcing an engine's update to the routers and ordering it.
 pub const UPDATE_NOTICE_DELAY: Duration = Duration::from_millis(120);
@@ -11,7 +11,7 @@
 /// Maximum share of a service's engines that load new weights concurrently while the version bound leaves enough
 /// time.
 pub const ROLLOUT_MAX_SHARE: f64 = 0.3;
-/// Planned duration of a roll-out, and not much less. Requests served with older weights lose a fifth of their value
+/// Planned duration of a rollout, and not much less. Requests served with older weights lose a fifth of their value
 /// after 1.5 seconds. But every shared part has to be prefilled again under the new weights, and in half of this time
 /// the remaining engines could not do as much prefill: a late response is worth less than one with older weights.
 pub const ROLLOUT_TARGET_DURATION: Duration = Duration::from_millis(7000);
@@ -23,7 +23,7 @@
 pub const STREAM_DRAIN_SHARE: f64 = 0.34;
 /// Long streams get this long to complete before their engine is ordered to update regardless.
 pub const STREAM_DRAIN_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Routers use the roll-out state of an engine for this long; the controller that reported it may have failed since.
+/// Routers use the rollout state of an engine for this long; the controller that reported it may have failed since.
 pub const ROLLOUT_STATE_TIMEOUT: Duration = Duration::from_millis(4000);
 /// An update that takes longer than this is reported to the operator as stuck.
 pub const UPDATE_STUCK_THRESHOLD: Duration = Duration::from_millis(4000);
@@ -53,7 +53,7 @@
 /// Number of versions of a model's weights whose start times are kept: several minutes of a new version every few
 /// seconds. Beyond that, the two oldest are merged.
 pub const TARGET_VERSIONS_CAPACITY: usize = 16;
-/// A roll-out is planned to end this long before routers stop sending requests to engines with older weights.
+/// A rollout is planned to end this long before routers stop sending requests to engines with older weights.
 pub const ROLLOUT_MARGIN: Duration = Duration::from_millis(500);
 /// A request to an engine with older weights whose response has not begun is cancelled this long before the bound:
 /// the engine has dropped it by then, after a round trip and one engine step.
--- a/crates/fleet-core/src/constants/router.rs
+++ b/crates/fleet-core/src/constants/router.rs
@@ -38,10 +38,10 @@
 /// learned: half of the time that connections are kept.
 pub const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(2);
 /// A connection that was idle for less than this was in use: its failure is attributed to the engine, not to an idle
-/// time-out.
+/// timeout.
 pub const IDLE_TIMEOUT_MIN: Duration = Duration::from_millis(100);
 /// Ratio of the shortest idle time after which a connection was found closed that counts as safe, because idle
-/// time-outs vary.
+/// timeouts vary.
 pub const IDLE_TIMEOUT_MARGIN: f64 = 0.6;
 /// Smoothing factor by which a response after a longer idle time raises the safe idle time.
 pub const IDLE_TIMEOUT_GAIN: f64 = 0.125;
--- a/crates/fleet-core/src/constants/storage.rs
+++ b/crates/fleet-core/src/constants/storage.rs
@@ -3,7 +3,7 @@
 use super::VALUE_BYTES_PER_MS;
 use std::time::Duration;
 
-/// A record that waits longer than this indicates a hung disk. It is below the phase time-out, so that an owner whose
+/// A record that waits longer than this indicates a hung disk. It is below the phase timeout, so that an owner whose
 /// own vote was late knows the reason. A slow disk takes half of it for the sync in progress and half for the
 /// record's own sync.
 pub const DISK_TIMEOUT: Duration = Duration::from_millis(350);
@@ -19,7 +19,7 @@
 /// Size in bytes of the log between two slots, preallocated at the first start; small so that recovery is short.
 pub const LOG_BYTES: usize = 2 << 20;
 
-/// Time-out of a working disk for this many bytes of queued records.
+/// Timeout of a working disk for this many bytes of queued records.
 pub fn disk_timeout(bytes: usize) -> Duration {
     DISK_TIMEOUT + Duration::from_millis(bytes as u64 / VALUE_BYTES_PER_MS)
 }
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -4,7 +4,7 @@
 
 /// Merges an update into the known state; returns false if nothing but the call number changed. An update from a
 /// later call replaces the known state. From an earlier call, only monotonic fields are merged: versions, states of
-/// the roll-out, and deregistration.
+/// the rollout, and deregistration.
 pub fn merge(known: &mut Engine, update: &Engine) -> bool {
     let before = known.clone();
     if update.call_seq > known.call_seq {
--- a/crates/fleet-core/src/link/client.rs
+++ b/crates/fleet-core/src/link/client.rs
@@ -216,7 +216,7 @@
         connected.frames.try_send(frame).map_err(|_| LinkError::NotConnected)
     }
 
-    /// Sends a call and waits for its answer, at most until the time-out `limit`.
+    /// Sends a call and waits for its answer, at most until the timeout `limit`.
     ///
     /// # Errors
     ///
--- a/crates/fleet-core/src/link/peer.rs
+++ b/crates/fleet-core/src/link/peer.rs
@@ -124,7 +124,7 @@
         return;
     }
     match frame::response(call, body) {
-        // An answer that cannot be queued is lost with its connection; the caller's time-out covers this.
+        // An answer that cannot be queued is lost with its connection; the caller's timeout covers this.
         Ok(frame) => drop(peer.frames.try_send(frame)),
         Err(error) => handler.message_rejected(&error),
     }
--- a/crates/fleet-core/src/link/tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -127,7 +127,7 @@
     assert_eq!(next.await.unwrap(), Ok(register_response(true)));
 }
 
-/// A caller is notified immediately when its connection breaks, before its time-out.
+/// A caller is notified immediately when its connection breaks, before its timeout.
 #[tokio::test(start_paused = true)]
 async fn pending_calls_fail_when_the_connection_closes() {
     let (link, mut remote_ends) = link();
--- a/crates/fleet-core/src/load.rs
+++ b/crates/fleet-core/src/load.rs
@@ -106,9 +106,9 @@
     }
 }
 
-/// Decides whether a report is sent now: when it has changed, and every `LOAD_REPORT_REFRESH_INTERVAL` so that it does not
-/// expire. Larger reports are sent less often, which bounds the bytes per second for each receiver regardless of the
-/// number of engines.
+/// Decides whether a report is sent now: when it has changed, and every `LOAD_REPORT_REFRESH_INTERVAL` so that it does
+/// not expire. Larger reports are sent less often, which bounds the bytes per second for each receiver regardless of
+/// the number of engines.
 #[derive(Default)]
 pub struct ReportSchedule {
     sent: Option<(tokio::time::Instant, LoadReport)>,
--- a/crates/fleet-core/src/program.rs
+++ b/crates/fleet-core/src/program.rs
@@ -1,4 +1,4 @@
-//! Process start-up shared by both programs: command line, settings, signals, runtime.
+//! Process startup shared by both programs: command line, settings, signals, runtime.
 
 use crate::constants;
 use crate::log::Event;
@@ -53,9 +53,9 @@
     metrics_port: Option<u16>,
 }
 
-/// What a running program gets from its start-up.
+/// What a running program gets from its startup.
 pub struct ProgramContext {
-    /// The settings read at start-up.
+    /// The settings read at startup.
     pub settings: Settings,
     /// The root logger.
     pub log: slog::Logger,
--- a/crates/fleet-core/src/transport.rs
+++ b/crates/fleet-core/src/transport.rs
@@ -67,7 +67,7 @@
 
 /// Creates and accepts streams. One object serves one process, and its connections originate from that process.
 pub trait Transport: Send + Sync + 'static {
-    /// Connects from the machine's own address; fails after the time-out `limit`.
+    /// Connects from the machine's own address; fails after the timeout `limit`.
     fn connect(
         &self,
         local_ip: Ipv4Addr,
@@ -166,7 +166,7 @@
 ///
 /// # Errors
 ///
-/// The connection was refused or not established within the time-out; nothing was sent.
+/// The connection was refused or not established within the timeout; nothing was sent.
 pub async fn connect(
     local_ip: Ipv4Addr,
     remote_addr: SocketAddr,
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -44,7 +44,7 @@
     /// No heartbeat for `MISSED_HEARTBEAT_PERIODS` periods, as observed by the sending controller.
     #[prost(bool, tag = "9")]
     pub heartbeat_missed: bool,
-    /// Sequence number of the roll-out's update orders: increases with each start and end, odd while an update is in
+    /// Sequence number of the rollout's update orders: increases with each start and end, odd while an update is in
     /// progress. Routers then send no requests.
     #[prost(uint64, tag = "10")]
     pub update_seq: u64,
--- a/crates/fleet-core/tests/configuration_sizes.rs
+++ b/crates/fleet-core/tests/configuration_sizes.rs
@@ -30,7 +30,7 @@
     })
 }
 
-/// A configuration in which the first `changed` routes have a different time-out.
+/// A configuration in which the first `changed` routes have a different timeout.
 fn body(revision: u64, routes: u64, changed: u64) -> Vec<u8> {
     let timeout = |number| if number < changed { 7000 } else { 20_000 };
     serde_json::json!({
--- a/crates/fleet-core/tests/load.rs
+++ b/crates/fleet-core/tests/load.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn packed_loads_round_tokens_up() {
+fn encoded_loads_round_tokens_up() {
     let report = encode_report(&single_engine("e", load(65, 4)));
     let decoded: LoadByEngine = decode_report(&report).collect();
     assert_eq!(
--- a/crates/invalidation/src/ring.rs
+++ b/crates/invalidation/src/ring.rs
@@ -34,7 +34,8 @@
 pub enum ReadResult<T> {
     /// No new entries.
     UpToDate,
-    /// Entries were overwritten unread: the reader's cache is invalid, and its position is now this head.
+    /// Entries were overwritten before they were read: the reader's cache is invalid, and its position is now this
+    /// head.
     Reset(u64),
     /// The next entries, in order.
     Entries(Vec<T>),
--- a/crates/prompt-index/src/cell/chains.rs
+++ b/crates/prompt-index/src/cell/chains.rs
@@ -99,8 +99,8 @@
     }
 
     /// Recomputes the holders of a chain from those of its parent and of its last block. Two shards are never locked at
-    /// once, so this repeats until neither has changed in the meantime. If the holders changed, returns the children that
-    /// need an update.
+    /// once, so this repeats until neither has changed in the meantime. If the holders changed, returns the children
+    /// that need an update.
     fn recompute(&self, hash: u64) -> Option<SmallVec<[u64; 2]>> {
         loop {
             let (parent, block) = self.chains.with_shard_of(hash, |map| {
--- a/crates/prompt-index/src/cell/mod.rs
+++ b/crates/prompt-index/src/cell/mod.rs
@@ -112,8 +112,8 @@
     ) -> bool {
         let now = self.clock.load(Ordering::Relaxed);
         let changed = self.blocks.with_shard_of(block, |map| {
-            // Checked under the shard lock, which the scrub takes too. Otherwise a bit of an earlier generation could be
-            // set after the scrub has passed.
+            // Checked under the shard lock, which the scrub takes too. Otherwise a bit of an earlier generation could
+            // be set after the scrub has passed.
             if !self.is_current(holder) {
                 return None;
             }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -8,7 +8,7 @@
         name: "router",
         version: env!("CARGO_PKG_VERSION"),
         description: "routes requests from clients to engines and returns the responses",
-        missing_settings: missing_settings,
+        missing_settings,
     };
     start(program, data_plane::run)
 }
--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -91,7 +91,8 @@
         /// which machine
         machine: usize,
     },
-    /// The machine is removed permanently; when the fault ends, a new one with a new address and an empty disk replaces it.
+    /// The machine is removed permanently; when the fault ends, a new one with a new address and an empty disk replaces
+    /// it.
     Replace {
         /// which machine
         machine: usize,
--- a/crates/simulation/src/run.rs
+++ b/crates/simulation/src/run.rs
@@ -98,7 +98,8 @@
     (workloads, engines.collect())
 }
 
-/// Records the final reads, the members' states and the departed engines' states, after the workloads were told to stop.
+/// Records the final reads, the members' states and the departed engines' states, after the workloads were told to
+/// stop.
 async fn read_final_state(world: &Arc<World>, engines: EngineTasks) {
     for machine in world.machines() {
         if let Some(read) = read_workload::read_until_answered(world, &machine).await {
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -181,7 +181,8 @@
     }
 }
 
-/// Whether neither the router nor any controller was disrupted in a time span or in [`constants::CONTACT_PERIOD`] before it.
+/// Whether neither the router nor any controller was disrupted in a time span or in [`constants::CONTACT_PERIOD`]
+/// before it.
 fn is_connected(history: &History, machine: usize, from: Timestamp, to: Timestamp) -> bool {
     let span = from.saturating_sub(constants::CONTACT_PERIOD)..=to;
     !history.processes.iter().any(|event| {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,8 @@
 //! A seeded soak test of the real programs: controllers and routers run as processes on loopback addresses and are
 //! subjected to overlapping series of signals, kills, restarts, configuration changes and engine departures.
 //!
-//! The seed determines the disruptions and their times. Since the processes run in real time, a seed reproduces the same
-//! disruptions but not the same interleaving.
+//! The seed determines the disruptions and their times. Since the processes run in real time, a seed reproduces the
+//! same disruptions but not the same interleaving.
 //!
 //! | module | content |
 //! |---|---|
--- a/crates/soak/src/machine.rs
+++ b/crates/soak/src/machine.rs
@@ -268,8 +268,8 @@
     }
 }
 
-/// Classifies the exit of a process that was told to end. One that has not yet installed its handler is ended by SIGTERM
-/// itself; this counts as a normal exit, since it has no work to complete.
+/// Classifies the exit of a process that was told to end. One that has not yet installed its handler is ended by
+/// SIGTERM itself; this counts as a normal exit, since it has no work to complete.
 fn exit_action(status: ExitStatus) -> Action {
     let by_sigterm = status.signal() == Some(Signal::TERM.as_raw());
     if status.success() || by_sigterm { Action::Exited } else { Action::Died }
