--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -91,7 +91,8 @@
         /// The machine whose disk is full.
         machine: usize,
     },
-    /// The machine is removed permanently; when the fault ends, a new one with a new address and an empty disk replaces it.
+    /// The machine is removed permanently; when the fault ends, a new one with a new address and an empty disk replaces
+    /// it.
     Replace {
         /// The machine that is removed.
         machine: usize,
