--- a/crates/control-plane/src/cluster_state_tests.rs
+++ b/crates/control-plane/src/cluster_state_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `cluster_state`.
+//! Tests of `cluster_state`: updates for routers, and engine states and departures that are learned out of order.
 
 use super::*;
 use fleet_core::wire::{Departure, DeparturesValue, EngineState};
--- a/crates/control-plane/src/config_distribution/bodies_tests.rs
+++ b/crates/control-plane/src/config_distribution/bodies_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `bodies`.
-
 use super::*;
 
 fn body(number: usize) -> (BodyDigest, bytes::Bytes) {
--- a/crates/control-plane/src/config_distribution/shared_read_tests.rs
+++ b/crates/control-plane/src/config_distribution/shared_read_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `shared_read`.
-
 use super::*;
 use futures_util::FutureExt;
 use tokio::sync::oneshot;
--- a/crates/control-plane/src/consensus/config_history_tests.rs
+++ b/crates/control-plane/src/consensus/config_history_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `config_history`.
-
 use super::*;
 
 fn committed(version: u64) -> CommittedConfig {
--- a/crates/control-plane/src/consensus/election_tests.rs
+++ b/crates/control-plane/src/consensus/election_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `election`.
+//! Tests of `election`: the timeout is tracked per key and extended by progress of the owner.
 
 use super::*;
 
--- a/crates/control-plane/src/consensus/proposer_tests.rs
+++ b/crates/control-plane/src/consensus/proposer_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `proposer`.
+//! Tests of `proposer`: which votes count in a round, and what is sent to the voters.
 
 use super::*;
 use fleet_core::wire::Register;
--- a/crates/control-plane/src/consensus/quorum_contact_tests.rs
+++ b/crates/control-plane/src/consensus/quorum_contact_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `quorum_contact`.
-
 use super::*;
 
 const SPAN: Duration = Duration::from_millis(1500);
--- a/crates/control-plane/src/consensus/quorum_status_tests.rs
+++ b/crates/control-plane/src/consensus/quorum_status_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `quorum_status`.
-
 use super::*;
 use fleet_core::wire::{Member, Register};
 
--- a/crates/control-plane/src/consensus/resignation_tests.rs
+++ b/crates/control-plane/src/consensus/resignation_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `resignation`.
+//! Tests of `resignation`: resigning covers the ballots of that and earlier epochs of the same key only.
 
 use super::*;
 
--- a/crates/control-plane/src/consensus/state_machine_tests.rs
+++ b/crates/control-plane/src/consensus/state_machine_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `state_machine`.
+//! Tests of `state_machine`: the outcome of changes that are stale, invalid, repeated or resent.
 
 use super::*;
 
--- a/crates/control-plane/src/engines/client_tests.rs
+++ b/crates/control-plane/src/engines/client_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `client`.
+//! Tests of `client` against a listener on loopback: abandoned calls, closed connections and oversized responses.
 
 use super::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/control-plane/src/index_owner/follower_tests.rs
+++ b/crates/control-plane/src/index_owner/follower_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `follower`.
-
 use super::*;
 
 fn engine(id: &str, address: &str, heartbeat_missed: bool) -> Engine {
--- a/crates/control-plane/src/index_owner/index_tests.rs
+++ b/crates/control-plane/src/index_owner/index_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `index`.
-
 use super::*;
 use fleet_core::wire::WeightsVersion;
 use invalidation::pending_change::PendingChange;
--- a/crates/control-plane/src/index_owner/throttle_tests.rs
+++ b/crates/control-plane/src/index_owner/throttle_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `throttle`.
+//! Tests of `throttle`: all routers of a large site request a snapshot from a new index owner at the same time.
 
 use super::*;
 use std::time::Duration;
--- a/crates/control-plane/src/leases/lease_tests.rs
+++ b/crates/control-plane/src/leases/lease_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `lease`.
+//! Tests of `lease`: holders never act at the same time, and a released or expired lease can be acquired.
 
 use super::*;
 use crate::consensus::state_machine::{Decision, decide};
--- a/crates/control-plane/src/membership/candidates_tests.rs
+++ b/crates/control-plane/src/membership/candidates_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `candidates`.
-
 use super::*;
 use fleet_core::wire::Member;
 
--- a/crates/control-plane/src/membership/replacement_tests.rs
+++ b/crates/control-plane/src/membership/replacement_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `replacement` and `failure_domains`.
+//! Tests of `replacement` and `failure_domains`: which member is added or replaced next, and by which candidate.
 
 use super::*;
 
--- a/crates/control-plane/src/membership/state_transfer_tests.rs
+++ b/crates/control-plane/src/membership/state_transfer_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `state_transfer`.
-
 use super::*;
 use fleet_core::wire::Ballot;
 use std::time::Duration;
--- a/crates/control-plane/src/rollout/order_tests.rs
+++ b/crates/control-plane/src/rollout/order_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `order`.
-
 use super::*;
 
 fn report_of(model: &str, revision: u64, call_seq: u64, active: u32) -> Report {
--- a/crates/control-plane/src/storage/files_tests.rs
+++ b/crates/control-plane/src/storage/files_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `files`.
+//! Tests of `files`: which state is read back from complete, torn, truncated and damaged files.
 
 use super::*;
 use fleet_core::wire::{Ballot, Register};
--- a/crates/control-plane/src/storage/monitor_tests.rs
+++ b/crates/control-plane/src/storage/monitor_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `monitor`.
+//! Tests of `monitor`: when a disk with overdue writes counts as broken.
 
 use super::*;
 use fleet_core::transport::BoxFuture;
--- a/crates/data-plane/src/fleet_view/config_fetch_tests.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `config_fetch`.
-
 use super::*;
 
 fn current(body: &'static str) -> ConfigBody {
--- a/crates/data-plane/src/fleet_view/links_tests.rs
+++ b/crates/data-plane/src/fleet_view/links_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `links`.
-
 use super::*;
 use std::time::Duration;
 
--- a/crates/data-plane/src/fleet_view/ring_sources_tests.rs
+++ b/crates/data-plane/src/fleet_view/ring_sources_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `ring_sources`.
-
 use super::*;
 
 const OWNER: &str = "10.0.0.1";
--- a/crates/data-plane/src/fleet_view/routing_table_tests.rs
+++ b/crates/data-plane/src/fleet_view/routing_table_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `routing_table`.
-
 use super::*;
 
 fn compiled() -> RoutingTable {
--- a/crates/data-plane/src/fleet_view/version_bound_tests.rs
+++ b/crates/data-plane/src/fleet_view/version_bound_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `version_bound`.
-
 use super::*;
 
 const BOUND: Duration = Duration::from_secs(8);
--- a/crates/data-plane/src/load_balancer/candidates_tests.rs
+++ b/crates/data-plane/src/load_balancer/candidates_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `candidates`.
-
 use super::*;
 
 /// Indices of the engines that are retained; each is given by whether its heartbeats are missed and by its health.
--- a/crates/data-plane/src/load_balancer/prefix_cache_tests.rs
+++ b/crates/data-plane/src/load_balancer/prefix_cache_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `prefix_cache`.
-
 use super::*;
 
 #[test]
--- a/crates/data-plane/src/load_balancer/prompt_tests.rs
+++ b/crates/data-plane/src/load_balancer/prompt_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `prompt`.
+//! Tests of `prompt`: parsing of well-formed, malformed and arbitrary request headers.
 
 use super::*;
 
--- a/crates/data-plane/src/load_balancer/request_profile_tests.rs
+++ b/crates/data-plane/src/load_balancer/request_profile_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `request_profile`.
+//! Tests of `request_profile`: the cost of distance and the choice of engine subsets.
 
 use super::*;
 
--- a/crates/data-plane/src/retry_budget_tests.rs
+++ b/crates/data-plane/src/retry_budget_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `retry_budget`.
-
 use super::*;
 
 fn policy(routers: usize, uptime_s: u64) -> BudgetPolicy {
--- a/crates/fleet-core/src/change_log_tests.rs
+++ b/crates/fleet-core/src/change_log_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `change_log`.
-
 use super::*;
 
 #[derive(Default)]
--- a/crates/fleet-core/src/compression_tests.rs
+++ b/crates/fleet-core/src/compression_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `compression`.
-
 use super::*;
 
 #[test]
--- a/crates/fleet-core/src/configuration/tests.rs
+++ b/crates/fleet-core/src/configuration/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `configuration`.
-
 use super::*;
 
 fn valid_configuration() -> serde_json::Value {
--- a/crates/fleet-core/src/delta_tests.rs
+++ b/crates/fleet-core/src/delta_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `delta`.
-
 use super::*;
 use proptest::prelude::*;
 
--- a/crates/fleet-core/src/fleet_tests.rs
+++ b/crates/fleet-core/src/fleet_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fleet`.
+//! Tests of `fleet`: merging the state of an engine from delayed or reordered calls.
 
 use super::*;
 
--- a/crates/fleet-core/src/load_tests.rs
+++ b/crates/fleet-core/src/load_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `load`.
+//! Tests of `load`: how often loads are reported, depending on the number of engines and on changes.
 
 use super::*;
 use std::time::Duration;
--- a/crates/fleet-core/src/log_tests.rs
+++ b/crates/fleet-core/src/log_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `log`.
+//! Tests of `log`: `docs/events.md` lists every event with its number and text.
 
 #[test]
 fn catalogue_lists_every_event() {
--- a/crates/fleet-core/src/node_tests.rs
+++ b/crates/fleet-core/src/node_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `node`.
-
 #[test]
 fn stable_hash_distinguishes_part_boundaries() {
     assert_ne!(super::stable_hash(&[b"ab", b"c"]), super::stable_hash(&[b"a", b"bc"]));
--- a/crates/fleet-core/src/settings/tests.rs
+++ b/crates/fleet-core/src/settings/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `settings`.
-
 use super::*;
 
 const VALID: &str = "nodeName=n1\nip=10.0.0.1\nzone=z\nportRange=100,110\nseeds=10.0.0.1:80,10.0.0.2:80\nnew.field=7\nzones.z=r\nbounds.leaseMs=1500\nbounds.catchUpS=6\n";
--- a/crates/fleet-core/src/target_versions_tests.rs
+++ b/crates/fleet-core/src/target_versions_tests.rs
@@ -1,5 +1,3 @@
-//! Tests of `target_versions`.
-
 use super::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
