--- a/crates/control-plane/src/api/mod.rs
+++ b/crates/control-plane/src/api/mod.rs
@@ -1,7 +1,7 @@
 //! The HTTP API for engines and operators: one handler per call, one file per resource.
 //!
-//! Handlers only translate between HTTP and [`crate::service`], which makes all decisions. They receive bodies as raw bytes
-//! rather than typed by the server, so that the message of a 400 can name the location in the body.
+//! Handlers only translate between HTTP and [`crate::service`], which makes all decisions. They receive bodies as raw
+//! bytes rather than typed by the server, so that the message of a 400 can name the location in the body.
 
 mod config;
 mod fleet;
@@ -109,7 +109,7 @@
     registered.map_err(|error| std::io::Error::other(error.to_string()))?;
     let settings = dropshot::ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: fleet_core::constants::CONFIG_BYTES * 2,
+        default_request_body_max_bytes: fleet_core::constants::CONFIG_MAX_BYTES * 2,
         default_handler_task_mode: dropshot::HandlerTaskMode::Detached,
         ..Default::default()
     };
--- a/crates/control-plane/src/cluster_state.rs
+++ b/crates/control-plane/src/cluster_state.rs
@@ -9,7 +9,7 @@
 pub use engine_updates::MergedEngine;
 
 use crate::engines::departures::Departures;
-use fleet_core::change_log::{ChangeLog, Fold};
+use fleet_core::change_log::{ChangeLog, Projection};
 use fleet_core::target_versions::TargetVersions;
 use fleet_core::wire::{Engine, FleetUpdate, Membership, RingHead, TargetWeights};
 use std::collections::BTreeMap;
@@ -79,15 +79,15 @@
     pub routers: u32,
 }
 
-impl Fold for ClusterState {
+impl Projection for ClusterState {
     type Event = StateChange;
-    fn fold(&mut self, change: &StateChange) {
+    fn apply(&mut self, change: &StateChange) {
         match change {
             StateChange::Config { version, isolation } => {
                 self.config = Some(ConfigInForce { version: *version, isolation: *isolation });
             }
             StateChange::Weights { model, version } => {
-                self.weights.entry(model.clone()).or_default().learn(*version, Instant::now());
+                self.weights.entry(model.clone()).or_default().record(*version, Instant::now());
             }
             StateChange::Membership(membership) => self.membership = membership.clone(),
             StateChange::Engine(engine) => {
@@ -132,7 +132,7 @@
             engines: self.engines.values().cloned().collect(),
             ring: self.ring.clone(),
             routers: self.routers,
-            nudge: false,
+            catch_up: false,
             ring_relay: self.ring_relay.clone(),
         }
     }
@@ -181,8 +181,8 @@
     }
 
     /// Modifies the state without recording a change: subscribers are not notified, and routers are sent nothing.
-    pub fn amend(&self, change: impl FnOnce(&mut ClusterState)) {
-        self.log.lock().amend(change);
+    pub fn update_silently(&self, change: impl FnOnce(&mut ClusterState)) {
+        self.log.lock().update_silently(change);
     }
 
     fn append_locked(&self, log: &mut ChangeLog<ClusterState>, change: StateChange) {
@@ -207,8 +207,8 @@
         position.is_none_or(|position| position != log.head() && log.since(position).is_none())
     }
 
-    /// The current position and an update with everything that changed since `position`. The update is `None` if nothing
-    /// changed, and holds the complete state if the changes since then are no longer retained.
+    /// The current position and an update with everything that changed since `position`. The update is `None` if
+    /// nothing changed, and holds the complete state if the changes since then are no longer retained.
     pub fn update_since(&self, position: Option<u64>) -> (u64, Option<FleetUpdate>) {
         let log = self.log.lock();
         let head = log.head();
--- a/crates/control-plane/src/consensus/acceptor/mod.rs
+++ b/crates/control-plane/src/consensus/acceptor/mod.rs
@@ -13,7 +13,7 @@
 use crate::storage::format::{Record, State};
 use bytes::Bytes;
 use fleet_core::constants;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Accept, Ballot, BallotReport, Membership, Prepare, Register, Vote};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
             membership: Membership::default(),
             voting: state.voting,
             recovery_epoch: 0,
-            node_id: id_of(ip),
+            node_id: node_id_of(ip),
         };
         for register in state.registers {
             acceptor.load(register);
@@ -103,7 +103,7 @@
     }
 
     /// The node whose ballot was promised last for this key.
-    pub fn owner(&self, key: &str) -> Option<u64> {
+    pub fn promised_node(&self, key: &str) -> Option<u64> {
         let promised = self.registers.get(key)?.promised;
         (promised.node != 0).then_some(promised.node)
     }
@@ -113,11 +113,11 @@
         self.registers.get(key).map_or(0, |register| register.promised.n.max(register.accepted.n))
     }
 
-    /// Whether the epoch of a ballot is at most [`constants::EPOCH_LEAD_MAX`] above the highest one known for
+    /// Whether the epoch of a ballot is at most [`constants::MAX_EPOCH_ADVANCE`] above the highest one known for
     /// this key. Elections don't produce larger gaps, and accepting a corrupt epoch near the maximum would leave no
     /// higher epochs for later owners.
     pub fn is_plausible(&self, key: &str, ballot: Ballot) -> bool {
-        ballot.n <= self.highest_epoch(key).saturating_add(constants::EPOCH_LEAD_MAX)
+        ballot.n <= self.highest_epoch(key).saturating_add(constants::MAX_EPOCH_ADVANCE)
     }
 
     /// Phase 1: promises a ballot unless an equal or higher epoch was promised, or the request belongs to another
@@ -134,14 +134,14 @@
         let mut reported = register.clone();
         let record = self.record_vote(reported.clone(), request.recovery_epoch);
         // The candidate already has this value or a later one.
-        if reported.accepted <= request.own_accepted {
+        if reported.accepted <= request.proposer_accepted {
             reported.value = Bytes::new();
         }
         self.grant(record, Some(reported))
     }
 
     /// Phase 2: accepts a value unless a higher epoch was promised or an equal or higher ballot was accepted. A request
-    /// with `same_as` carries no value: it refers to the one accepted here under that ballot.
+    /// with `same_value_as` carries no value: it refers to the one accepted here under that ballot.
     pub fn accept(&mut self, request: &Accept) -> Step<Vote> {
         let key = &request.key;
         let held = self.registers.get(key);
@@ -149,13 +149,13 @@
         let accepted = held.map(|register| register.accepted).unwrap_or_default();
         let is_outdated = request.ballot.epoch() < promised.epoch();
         let is_repeated = request.ballot <= accepted;
-        let lacks_value = request.same_as.is_some_and(|ballot| ballot != accepted);
+        let lacks_value = request.same_value_as.is_some_and(|ballot| ballot != accepted);
         let may_vote = self.may_vote(request.membership, request.recovery_epoch);
         let is_valid = !is_outdated && !is_repeated && !lacks_value;
         if !may_vote || !is_valid || !self.is_plausible(key, request.ballot) {
             return self.reject(key);
         }
-        let value = match request.same_as {
+        let value = match request.same_value_as {
             Some(_) => held.map(|register| register.value.clone()).unwrap_or_default(),
             None => request.value.clone(),
         };
@@ -197,12 +197,12 @@
 
     fn grant(&self, record: Record, register: Option<Register>) -> Step<Vote> {
         let recovery_epoch = self.recovery_epoch;
-        Step { record, answer: Vote { ok: true, register, membership: None, recovery_epoch } }
+        Step { record, answer: Vote { granted: true, register, membership: None, recovery_epoch } }
     }
 
     fn reject(&self, key: &str) -> Step<Vote> {
         let answer = Vote {
-            ok: false,
+            granted: false,
             register: self.registers.get(key).map(without_value),
             membership: Some(self.membership.clone()),
             recovery_epoch: self.recovery_epoch,
--- a/crates/control-plane/src/consensus/reads.rs
+++ b/crates/control-plane/src/consensus/reads.rs
@@ -71,7 +71,7 @@
     /// value.
     pub async fn read(self: &Arc<Self>, key: &str) -> Option<ChosenValue> {
         let mut backoff_ms = constants::READ_BACKOFF_MS;
-        for _ in 0..constants::READ_ATTEMPTS {
+        for _ in 0..constants::MAX_READ_ATTEMPTS {
             if let Some(found) = self.read_once(key).await {
                 return Some(found);
             }
@@ -79,7 +79,7 @@
             backoff_ms *= 2;
         }
         let confirmed = forward::submit(self, ChangeKind::Confirm(key.to_owned())).await;
-        if confirmed.outcome() != Outcome::Done {
+        if confirmed.outcome() != Outcome::Committed {
             return None;
         }
         self.read_once(key).await
@@ -110,7 +110,7 @@
         if let Some(value) = accepted.or_else(|| learned().map(|known| known.value)) {
             return Some(value);
         }
-        for MemberLink { member: voter, link } in self.links_to_voters() {
+        for MemberLink { member_id: voter, link } in self.links_to_voters() {
             if !status.is_accepted_by(key, voter, ballot) {
                 continue;
             }
--- a/crates/control-plane/src/consensus/resignation.rs
+++ b/crates/control-plane/src/consensus/resignation.rs
@@ -1,10 +1,10 @@
 //! Resignation: a node that shuts down releases its keys, so that voters elect new owners at once instead of after the
-//! election time-out.
+//! election timeout.
 
 use super::Consensus;
 use crate::membership::peer_links::MemberLink;
 use fleet_core::constants;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Ballot, Body, Empty};
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     consensus.key_owners.release_keys().await;
     record_resignation(consensus, consensus.process.node.ip);
     let calls = consensus.links_to_voters().into_iter().map(|MemberLink { link, .. }| async move {
-        // A voter that can't be reached waits for the election time-out instead.
+        // A voter that can't be reached waits for the election timeout instead.
         let _ = link.call(Body::OwnerResigned(Empty {}), constants::PHASE_TIMEOUT).await;
     });
     futures_util::future::join_all(calls).await;
@@ -41,7 +41,7 @@
 
 /// Records that the node at this address owns no keys any more, so that they may be taken over at once.
 pub fn record_resignation(consensus: &Consensus, from: Ipv4Addr) {
-    let owner = id_of(from);
+    let owner = node_id_of(from);
     let acceptor = consensus.acceptor.lock();
     for register in acceptor.registers().filter(|register| register.promised.node == owner) {
         consensus.key_owners.record_resigned_ballot(&register.key, register.promised);
--- a/crates/control-plane/src/engines/registry.rs
+++ b/crates/control-plane/src/engines/registry.rs
@@ -95,9 +95,9 @@
         fleet_core::log_event!(self.process.log, event, "id" => &engine.id, "at" => &engine.address);
     }
 
-    /// Engines to send to another controller when a link comes up. A ready engine that misses its heartbeats here is left
-    /// out, because it may have announced its departure to other controllers: only its own next heartbeat shows that it
-    /// is still ready.
+    /// Engines to send to another controller when a link comes up. A ready engine that misses its heartbeats here is
+    /// left out, because it may have announced its departure to other controllers: only its own next heartbeat shows
+    /// that it is still ready.
     pub fn engines_to_share(&self) -> Vec<Engine> {
         let is_shareable =
             |engine: &&Engine| !engine.heartbeat_missed || engine.state() != EngineState::Ready;
@@ -122,12 +122,12 @@
         let body =
             Body::EngineHeartbeats(EngineHeartbeats { engines: vec![engine], request_all: false });
         let is_confirmed = |answer| matches!(answer, Body::EngineHeartbeats(_));
-        let timeout = constants::HEARTBEAT_SHARE_TIMEOUT;
+        let timeout = constants::DRAIN_REPLICATION_TIMEOUT;
         self.consensus.majority_agrees(&membership, timeout, body, is_voter, is_confirmed).await
     }
 
-    /// Sends all shareable engines to the other controllers before this one shuts down, since some of their state may be
-    /// held by this controller and just one other. Returns once they have confirmed it or the timeout has passed.
+    /// Sends all shareable engines to the other controllers before this one shuts down, since some of their state may
+    /// be held by this controller and just one other. Returns once they have confirmed it or the timeout has passed.
     pub async fn share_all(&self) {
         let heartbeats = EngineHeartbeats { engines: self.engines_to_share(), request_all: false };
         let calls = self.links.all().into_iter().map(|(_, link)| {
@@ -149,7 +149,8 @@
     /// Marks engines that missed their heartbeats, and removes engines whose deregistration has passed its retention
     /// period.
     fn check_heartbeats(&self) {
-        let timeout = self.process.settings().heartbeat.mul_f64(constants::MISSED_HEARTBEATS);
+        let timeout =
+            self.process.settings().heartbeat.mul_f64(constants::MISSED_HEARTBEAT_PERIODS);
         let now = Instant::now();
         let engines: Vec<Engine> =
             self.cluster_state.read(|state| state.engines.values().cloned().collect());
@@ -166,7 +167,7 @@
     fn remove_if_expired(&self, id: &str, age: Duration) {
         if age > constants::DEPARTURE_RETENTION {
             self.last_heartbeat.lock().remove(id);
-            self.cluster_state.amend(|state| {
+            self.cluster_state.update_silently(|state| {
                 state.engines.remove(id);
             });
         }
@@ -186,18 +187,18 @@
 /// Sends engines to another controller; returns its response, or `None` if it did not confirm in time.
 async fn share(link: &Link, heartbeats: EngineHeartbeats) -> Option<EngineHeartbeats> {
     let body = Body::EngineHeartbeats(heartbeats);
-    match link.call(body, constants::HEARTBEAT_SHARE_TIMEOUT).await {
+    match link.call(body, constants::DRAIN_REPLICATION_TIMEOUT).await {
         Ok(Body::EngineHeartbeats(answer)) => Some(answer),
         _ => None,
     }
 }
 
-/// Sends routine heartbeats to the other controllers in batches, and exchanges the known engines with a controller whose
-/// link has come up.
+/// Sends routine heartbeats to the other controllers in batches, and exchanges the known engines with a controller
+/// whose link has come up.
 pub async fn run_heartbeat_sharing(registry: Arc<EngineRegistry>) {
     let mut connected = HashSet::new();
     loop {
-        tokio::time::sleep(constants::HEARTBEAT_SHARE_INTERVAL).await;
+        tokio::time::sleep(constants::HEARTBEAT_REPLICATION_INTERVAL).await;
         let outbox = std::mem::take(&mut *registry.outbox.lock());
         let engines: Vec<Engine> = outbox.into_values().collect();
         let links = registry.links.all();
--- a/crates/control-plane/src/index_owner/follower.rs
+++ b/crates/control-plane/src/index_owner/follower.rs
@@ -2,7 +2,7 @@
 
 use super::IndexOwner;
 use super::index::KvEvents;
-use crate::engines::client::EngineClient;
+use crate::engines::client::HttpClient;
 use fleet_core::constants;
 use fleet_core::log::Event;
 use fleet_core::wire::{Engine, EngineState, Invalidation};
@@ -20,8 +20,8 @@
     pub is_engine: bool,
 }
 
-/// Engines to follow, by id. If two engines are known at the same address, one of them has terminated without this being
-/// known yet. Neither is followed then, since a response doesn't show which engine sent it.
+/// Engines to follow, by id. If two engines are known at the same address, one of them has terminated without this
+/// being known yet. Neither is followed then, since a response doesn't show which engine sent it.
 pub fn engines<'a>(engines: impl Iterator<Item = &'a Engine>) -> BTreeMap<String, HolderEndpoint> {
     let mut by_address: BTreeMap<&str, Option<&Engine>> = BTreeMap::new();
     for engine in engines
@@ -48,8 +48,8 @@
 #[derive(Debug, PartialEq, Eq)]
 struct PositionUpdate {
     position: Position,
-    /// Everything learned about the holder is void.
-    is_void: bool,
+    /// Everything learned about the holder is invalid.
+    is_invalid: bool,
     /// The events of the response can be applied.
     accepts_events: bool,
 }
@@ -60,7 +60,7 @@
     let next = if other_incarnation { 0 } else { batch.next_token };
     PositionUpdate {
         position: Position { epoch: batch.epoch, next },
-        is_void: other_incarnation || gap,
+        is_invalid: other_incarnation || gap,
         accepts_events: !other_incarnation,
     }
 }
@@ -68,15 +68,16 @@
 /// Follows one holder until the task is aborted.
 pub async fn follow(index_owner: Arc<IndexOwner>, holder: String, endpoint: HolderEndpoint) {
     let Ok(address) = endpoint.address.parse::<SocketAddr>() else { return };
-    let mut client = index_owner.client(address).with_most(constants::EVENTS_BYTES);
+    let mut client =
+        index_owner.client(address).with_max_response_bytes(constants::EVENTS_MAX_BYTES);
     let mut position: Option<Position> = None;
     let invalidate_holder = || {
         fleet_core::log_event!(index_owner.process.log, Event::HolderReset, "holder" => &holder);
         index_owner.published.commit([Invalidation::Holder(holder.clone())]);
     };
     loop {
-        // The response to the first call can be large, since the holder may have cached many parts already: the semaphore
-        // bounds how many of these are in memory at the same time.
+        // The response to the first call can be large, since the holder may have cached many parts already: the
+        // semaphore bounds how many of these are in memory at the same time.
         let permit = match position {
             None => index_owner.first_reads.acquire().await.ok(),
             Some(_) => None,
@@ -92,7 +93,7 @@
         };
         let update = advance(position, &batch);
         position = Some(update.position);
-        if update.is_void {
+        if update.is_invalid {
             invalidate_holder();
         }
         if update.accepts_events {
@@ -107,7 +108,7 @@
 /// Fetches the events after a position. The first call uses a short wait, since it holds one of the few permits for
 /// first reads.
 async fn fetch_events(
-    client: &mut EngineClient,
+    client: &mut HttpClient,
     target: Option<&str>,
     position: Option<Position>,
 ) -> Option<KvEvents> {
--- a/crates/control-plane/src/index_owner/index_tests.rs
+++ b/crates/control-plane/src/index_owner/index_tests.rs
@@ -1,8 +1,6 @@
-//! Tests of `index`.
-
 use super::*;
-use fleet_core::wire::Weights;
-use invalidation::draft::Draft;
+use fleet_core::wire::WeightsVersion;
+use invalidation::pending_change::PendingChange;
 use invalidation::ring::Ring;
 
 fn events(list: &str) -> KvEvents {
@@ -20,17 +18,17 @@
         r#"[1,"+","m|1|#1","ff",8,"m"],[2,"+","m|1|#1","fe",8,"m"],[3,"-","m|1|#1","ff",0,"m"]"#,
     );
     let mut index = Index::default();
-    index.record_found(&[cached("other", vec![0xff, 0xfe])]);
+    index.record_findings(&[cached("other", vec![0xff, 0xfe])]);
     let invalidations = index.apply_events("h", &batch);
     let part =
         PartLocation { holder: "h".into(), salt: "m|1|#1".into(), part: 0xff, cached_tokens: 0 };
     assert_eq!(invalidations, vec![Invalidation::Part(part)]);
     let ring = Ring::new(8, 4, 4);
-    let mut draft = Draft::open(&mut index);
-    for what in invalidations {
-        draft.add(RingEntry { scope: 0, what: Some(what) });
+    let mut change = PendingChange::begin(&mut index);
+    for invalidation in invalidations {
+        change.add(RingEntry { scope: 0, invalidation: Some(invalidation) });
     }
-    draft.commit(&ring);
+    change.commit(&ring);
     assert_eq!(ring.head(), 1);
     let snapshot: Vec<CachedParts> = index.snapshot();
     let cached: Vec<_> =
@@ -44,7 +42,7 @@
     assert!(index.findings_since(total).is_empty());
     index.apply(&RingEntry {
         scope: 0,
-        what: Some(Invalidation::Weights(Weights { model: "m".into(), version: 2 })),
+        invalidation: Some(Invalidation::Weights(WeightsVersion { model: "m".into(), version: 2 })),
     });
     assert!(index.snapshot().iter().all(|h| h.parts.is_empty()));
 }
@@ -54,7 +52,7 @@
     let mut index = Index::default();
     let invalidations = index.apply_events("a", &events(r#"[1,"+","m|1|#1","aa",8,"m"]"#));
     assert!(invalidations.is_empty() && index.snapshot().iter().all(|h| h.parts.is_empty()));
-    index.record_found(&[cached("b", vec![0xaa])]);
+    index.record_findings(&[cached("b", vec![0xaa])]);
     let mut holders: Vec<String> =
         index.snapshot().into_iter().filter(|h| !h.parts.is_empty()).map(|h| h.holder).collect();
     holders.sort();
@@ -70,14 +68,14 @@
 fn unshared_parts_are_bounded_and_dropped_with_their_holder() {
     let mut index = Index::default();
     for i in 0..constants::UNSHARED_PARTS_CAPACITY as u64 * 3 {
-        index.found("a", "m|1|#1", i, None);
+        index.register_part("a", "m|1|#1", i, None);
     }
     let count = index.unshared.iter().map(|generation| generation.len()).sum::<usize>();
     assert!(
         count <= 2 * constants::UNSHARED_PARTS_CAPACITY
             && count > constants::UNSHARED_PARTS_CAPACITY / 2
     );
-    index.drop_holder("a");
+    index.remove_holder("a");
     assert!(index.unshared.iter().all(|generation| generation.is_empty()));
 }
 
@@ -87,7 +85,7 @@
     for holder in 0..20 {
         let mut cached = cached(&format!("i-{holder:08x}"), (0..500).map(|i| i << 40).collect());
         cached.cached_tokens = vec![4096; 500];
-        index.record_found(&[cached]);
+        index.record_findings(&[cached]);
     }
     let response =
         fleet_core::wire::RingResponse { snapshot: index.snapshot(), ..Default::default() };
@@ -100,10 +98,10 @@
 #[test]
 fn shared_parts_that_no_holder_caches_are_pruned() {
     let mut index = Index::default();
-    index.record_found(&[cached("stays", vec![u64::MAX])]);
+    index.record_findings(&[cached("stays", vec![u64::MAX])]);
     for part in 0..constants::SHARED_PARTS_CAPACITY as u64 * 3 {
-        index.record_found(&[cached("h", vec![part])]);
-        index.evict("h", "m|1|#1", part, 0);
+        index.record_findings(&[cached("h", vec![part])]);
+        index.evict_part("h", "m|1|#1", part, 0);
     }
     assert!(
         index.shared_parts.len() <= constants::SHARED_PARTS_CAPACITY,
--- a/crates/control-plane/src/index_owner/published.rs
+++ b/crates/control-plane/src/index_owner/published.rs
@@ -2,20 +2,21 @@
 //!
 //! The index owner fills it from the holders, a relay from the owner's ring; `feed` serves readers from it.
 
-use super::IndexOwnershipParts;
+use super::IndexOwnershipDependencies;
 use super::index::Index;
 use super::throttle::SnapshotThrottle;
 use crate::membership::routers::Routers;
 use crate::process::Process;
 use fleet_core::constants;
 use fleet_core::wire::{Body, FleetUpdate, Invalidation, RingEntry, RingHead};
-use invalidation::draft::Draft;
+use invalidation::pending_change::PendingChange;
 use invalidation::ring::Ring;
 use parking_lot::Mutex;
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The index and its ring. Lock order: the index, then the throttle; no other lock is taken while one of the others is held.
+/// The index and its ring. Lock order: the index, then the throttle; no other lock is taken while one of the others is
+/// held.
 pub struct PublishedIndex {
     process: Arc<Process>,
     routers: Arc<Routers>,
@@ -35,18 +36,22 @@
 impl PublishedIndex {
     /// Creates an empty index with an empty ring.
     pub fn new(
-        parts: &IndexOwnershipParts,
+        dependencies: &IndexOwnershipDependencies,
         fencing_token: u64,
         incarnation: u64,
         serves_from: Instant,
     ) -> PublishedIndex {
         PublishedIndex {
-            process: parts.process.clone(),
-            routers: parts.routers.clone(),
+            process: dependencies.process.clone(),
+            routers: dependencies.routers.clone(),
             serves_from,
             fencing_token,
             incarnation,
-            ring: Ring::new(constants::RING_SLOTS, constants::RING_BATCH, constants::RING_LAG),
+            ring: Ring::new(
+                constants::RING_SLOTS,
+                constants::RING_BATCH,
+                constants::RING_LAG_THRESHOLD,
+            ),
             index: Mutex::default(),
             readers: Mutex::default(),
             throttle: Mutex::default(),
@@ -60,7 +65,7 @@
             incarnation: self.incarnation,
             head: self.ring.head(),
             owner: self.process.node.ip.to_string(),
-            found: self.index.lock().findings_total(),
+            finding_count: self.index.lock().findings_total(),
         }
     }
 
@@ -68,15 +73,15 @@
     pub fn commit(&self, entries: impl IntoIterator<Item = Invalidation>) {
         let lagging = {
             let mut index = self.index.lock();
-            let mut draft = Draft::open(&mut *index);
+            let mut change = PendingChange::begin(&mut *index);
             for invalidation in entries {
-                draft.add(RingEntry { scope: 0, what: Some(invalidation) });
+                change.add(RingEntry { scope: 0, invalidation: Some(invalidation) });
             }
-            draft.commit(&self.ring)
+            change.commit(&self.ring)
         };
         for reader in lagging {
-            let nudge = FleetUpdate { nudge: true, ..Default::default() };
-            self.routers.push(reader, Body::FleetUpdate(nudge));
+            let update = FleetUpdate { catch_up: true, ..Default::default() };
+            self.routers.push(reader, Body::FleetUpdate(update));
         }
     }
 
@@ -86,8 +91,8 @@
         self.routers.push_to_prompt_readers(&readers, &Body::FleetUpdate(update.clone()));
     }
 
-    /// Drops the cursors of readers that have sent no request within [`constants::READER_TIMEOUT`], so that they don't hold
-    /// back the ring.
+    /// Drops the cursors of readers that have sent no request within [`constants::READER_TIMEOUT`], so that they don't
+    /// hold back the ring.
     pub fn drop_inactive_readers(&self) {
         let mut inactive = Vec::new();
         self.readers.lock().retain(|reader, last_read| {
@@ -98,7 +103,7 @@
             is_live
         });
         for reader in inactive {
-            self.ring.drop_reader(reader);
+            self.ring.remove_reader(reader);
         }
     }
 }
--- a/crates/control-plane/src/index_owner/relay.rs
+++ b/crates/control-plane/src/index_owner/relay.rs
@@ -2,27 +2,28 @@
 //!
 //! The owner sends each finding and each invalidation once to every reader. With hundreds of routers as direct readers
 //! this would saturate its network link, and most of the traffic would cross zones. The other voters therefore read the
-//! ring as well, keep a copy of the index, and serve the routers near them: the owner sends only one copy per voter, and
-//! a router that has to rebuild its view gets a snapshot from its own zone.
+//! ring as well, keep a copy of the index, and serve the routers near them: the owner sends only one copy per voter,
+//! and a router that has to rebuild its view gets a snapshot from its own zone.
 //!
-//! Routers report which prefixes their requests leave cached to the relay that they read. The relay forwards these reports
-//! to its readers at once and to the owner, so that routers of one zone continue to learn from each other while the owner
-//! is being replaced.
+//! Routers report which prefixes their requests leave cached to the relay that they read. The relay forwards these
+//! reports to its readers at once and to the owner, so that routers of one zone continue to learn from each other while
+//! the owner is being replaced.
 //!
-//! A relay's ring numbers its entries independently, and a reader that switches from another ring starts from a snapshot,
-//! as after a change of the owner. A relay that loses contact with the owner notifies its readers, which switch to
-//! another relay or to the owner. A relay holds no state that exists only there, so its failure loses nothing.
+//! A relay's ring numbers its entries independently, and a reader that switches from another ring starts from a
+//! snapshot, as after a change of the owner. A relay that loses contact with the owner notifies its readers, which
+//! switch to another relay or to the owner. A relay holds no state that exists only there, so its failure loses
+//! nothing.
 
 use super::published::PublishedIndex;
-use super::{IndexOwnership, IndexOwnershipParts};
+use super::{IndexOwnership, IndexOwnershipDependencies};
 use crate::cluster_state::{ClusterStateStore, StateChange};
 use crate::leases::INDEX_OWNER_LEASE;
 use fleet_core::constants;
 use fleet_core::link::Link;
 use fleet_core::log::Event;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Body, CachedPrefixes, FleetUpdate, RingHead};
-use invalidation::reader::{RingPosition, ViewUpdate, step};
+use invalidation::reader::{RingPosition, ViewUpdate, apply_response};
 use parking_lot::Mutex;
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -31,11 +32,11 @@
 
 /// Whether there are enough routers for relays to be worth the memory that they use.
 pub fn are_relays_needed(cluster_state: &ClusterStateStore) -> bool {
-    cluster_state.read(|state| state.routers) as usize >= constants::RELAY_ROUTERS
+    cluster_state.read(|state| state.routers) as usize >= constants::RELAY_MIN_ROUTERS
 }
 
-/// The copy of the ring that this controller relays, and the newest known head of the owner's ring. No other lock is taken
-/// while its lock is held.
+/// The copy of the ring that this controller relays, and the newest known head of the owner's ring. No other lock is
+/// taken while its lock is held.
 #[derive(Default)]
 pub struct RingRelay {
     published: Mutex<Option<Arc<PublishedIndex>>>,
@@ -57,8 +58,8 @@
     pub fn record_owner_head(&self, head: RingHead) {
         self.relay.upstream.send_if_modified(|known| {
             let is_newer = known.as_ref().is_none_or(|known| {
-                (known.fencing_token, known.head, known.found)
-                    < (head.fencing_token, head.head, head.found)
+                (known.fencing_token, known.head, known.finding_count)
+                    < (head.fencing_token, head.head, head.finding_count)
             });
             if is_newer {
                 *known = Some(head);
@@ -69,18 +70,18 @@
 
     /// Whether relays are needed and this controller can be one: a voter that doesn't own the index.
     fn may_relay(&self) -> bool {
-        are_relays_needed(&self.parts.cluster_state)
-            && self.parts.consensus.votes()
-            && self.parts.leases.fencing_token(INDEX_OWNER_LEASE).is_none()
+        are_relays_needed(&self.dependencies.cluster_state)
+            && self.dependencies.consensus.votes()
+            && self.dependencies.leases.fencing_token(INDEX_OWNER_LEASE).is_none()
     }
 
     fn stop_relaying(&self) {
         let Some(published) = self.relay.published.lock().take() else { return };
-        self.parts.cluster_state.amend(|state| state.ring_relay = None);
+        self.dependencies.cluster_state.update_silently(|state| state.ring_relay = None);
         let withdrawn = RingHead { fencing_token: 0, ..published.head() };
         published
             .push_to_readers(&FleetUpdate { ring_relay: Some(withdrawn), ..Default::default() });
-        fleet_core::log_event!(self.parts.process.log, Event::RelayStopped);
+        fleet_core::log_event!(self.dependencies.process.log, Event::RelayStopped);
     }
 
     /// Applies an update that was read from the owner's ring.
@@ -89,20 +90,20 @@
             return self.start_relaying(position, &update);
         }
         let Some(published) = self.relay.published() else { return };
-        published.index.lock().record_found(&update.snapshot);
-        published.commit(update.entries.into_iter().filter_map(|entry| entry.what));
+        published.index.lock().record_findings(&update.snapshot);
+        published.commit(update.entries.into_iter().filter_map(|entry| entry.invalidation));
         self.relay.changed.notify_one();
     }
 
-    /// Records which prefixes a router's requests left cached. The readers of this relay learn of them at once, even while
-    /// there is no owner; all other routers learn of them through the owner.
-    pub fn relay_found(&self, found: CachedPrefixes) {
+    /// Records which prefixes a router's requests left cached. The readers of this relay learn of them at once, even
+    /// while there is no owner; all other routers learn of them through the owner.
+    pub fn relay_findings(&self, found: CachedPrefixes) {
         if let Some(published) = self.relay.published() {
-            published.index.lock().record_found(&found.entries);
+            published.index.lock().record_findings(&found.entries);
             self.relay.changed.notify_one();
         }
         let owner = self.relay.upstream.borrow().as_ref().map(|head| head.owner.clone());
-        if let Some(link) = owner.and_then(|owner| self.parts.link_to(&owner)) {
+        if let Some(link) = owner.and_then(|owner| self.dependencies.link_to(&owner)) {
             let _ = link.notify(Body::CachedPrefixes(found));
         }
     }
@@ -110,28 +111,30 @@
     /// Announces the new head of the relay's ring to its readers.
     fn announce_relay(&self, published: &PublishedIndex) {
         let head = published.head();
-        self.parts.cluster_state.amend(|state| state.ring_relay = Some(head.clone()));
+        self.dependencies
+            .cluster_state
+            .update_silently(|state| state.ring_relay = Some(head.clone()));
         published.push_to_readers(&FleetUpdate { ring_relay: Some(head), ..Default::default() });
     }
 
     /// Starts a new ring from a snapshot of the owner's, and announces it to all routers.
     fn start_relaying(&self, position: RingPosition, update: &ViewUpdate) {
-        let incarnation = self.parts.process.random() | 1;
+        let incarnation = self.dependencies.process.random() | 1;
         let token = position.fencing_token();
-        let published = PublishedIndex::new(&self.parts, token, incarnation, Instant::now());
-        published.index.lock().record_found(&update.snapshot);
+        let published = PublishedIndex::new(&self.dependencies, token, incarnation, Instant::now());
+        published.index.lock().record_findings(&update.snapshot);
         let head = published.head();
         *self.relay.published.lock() = Some(Arc::new(published));
-        fleet_core::log_event!(self.parts.process.log, Event::RelayStarted, "fence" => token);
-        self.parts.cluster_state.append(StateChange::RingRelay(head));
+        fleet_core::log_event!(self.dependencies.process.log, Event::RelayStarted, "fence" => token);
+        self.dependencies.cluster_state.append(StateChange::RingRelay(head));
     }
 }
 
-impl IndexOwnershipParts {
+impl IndexOwnershipDependencies {
     fn link_to(&self, owner: &str) -> Option<Arc<Link>> {
-        let member = id_of(owner.parse::<Ipv4Addr>().ok()?);
+        let member = node_id_of(owner.parse::<Ipv4Addr>().ok()?);
         let mut links = self.consensus.links_to_voters().into_iter();
-        links.find(|link| link.member == member).map(|link| link.link)
+        links.find(|link| link.member_id == member).map(|link| link.link)
     }
 }
 
@@ -146,13 +149,16 @@
 impl Upstream {
     /// Reads once. Returns whether there is more to read.
     async fn read(&mut self, ownership: &IndexOwnership, link: &Link) -> bool {
-        let request = self.position.request(ownership.parts.process.node.incarnation);
-        let timeout =
-            if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
+        let request = self.position.request(ownership.dependencies.process.node.incarnation);
+        let timeout = if request.request_snapshot {
+            constants::SNAPSHOT_TIMEOUT
+        } else {
+            constants::PHASE_TIMEOUT
+        };
         let response = link.call(Body::RingRequest(request), timeout).await;
         let Ok(Body::RingResponse(response)) = response else { return false };
         let head = response.head.as_ref().map_or(0, |head| head.head);
-        let Some((next, update)) = step(self.position, response) else { return false };
+        let Some((next, update)) = apply_response(self.position, response) else { return false };
         self.position = next;
         self.last_response = Some(Instant::now());
         let Some(update) = update else { return false };
@@ -185,7 +191,7 @@
         // Read also without an announcement: this recovers lost messages and detects the loss of the owner.
         let _ = tokio::time::timeout(constants::RELAY_READ_INTERVAL, heads.changed()).await;
         let head = heads.borrow_and_update().clone();
-        let link = head.and_then(|head| ownership.parts.link_to(&head.owner));
+        let link = head.and_then(|head| ownership.dependencies.link_to(&head.owner));
         let Some(link) = link.filter(|_| ownership.may_relay()) else {
             upstream = Upstream::default();
             ownership.stop_relaying();
--- a/crates/control-plane/src/membership/mod.rs
+++ b/crates/control-plane/src/membership/mod.rs
@@ -28,7 +28,7 @@
 pub mod routers;
 mod state_transfer;
 
-pub use peer_service::{PeerService, PeerServiceParts};
+pub use peer_service::{PeerService, PeerServiceDependencies};
 pub use reconfiguration::{initial_membership, run_join, run_replacement};
 
 use crate::consensus::Consensus;
@@ -43,8 +43,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Handles join requests and recoveries, and proposes membership changes. No other lock is taken while one of its locks is
-/// held.
+/// Handles join requests and recoveries, and proposes membership changes. No other lock is taken while one of its locks
+/// is held.
 pub struct MembershipManager {
     process: Arc<Process>,
     consensus: Arc<Consensus>,
@@ -76,7 +76,7 @@
 
     /// Records a controller that asks to become a member. Observers, and requests with an invalid address, are ignored.
     pub fn on_join_request(&self, request: JoinRequest) {
-        if request.member.ip.parse::<IpAddr>().is_ok() && !request.observes {
+        if request.member.ip.parse::<IpAddr>().is_ok() && !request.is_observer {
             self.candidates.lock().record(request, Instant::now());
         }
     }
--- a/crates/control-plane/src/membership/peer_links.rs
+++ b/crates/control-plane/src/membership/peer_links.rs
@@ -2,7 +2,7 @@
 
 use crate::process::Process;
 use fleet_core::link::Link;
-use fleet_core::node::{Role, id_of};
+use fleet_core::node::{Role, node_id_of};
 use fleet_core::transport::Transport;
 use fleet_core::wire::{Handshake, Member, Membership};
 use hashbrown::{HashMap, HashSet};
@@ -16,13 +16,13 @@
 #[derive(Clone)]
 pub struct MemberLink {
     /// Node ID of the member, as used in ballots.
-    pub member: u64,
+    pub member_id: u64,
     /// The link to it.
     pub link: Arc<Link>,
 }
 
-/// Links from this node to other controllers, one for each. Maps whose iteration order affects what is sent are ordered,
-/// so that simulated runs are reproducible. No other lock is taken while one of its locks is held.
+/// Links from this node to other controllers, one for each. Maps whose iteration order affects what is sent are
+/// ordered, so that simulated runs are reproducible. No other lock is taken while one of its locks is held.
 pub struct PeerLinks {
     process: Arc<Process>,
     transport: Arc<dyn Transport>,
@@ -37,8 +37,8 @@
     incarnations: Mutex<HashMap<String, Incarnations>>,
 }
 
-/// Incarnations of the controller at one address. Those from before a disk loss are retired: messages of theirs that are
-/// still in flight are rejected.
+/// Incarnations of the controller at one address. Those from before a disk loss are retired: messages of theirs that
+/// are still in flight are rejected.
 #[derive(Default)]
 struct Incarnations {
     observed: HashSet<u64>,
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Opens and closes links so that there is one to each member and, while this node does not vote, to each seed and to
-    /// each controller that opened a link to this node.
+    /// Opens and closes links so that there is one to each member and, while this node does not vote, to each seed and
+    /// to each controller that opened a link to this node.
     pub fn relink(&self, membership: &Membership, votes: bool) {
         let settings = self.process.settings();
         let mut required: BTreeSet<Ipv4Addr> =
@@ -87,7 +87,7 @@
         for ip in required {
             let address = settings.peer_addr(ip.into());
             let open =
-                || Link::keep_over(self.transport.clone(), &self.process.node, address, None);
+                || Link::maintain_over(self.transport.clone(), &self.process.node, address, None);
             links.entry(ip).or_insert_with(open);
         }
     }
@@ -110,11 +110,11 @@
     }
 
     /// Links to those of these members that there is a link to; this node itself is left out.
-    pub fn to(&self, members: &[Member]) -> Vec<MemberLink> {
+    pub fn links_to(&self, members: &[Member]) -> Vec<MemberLink> {
         let links = self.links.lock();
         let link = |member: &Member| {
             let ip = member.addr()?;
-            Some(MemberLink { member: id_of(ip), link: links.get(&ip)?.clone() })
+            Some(MemberLink { member_id: node_id_of(ip), link: links.get(&ip)?.clone() })
         };
         members.iter().filter_map(link).collect()
     }
@@ -124,8 +124,8 @@
         self.zones.lock().get(&ip).cloned()
     }
 
-    /// Records the handshake of a process that opened a link to this node. Incarnations are recorded of controllers only:
-    /// a router on the same machine has an incarnation of its own, which a disk loss does not retire.
+    /// Records the handshake of a process that opened a link to this node. Incarnations are recorded of controllers
+    /// only: a router on the same machine has an incarnation of its own, which a disk loss does not retire.
     pub fn register(&self, handshake: &Handshake) {
         let ip: Option<Ipv4Addr> = handshake.ip.parse().ok();
         if handshake.role == Role::Controller as u32 {
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Retires all observed incarnations of the controller at an address except the current one. Called when a controller
-    /// has restarted with an empty disk.
+    /// Retires all observed incarnations of the controller at an address except the current one. Called when a
+    /// controller has restarted with an empty disk.
     pub fn retire_incarnations(&self, ip: &str, current: u64) {
         let mut incarnations = self.incarnations.lock();
         let of_address = incarnations.entry_ref(ip).or_default();
--- a/crates/control-plane/src/membership/reconfiguration.rs
+++ b/crates/control-plane/src/membership/reconfiguration.rs
@@ -7,7 +7,7 @@
 use crate::consensus::state_machine;
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::node::id_of;
+use fleet_core::node::node_id_of;
 use fleet_core::wire::{Body, JoinRequest, Member, Membership, ReadBallots};
 use prost::Message;
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
         control: manager
             .process
             .settings()
-            .control
+            .control_addr
             .map(|address| address.to_string())
             .unwrap_or_default(),
         joined_epoch: 0,
@@ -72,7 +72,7 @@
         }
         let is_observer = manager.consensus.is_disk_absent() && epoch > 0;
         tokio::time::sleep(if is_observer {
-            constants::OBSERVE_INTERVAL
+            constants::OBSERVER_POLL_INTERVAL
         } else {
             constants::JOIN_INTERVAL
         })
@@ -81,14 +81,14 @@
     }
 }
 
-/// Asks all linked controllers to be admitted as a member, and adopts newer memberships from their answers. A node without
-/// a writable disk could not vote, so it asks only as an observer, to learn the membership.
+/// Asks all linked controllers to be admitted as a member, and adopts newer memberships from their answers. A node
+/// without a writable disk could not vote, so it asks only as an observer, to learn the membership.
 async fn request_membership(manager: &Arc<MembershipManager>) {
-    let observes = manager.consensus.is_disk_absent() || manager.consensus.is_disk_broken();
+    let is_observer = manager.consensus.is_disk_absent() || manager.consensus.is_disk_broken();
     for (_, link) in manager.links.all() {
         let running_ms = manager.process.started.elapsed().as_millis() as u64;
         let request =
-            Body::JoinRequest(JoinRequest { member: own_member(manager), observes, running_ms });
+            Body::JoinRequest(JoinRequest { member: own_member(manager), is_observer, running_ms });
         if let Ok(Body::JoinResponse(response)) = link.call(request, constants::PHASE_TIMEOUT).await
             && let Some(membership) = response.membership
         {
@@ -120,8 +120,9 @@
     }
 }
 
-/// Proposes the next membership when a change is due. Any voter may propose; ballots decide between concurrent proposals.
-/// To make these rare, each voter first waits for a delay that grows with the number of voters with lower IDs.
+/// Proposes the next membership when a change is due. Any voter may propose; ballots decide between concurrent
+/// proposals. To make these rare, each voter first waits for a delay that grows with the number of voters with lower
+/// IDs.
 pub async fn run_replacement(manager: Arc<MembershipManager>) {
     let mut vote_monitor = VoteMonitor::default();
     let mut last_check = Instant::now();
@@ -166,7 +167,7 @@
         |ip| silent_for(ip).is_some_and(|silence| silence < constants::MEMBER_TIMEOUT_SAME_ZONE);
     let addresses = membership.members.iter().filter_map(Member::addr);
     let heard = addresses.filter(|ip| *ip == manager.process.node.ip || is_recent(*ip));
-    heard.map(id_of).collect()
+    heard.map(node_id_of).collect()
 }
 
 /// Members that currently vote in the membership of this epoch, including this node if it votes.
@@ -187,9 +188,9 @@
 ) -> Option<Membership> {
     let settings = manager.process.settings();
     let tolerance = Tolerance {
-        machines: settings.losses,
-        zones: settings.lost_zones,
-        regions: settings.lost_regions,
+        machines: settings.tolerated_machine_losses,
+        zones: settings.tolerated_zone_losses,
+        regions: settings.tolerated_region_losses,
         regions_of_zones: settings.zones.clone(),
     };
     let members: Vec<MemberStatus> = membership
@@ -240,9 +241,9 @@
     let bytes: bytes::Bytes = next.encode_to_vec().into();
     let decide = |current: &[u8]| match Membership::decode(current) {
         Ok(current) if current.epoch > membership.epoch => {
-            state_machine::Decision::Answer(state_machine::unknown())
+            state_machine::Decision::Answer(state_machine::unknown_outcome())
         }
-        _ => state_machine::Decision::Write(bytes.clone(), state_machine::unknown()),
+        _ => state_machine::Decision::Write(bytes.clone(), state_machine::unknown_outcome()),
     };
     let proposed = manager.consensus.propose_and_commit(state_machine::MEMBERSHIP, decide);
     let _ = tokio::time::timeout(constants::CHANGE_TIMEOUT * 2, proposed).await;
--- a/crates/control-plane/src/membership/recovery.rs
+++ b/crates/control-plane/src/membership/recovery.rs
@@ -1,9 +1,9 @@
 //! Recovery of a member's state from the other members, after a disk loss or after joining.
 //!
-//! First, each value is read in chunks from one of the members that have accepted the highest ballot of its register. Then
-//! a majority advances to a new recovery epoch, which forces the owners of keys to prepare again, and reports its ballots.
-//! Values that have changed since are read again. Values read so far are kept when a source or the membership changes
-//! during the recovery, so that a recovery that is interrupted often still completes.
+//! First, each value is read in chunks from one of the members that have accepted the highest ballot of its register.
+//! Then a majority advances to a new recovery epoch, which forces the owners of keys to prepare again, and reports its
+//! ballots. Values that have changed since are read again. Values read so far are kept when a source or the membership
+//! changes during the recovery, so that a recovery that is interrupted often still completes.
 
 use super::MembershipManager;
 use super::peer_links::MemberLink;
@@ -42,7 +42,7 @@
 struct PartialValue {
     ballot: Ballot,
     /// Size of the complete value; `None` before the first chunk.
-    total: Option<usize>,
+    total_bytes: Option<usize>,
     bytes: Vec<u8>,
 }
 
@@ -52,7 +52,7 @@
     }
 
     fn is_complete(&self) -> bool {
-        self.total == Some(self.bytes.len())
+        self.total_bytes == Some(self.bytes.len())
     }
 
     /// Appends a chunk. A chunk of a later ballot replaces what was read before. Returns false if the chunk brings no
@@ -67,7 +67,7 @@
         if chunk.offset != self.bytes.len() as u64 {
             return false;
         }
-        self.total = Some(chunk.total as usize);
+        self.total_bytes = Some(chunk.total_bytes as usize);
         self.bytes.extend_from_slice(&chunk.bytes);
         self.is_complete() || !chunk.bytes.is_empty()
     }
@@ -75,8 +75,8 @@
 
 impl CatchUp {
     /// Reads one value completely, at the given ballot or at a later one that a source has accepted meanwhile. Returns
-    /// false if none of the sources could supply the rest. What was read before at another ballot is discarded, because it
-    /// may have been accepted only by a voter of an earlier recovery epoch, without a majority.
+    /// false if none of the sources could supply the rest. What was read before at another ballot is discarded, because
+    /// it may have been accepted only by a voter of an earlier recovery epoch, without a majority.
     pub async fn fetch<S: ChunkSource>(
         &mut self,
         key: &str,
@@ -141,8 +141,8 @@
     latest
 }
 
-/// Attempts to recover this member's state. Reads the values of a majority, advances a majority to a new recovery epoch,
-/// and reads what has changed since; then the member votes again, unless the membership has changed meanwhile.
+/// Attempts to recover this member's state. Reads the values of a majority, advances a majority to a new recovery
+/// epoch, and reads what has changed since; then the member votes again, unless the membership has changed meanwhile.
 pub async fn recover(manager: &Arc<MembershipManager>, membership: u64, catch_up: &mut CatchUp) {
     let initial_reports =
         query_all(manager, Body::ReadBallots(ReadBallots { membership, values: false })).await;
@@ -175,19 +175,19 @@
     }
 }
 
-/// Reads each value from one of its sources. The first source rotates from key to key, to spread the load; the others are
-/// tried if it fails. Returns false if a value could not be read.
+/// Reads each value from one of its sources. The first source rotates from key to key, to spread the load; the others
+/// are tried if it fails. Returns false if a value could not be read.
 async fn fetch_all(
     manager: &Arc<MembershipManager>,
     reports: &[(u64, BallotReport)],
     catch_up: &mut CatchUp,
 ) -> bool {
     let members = manager.consensus.membership().members;
-    let links = manager.links.to(&members);
+    let links = manager.links.links_to(&members);
     for (index, (key, (ballot, mut ids))) in latest_ballots(reports).into_iter().enumerate() {
         let first = index % ids.len();
         ids.rotate_left(first);
-        let link = |id: &u64| links.iter().find(|link| link.member == *id);
+        let link = |id: &u64| links.iter().find(|link| link.member_id == *id);
         let sources: Vec<Arc<Link>> =
             ids.iter().filter_map(link).map(|link| link.link.clone()).collect();
         if !catch_up.fetch(&key, ballot, &sources).await {
@@ -197,17 +197,18 @@
     true
 }
 
-/// Sends a request to all other members at once and returns their reports. Adopts a later membership if a report contains
-/// one.
+/// Sends a request to all other members at once and returns their reports. Adopts a later membership if a report
+/// contains one.
 pub async fn query_all(
     manager: &Arc<MembershipManager>,
     request: Body,
 ) -> Vec<(u64, BallotReport)> {
     let members = manager.consensus.membership().members;
-    let calls = manager.links.to(&members).into_iter().map(|MemberLink { member: id, link }| {
-        let request = request.clone();
-        async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
-    });
+    let calls =
+        manager.links.links_to(&members).into_iter().map(|MemberLink { member_id: id, link }| {
+            let request = request.clone();
+            async move { (id, link.call(request, constants::PHASE_TIMEOUT * 2).await) }
+        });
     let mut reports = Vec::new();
     for (id, answer) in futures_util::future::join_all(calls).await {
         let Ok(Body::BallotReport(report)) = answer else { continue };
--- a/crates/control-plane/src/membership/replacement_tests.rs
+++ b/crates/control-plane/src/membership/replacement_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `replacement` and `failure_domains`.
+//! Tests of `replacement` and `failure_domains`: which member is added or replaced next, and by which candidate.
 
 use super::*;
 
@@ -130,8 +130,8 @@
     assert_eq!(next(&five, &candidates, &two), None, "at the target size");
 }
 
-/// Guards against an earlier rule by which a membership below its target size could only grow, and only while all of its
-/// members voted, so that a lost member blocked every change.
+/// Guards against an earlier rule by which a membership below its target size could only grow, and only while all of
+/// its members voted, so that a lost member blocked every change.
 #[test]
 fn a_lost_member_is_replaced_at_any_size() {
     let [a, b, c] =
--- a/crates/control-plane/src/rollout/mod.rs
+++ b/crates/control-plane/src/rollout/mod.rs
@@ -14,14 +14,14 @@
 pub mod status;
 
 use crate::cluster_state::ClusterStateStore;
-use crate::engines::client::EngineClient;
+use crate::engines::client::HttpClient;
 use crate::engines::registry::EngineRegistry;
 use crate::leases::{LeaseManager, ROLLOUT_LEASE};
 use crate::membership::load_reports::LoadReports;
 use crate::process::Process;
 use fleet_core::constants;
 use fleet_core::fleet;
-use fleet_core::load::{self, ByEngine};
+use fleet_core::load::{self, LoadByEngine};
 use fleet_core::log::Event;
 use fleet_core::target_versions::TargetVersions;
 use fleet_core::transport::Transport;
@@ -46,7 +46,7 @@
 }
 
 /// Dependencies of a [`Rollout`].
-pub struct RolloutParts {
+pub struct RolloutDependencies {
     /// The process that the rollout runs in.
     pub process: Arc<Process>,
     /// Provides the fencing token while this node holds [`ROLLOUT_LEASE`].
@@ -63,14 +63,14 @@
 
 impl Rollout {
     /// Starts with an empty plan.
-    pub fn new(parts: RolloutParts) -> Rollout {
+    pub fn new(dependencies: RolloutDependencies) -> Rollout {
         Rollout {
-            process: parts.process,
-            leases: parts.leases,
-            registry: parts.registry,
-            cluster_state: parts.cluster_state,
-            load_reports: parts.load_reports,
-            transport: parts.transport,
+            process: dependencies.process,
+            leases: dependencies.leases,
+            registry: dependencies.registry,
+            cluster_state: dependencies.cluster_state,
+            load_reports: dependencies.load_reports,
+            transport: dependencies.transport,
             plan: Mutex::default(),
         }
     }
@@ -92,8 +92,8 @@
         fleet::version_of(engine, &self.model).is_some_and(|version| version < self.version)
     }
 
-    /// Time until routers stop sending requests to an engine with older weights, minus a margin. Counted from the time at
-    /// which the first version that the engine lacks was set, even if newer versions have been set since.
+    /// Time until routers stop sending requests to an engine with older weights, minus a margin. Counted from the time
+    /// at which the first version that the engine lacks was set, even if newer versions have been set since.
     fn remaining(&self, engine: &Engine, bound: Duration, now: Instant) -> Duration {
         let margin = constants::VERSION_MARGIN + constants::ROLLOUT_MARGIN;
         bound.saturating_sub(margin).saturating_sub(self.outdated_for(engine, now))
@@ -101,7 +101,7 @@
 
     /// Time in which the engine should load the target weights, although it may serve older ones for longer.
     fn goal(&self, engine: &Engine, now: Instant) -> Duration {
-        constants::ROLLOUT_GOAL.saturating_sub(self.outdated_for(engine, now))
+        constants::ROLLOUT_TARGET_DURATION.saturating_sub(self.outdated_for(engine, now))
     }
 
     /// How long the weights of the engine have been outdated.
@@ -168,7 +168,7 @@
 fn due_actions(
     rollout: &Rollout,
     plan: &mut Plan,
-    loads: &ByEngine,
+    loads: &LoadByEngine,
     target: Target,
 ) -> Vec<(Target, Action)> {
     let now = Instant::now();
@@ -193,7 +193,7 @@
 fn outdated_engines(
     rollout: &Rollout,
     plan: &mut Plan,
-    loads: &ByEngine,
+    loads: &LoadByEngine,
     target: &Target,
     engines: &[Engine],
 ) -> Vec<OutdatedEngine> {
@@ -203,14 +203,14 @@
         if fleet::is_draining_streams(engine, &target.model, Some(target.version)) {
             plan.adopt(&engine.id, now);
         }
-        let key = load::key_of(&engine.id);
+        let key = load::engine_key(&engine.id);
         let load = loads.get(&key).copied().unwrap_or_default();
         outdated.push(OutdatedEngine {
             id: engine.id.clone(),
             zone: engine.zone.clone(),
             interactive_share: rollout.load_reports.interactive_share(key),
-            interactive_runs: load.interactive,
-            runs: load.runs,
+            interactive_in_flight: load.interactive,
+            in_flight: load.in_flight,
             remaining: target.remaining(engine, bound, now),
             goal: target.goal(engine, now),
         });
@@ -225,8 +225,8 @@
             let updated = update(&rollout, &id, &target).await;
             let mut plan = rollout.plan.lock();
             match updated {
-                Ok(load) => plan.ended(&id, Instant::now(), Some(load)),
-                Err(error) => plan.failed(&id, Instant::now(), &error.to_string()),
+                Ok(load) => plan.record_update_end(&id, Instant::now(), Some(load)),
+                Err(error) => plan.record_update_failure(&id, Instant::now(), &error.to_string()),
             }
         }
     }
@@ -252,9 +252,9 @@
     let engine = &engine.ok_or(OrderError::UnknownEngine)?;
     let address = engine.address.parse().map_err(|_| OrderError::UnknownEngine)?;
     let transport = rollout.transport.clone();
-    let mut client = EngineClient::over(transport, rollout.process.node.ip, address);
+    let mut client = HttpClient::with_transport(transport, rollout.process.node.ip, address);
     publish_update_state(rollout, &engine.id, set_updating).await;
-    tokio::time::sleep(constants::ROLLOUT_NOTICE).await;
+    tokio::time::sleep(constants::UPDATE_NOTICE_DELAY).await;
     let (model, version) = (target.model.as_str(), target.version);
     let updated = {
         let pending_order = order::execute(rollout, &mut client, engine, model, version);
@@ -264,7 +264,7 @@
     publish_update_state(rollout, &engine.id, |engine| {
         clear_update_state(engine);
         if updated.is_ok() {
-            fleet::raise(engine, model, version);
+            fleet::raise_version(engine, model, version);
         }
     })
     .await;
--- a/crates/control-plane/src/rollout/plan.rs
+++ b/crates/control-plane/src/rollout/plan.rs
@@ -4,7 +4,7 @@
 //! through [`Step::Updating`], and is done once it reports the target weights. Interactive engines come first, to keep
 //! the time short in which users are served by a mix of old and new weights with fewer engines.
 
-use super::concurrency::Concurrency;
+use super::concurrency::ConcurrencyLimit;
 use fleet_core::constants;
 use hashbrown::HashMap;
 use std::time::Duration;
@@ -20,12 +20,13 @@
     /// Share of its recent requests that are interactive (a user is waiting for the response), from 0 to 1.
     pub interactive_share: f64,
     /// Interactive requests in flight.
-    pub interactive_runs: u32,
+    pub interactive_in_flight: u32,
     /// All requests in flight.
-    pub runs: u32,
+    pub in_flight: u32,
     /// Time until routers stop sending it requests because of its outdated weights; the older these are, the shorter.
     pub remaining: Duration,
-    /// Time in which it should load the target weights: requests that it serves with older weights later are worth less.
+    /// Time in which it should load the target weights: requests that it serves with older weights later are worth
+    /// less.
     pub goal: Duration,
 }
 
@@ -54,7 +55,7 @@
     /// drained, its request mix no longer shows this.
     is_interactive: HashMap<String, bool>,
     /// `None` until the first call of [`Plan::next`].
-    concurrency: Option<Concurrency>,
+    concurrency: Option<ConcurrencyLimit>,
     /// Moving average of the duration of an update, retained across rollouts.
     update_duration: Duration,
     /// Error of the last failed update of each engine.
@@ -93,7 +94,7 @@
 
     /// Number of engines that may load weights at the same time; 0 before the rollout has started.
     pub fn concurrency(&self) -> usize {
-        self.concurrency.as_ref().map_or(0, Concurrency::limit)
+        self.concurrency.as_ref().map_or(0, ConcurrencyLimit::limit)
     }
 
     /// Takes over an engine whose streams are already being drained on behalf of a former lease holder.
@@ -102,7 +103,7 @@
     }
 
     /// Records the end of an update, with the time that the engine took to load the weights, or `None` if it failed.
-    pub fn ended(&mut self, id: &str, now: Instant, load: Option<Duration>) {
+    pub fn record_update_end(&mut self, id: &str, now: Instant, load: Option<Duration>) {
         let step = self.steps.remove(id);
         if let (Some(Step::Updating(since)), Some(load)) = (step, load) {
             self.update_duration = (self.update_duration * 3 + now.duration_since(since)) / 4;
@@ -113,8 +114,8 @@
     }
 
     /// Records that an update failed, and the reason.
-    pub fn failed(&mut self, id: &str, now: Instant, why: &str) {
-        self.ended(id, now, None);
+    pub fn record_update_failure(&mut self, id: &str, now: Instant, why: &str) {
+        self.record_update_end(id, now, None);
         self.errors.insert(id.to_owned(), why.to_owned());
     }
 
@@ -164,7 +165,8 @@
     }
 
     fn update_budget(&mut self, total: usize, outdated: &[OutdatedEngine]) -> UpdateBudget {
-        let concurrency = self.concurrency.get_or_insert_with(|| Concurrency::new(total)).limit();
+        let concurrency =
+            self.concurrency.get_or_insert_with(|| ConcurrencyLimit::new(total)).limit();
         let required = self.needed_concurrency(outdated.iter().map(|engine| engine.remaining));
         let share_of_engines = |share: f64| ((total as f64 * share).ceil() as usize).max(1);
         // Meeting the goal justifies updating more engines at the same time, but not to the point of overloading the
@@ -177,8 +179,8 @@
         } else {
             constants::ROLLOUT_MAX_SHARE
         };
-        // Don't go faster than the goal requires: cached prefixes are void under the new weights, and the more engines
-        // are updated at the same time, the more prefixes have to be recomputed at once.
+        // Don't go faster than the goal requires: cached prefixes are invalid under the new weights, and the more
+        // engines are updated at the same time, the more prefixes have to be recomputed at once.
         let baseline = concurrency.min(share_of_engines(constants::ROLLOUT_INITIAL_SHARE));
         let target_concurrency =
             baseline.max(required).max(desired).min(share_of_engines(max_share));
@@ -205,8 +207,9 @@
         let mut not_started: Vec<&OutdatedEngine> =
             outdated.iter().filter(|engine| !self.steps.contains_key(&engine.id)).collect();
         not_started.sort_by(|a, b| {
-            let rank =
-                |engine: &OutdatedEngine| (engine.remaining, engine.interactive_runs, engine.runs);
+            let rank = |engine: &OutdatedEngine| {
+                (engine.remaining, engine.interactive_in_flight, engine.in_flight)
+            };
             (rank(a), &a.id).cmp(&(rank(b), &b.id))
         });
         let same_deadline = |a: &&OutdatedEngine, b: &&OutdatedEngine| a.remaining == b.remaining;
@@ -249,10 +252,10 @@
         let timed_out =
             |since: &Instant| now.duration_since(*since) >= constants::STREAM_DRAIN_TIMEOUT;
         let mut drained: Vec<(Instant, &OutdatedEngine)> = draining
-            .filter(|(since, engine)| engine.interactive_runs == 0 || timed_out(since))
+            .filter(|(since, engine)| engine.interactive_in_flight == 0 || timed_out(since))
             .collect();
         drained.sort_by(|(since_a, a), (since_b, b)| {
-            let rank = |engine: &OutdatedEngine| (engine.remaining, engine.interactive_runs);
+            let rank = |engine: &OutdatedEngine| (engine.remaining, engine.interactive_in_flight);
             (rank(a), since_a, &a.id).cmp(&(rank(b), since_b, &b.id))
         });
         drained.into_iter().map(|(_, engine)| engine.id.clone()).collect()
--- a/crates/control-plane/src/rollout/status.rs
+++ b/crates/control-plane/src/rollout/status.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Rollouts of all models. The views declare their fields in alphabetical order, which is the order in which clients have
-/// always received them.
+/// Rollouts of all models. The views declare their fields in alphabetical order, which is the order in which clients
+/// have always received them.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct RolloutView {
     /// Whether this node holds the lease and so runs the rollouts.
@@ -102,13 +102,18 @@
 }
 
 /// Explains why an engine makes no progress; `None` if nothing is wrong with it.
-pub fn stuck(state: State, step: Option<(Step, Instant)>, error: Option<&str>) -> Option<String> {
+pub fn stall_reason(
+    state: State,
+    step: Option<(Step, Instant)>,
+    error: Option<&str>,
+) -> Option<String> {
     match (state, step) {
         (State::Ready, _) => None,
         (State::HeartbeatMissed, _) => Some("sends no heartbeats".to_owned()),
         (_, Some((Step::Updating(since), now))) => {
             let age = now.duration_since(since);
-            (age > constants::UPDATE_SLOW).then(|| format!("turns since {} ms", age.as_millis()))
+            (age > constants::UPDATE_STUCK_THRESHOLD)
+                .then(|| format!("turns since {} ms", age.as_millis()))
         }
         _ => error.map(|error| format!("last turn failed: {error}")),
     }
@@ -162,7 +167,7 @@
         id: engine.id.clone(),
         revision: version_of(engine, model),
         state,
-        stuck: stuck(state, step, plan.error(&engine.id)),
+        stuck: stall_reason(state, step, plan.error(&engine.id)),
         zone: engine.zone.clone(),
     }
 }
--- a/crates/control-plane/src/service/configuration.rs
+++ b/crates/control-plane/src/service/configuration.rs
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// 400 if the header is missing or not a number.
-pub fn base_of(header: Option<&str>) -> Result<u64, Rejection> {
+pub fn parse_base_version(header: Option<&str>) -> Result<u64, Rejection> {
     header
         .map(str::trim)
         .filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()))
@@ -43,19 +43,24 @@
     body: Bytes,
 ) -> Result<Replaced, Rejection> {
     require_contact(consensus)?;
-    let base = base_of(base_header)?;
+    let base_version = parse_base_version(base_header)?;
     let configuration =
-        Configuration::read(&body).map_err(|error| reject_invalid(consensus, &error))?;
-    let packed = fleet_core::packing::pack(&body);
-    let change = ReplaceConfig { base, version: configuration.revision, packed };
-    let changed = forward::submit(consensus, ChangeKind::Replace(change.clone())).await;
+        Configuration::parse(&body).map_err(|error| reject_invalid(consensus, &error))?;
+    let compressed = fleet_core::compression::compress(&body);
+    let change = ReplaceConfig {
+        base_version,
+        version: configuration.revision,
+        compressed_body: compressed,
+    };
+    let changed = forward::submit(consensus, ChangeKind::ReplaceConfig(change.clone())).await;
     match changed.outcome() {
-        Outcome::Done => Ok(Replaced { version: change.version }),
+        Outcome::Committed => Ok(Replaced { version: change.version }),
         Outcome::Stale => Err(reject_stale_base(&changed)),
-        Outcome::Invalid => {
-            Err(reject_invalid(consensus, &state_machine::error_of(&change, &changed)))
-        }
-        Outcome::Unproven => Err(reject_unproven(&changed)),
+        Outcome::Invalid => Err(reject_invalid(
+            consensus,
+            &state_machine::version_not_above_error(&change, &changed),
+        )),
+        Outcome::Undetermined => Err(reject_unproven(&changed)),
         Outcome::Unknown => {
             Err(Rejection::unavailable("unknown", "no majority in time: it may yet be in force"))
         }
--- a/crates/control-plane/src/service/membership/mod.rs
+++ b/crates/control-plane/src/service/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The operator's view of the control plane itself. Computed on request: no state is kept for it, and the voters' responses
-//! don't change this node's state.
+//! The operator's view of the control plane itself. Computed on request: no state is kept for it, and the voters'
+//! responses don't change this node's state.
 
 mod view;
 
@@ -45,7 +45,7 @@
         disk: disk_state(consensus),
         membership_epoch: membership.epoch,
         recovery_epoch,
-        tolerated_losses: process.settings().losses,
+        tolerated_losses: process.settings().tolerated_machine_losses,
         config: BallotView::of(highest),
         voters: membership.members.iter().map(voter).collect(),
         keys: key_views(&reports),
@@ -66,7 +66,7 @@
     membership: &Membership,
 ) -> BTreeMap<u64, BallotReport> {
     let calls = consensus.links_to(&membership.members).into_iter().map(
-        |MemberLink { member: id, link }| async move {
+        |MemberLink { member_id: id, link }| async move {
             let request =
                 Body::ReadBallots(ReadBallots { membership: membership.epoch, values: false });
             match link.call(request, constants::PHASE_TIMEOUT).await {
@@ -165,7 +165,7 @@
         acts: sources.leases.fencing_token(lease_name).is_some(),
         granted: granted.map(|grant| GrantView {
             node: grant.node,
-            remaining_ms: as_millis(grant.until - now),
+            remaining_ms: as_millis(grant.expires_at - now),
         }),
     })
 }
--- a/crates/control-plane/tests/cluster/resignation.rs
+++ b/crates/control-plane/tests/cluster/resignation.rs
@@ -9,7 +9,8 @@
 /// after an owner's last round during which voters elect no other owner.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Replaces the configuration with one request, without retries, and asserts that it succeeds within [`CHANGE_TIMEOUT`].
+/// Replaces the configuration with one request, without retries, and asserts that it succeeds within
+/// [`CHANGE_TIMEOUT`].
 async fn assert_replaced_in_time(cluster: &Cluster, node: usize, base: u64) {
     let (version, started_at) = (base + 1, Instant::now());
     let base = base.to_string();
@@ -61,8 +62,10 @@
         let cluster = owned_by_first(52).await;
         cluster.leave(1).await;
         assert_replaced_in_time(&cluster, node, 8).await;
-        let owner =
-            cluster.controller(2).consensus().with_acceptor(|acceptor| acceptor.owner("config"));
+        let owner = cluster
+            .controller(2)
+            .consensus()
+            .with_acceptor(|acceptor| acceptor.promised_node("config"));
         let former_owner = cluster.controller(1).node().id();
         assert!(owner.is_some_and(|id| id != former_owner), "{owner:?}");
     }
--- a/crates/control-plane/tests/harness/mod.rs
+++ b/crates/control-plane/tests/harness/mod.rs
@@ -6,7 +6,7 @@
 
 use control_plane::storage::RecordQueue;
 use control_plane::storage::format::State;
-use control_plane::storage::writer::Disk;
+use control_plane::storage::writer::DiskWriter;
 use control_plane::{Controller, Environment, RunningController};
 use disk::MemoryDisk;
 use fleet_core::link::Link;
@@ -147,7 +147,7 @@
     ) {
         let queue: Arc<dyn RecordQueue> = match &disk {
             Some(disk) => disk.clone(),
-            None => Arc::new(Disk::absent()),
+            None => Arc::new(DiskWriter::absent()),
         };
         let machine = Machine::new(node, self.network.clone(), self.trace.clone());
         self.last_seed += 1;
@@ -177,7 +177,7 @@
 
     /// Makes a node give up its leases and keys, up to the point at which the program would stop its tasks.
     pub async fn leave(&self, node: usize) {
-        self.nodes[&node].running.leave().await;
+        self.nodes[&node].running.shut_down().await;
     }
 
     /// Stops a node gracefully, as SIGTERM does.
@@ -226,7 +226,7 @@
         let node = Node::seeded(&settings(router, self.size), Role::Router, router as u64);
         let node_settings = settings(to, self.size);
         let peer_service = node_settings.peer_addr(node_settings.ip.into());
-        Link::keep_over(Arc::new(machine), &node, peer_service, pushed)
+        Link::maintain_over(Arc::new(machine), &node, peer_service, pushed)
     }
 
     /// Listens at an address that belongs to no controller.
--- a/crates/control-plane/tests/program/mod.rs
+++ b/crates/control-plane/tests/program/mod.rs
@@ -1,14 +1,14 @@
 //! Runs a controller as its program does, over TCP and with files, on this machine.
 
-use control_plane::engines::client::EngineClient;
-use fleet_core::program::Start;
+use control_plane::engines::client::HttpClient;
+use fleet_core::program::ProgramContext;
 use fleet_core::settings::Settings;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinHandle;
 
-/// Time-out of a call, generous for busy machines.
+/// Timeout of a call, generous for busy machines.
 const LIMIT: Duration = Duration::from_secs(20);
 
 fn free_port(ip: Ipv4Addr) -> u16 {
@@ -44,7 +44,13 @@
         let (reload, reloads) = mpsc::channel(1);
         let log = fleet_core::log::root(slog::Level::Error, "a", "controller");
         let task = tokio::spawn(async move {
-            let start = Start { settings, log, stop: stopped, reread: reloads, metrics: None };
+            let start = ProgramContext {
+                settings,
+                log,
+                stop: stopped,
+                reloaded_settings: reloads,
+                metrics: None,
+            };
             control_plane::run(start).await.unwrap();
         });
         let control = SocketAddr::new(ip.into(), control);
@@ -60,7 +66,7 @@
         body: &str,
     ) -> (u16, String) {
         loop {
-            let mut client = EngineClient::new(Ipv4Addr::LOCALHOST, self.control);
+            let mut client = HttpClient::new(Ipv4Addr::LOCALHOST, self.control);
             if client.open().await.is_err() {
                 assert!(!self.task.is_finished(), "the controller stopped");
                 tokio::task::yield_now().await;
--- a/crates/data-plane/src/fleet_view/config_fetch.rs
+++ b/crates/data-plane/src/fleet_view/config_fetch.rs
@@ -1,13 +1,13 @@
 //! Keeps the configuration up to date. At most one fetch is in progress at a time, and it requests the newest version.
 
-use super::routing_table::Table;
+use super::routing_table::RoutingTable;
 use crate::Router;
 use fleet_core::configuration::ConfigError;
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::{Link, LinkError};
 use fleet_core::log::Event;
-use fleet_core::wire::{Body, ConfigDelta, ConfigForm, ConfigRequest, ConfigResponse};
-use fleet_core::{constants, delta, packing};
+use fleet_core::wire::{Body, ConfigDelta, ConfigPayload, ConfigRequest, ConfigResponse};
+use fleet_core::{compression, constants, delta};
 use prost::Message;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     /// the controller returned no configuration newer than the one in force
     NotNewer,
     /// {0}
-    Packing(#[from] packing::UnpackError),
+    Decompress(#[from] compression::DecompressError),
     /// the configuration delta can't be decoded
     Undecodable,
     /// {0}
@@ -45,26 +45,28 @@
     pub body: bytes::Bytes,
 }
 
-/// Decodes the body in a response, applying a delta to `current`, and checks it against the digest that a majority of the
-/// controllers has confirmed.
+/// Decodes the body in a response, applying a delta to `current`, and checks it against the digest that a majority of
+/// the controllers has confirmed.
 ///
 /// # Errors
 ///
-/// The response has no body, or a delta where `current` is none; the body can't be unpacked; or the body doesn't match
-/// the digest.
+/// The response has no body, or a delta where `current` is none; the body can't be decompressed; or the body doesn't
+/// match the digest.
 pub fn rebuild(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
 ) -> Result<ConfigBody, FetchError> {
-    const MAX_BYTES: usize = constants::CONFIG_BYTES;
-    let body = match (&response.form, current) {
-        (Some(ConfigForm::Full(packed)), _) => packing::unpack(packed, MAX_BYTES)?,
-        (Some(ConfigForm::Delta(packed)), Some(current)) => {
-            let unpacked = packing::unpack(packed, MAX_BYTES)?;
-            let delta = ConfigDelta::decode(unpacked).map_err(|_| FetchError::Undecodable)?;
+    const MAX_BYTES: usize = constants::CONFIG_MAX_BYTES;
+    let body = match (&response.payload, current) {
+        (Some(ConfigPayload::Full(compressed)), _) => {
+            compression::decompress(compressed, MAX_BYTES)?
+        }
+        (Some(ConfigPayload::Delta(compressed)), Some(current)) => {
+            let decompressed = compression::decompress(compressed, MAX_BYTES)?;
+            let delta = ConfigDelta::decode(decompressed).map_err(|_| FetchError::Undecodable)?;
             delta::apply(&delta, &current.body, MAX_BYTES)?
         }
-        (Some(ConfigForm::Delta(_)), None) | (None, _) => return Err(FetchError::NotNewer),
+        (Some(ConfigPayload::Delta(_)), None) | (None, _) => return Err(FetchError::NotNewer),
     };
     let digest = BodyDigest::of(&body);
     if digest.as_bytes() != &response.digest[..] {
@@ -87,8 +89,8 @@
 }
 
 impl Fetcher {
-    /// Timeout of the next fetch. It is short at first, so that another controller is tried soon, and doubles with further
-    /// failures to allow for slow links.
+    /// Timeout of the next fetch. It is short at first, so that another controller is tried soon, and doubles with
+    /// further failures to allow for slow links.
     fn timeout(&self) -> Duration {
         let expects_full = self.current.is_none() || self.request_full;
         let first = if expects_full {
@@ -147,7 +149,7 @@
         self.request_full = compiled.is_err();
         let (current, routing_table) = compiled?;
         self.current = Some(current);
-        if router.fleet_view.set_table(routing_table) {
+        if router.fleet_view.set_routing_table(routing_table) {
             fleet_core::log_event!(router.log, Event::ConfigInForce, "version" => version,
                 "bytes" => bytes, "took_ms" => started_at.elapsed().as_millis() as u64);
         }
@@ -159,9 +161,9 @@
 fn decode_and_compile(
     response: &ConfigResponse,
     current: Option<&ConfigBody>,
-) -> Result<(ConfigBody, Table), FetchError> {
+) -> Result<(ConfigBody, RoutingTable), FetchError> {
     let current = rebuild(response, current)?;
-    let routing_table = Table::compile(&current.body, response.isolation)?;
+    let routing_table = RoutingTable::compile(&current.body, response.isolation)?;
     Ok((current, routing_table))
 }
 
--- a/crates/data-plane/src/fleet_view/endpoints.rs
+++ b/crates/data-plane/src/fleet_view/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::pool::EngineHandle;
 use fleet_core::constants;
 use fleet_core::wire::{Engine, EngineState};
-use prompt_index::{At, Index};
+use prompt_index::{Index, IndexLocation};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -13,7 +13,7 @@
     /// Handle of the engine, with its current load and health.
     pub engine: Arc<EngineHandle>,
     /// Position of the engine in the prompt index.
-    pub index_position: At,
+    pub index_location: IndexLocation,
     /// State that controllers had reported when the set was built.
     pub state: Engine,
     /// Whether the engine is in the router's zone.
@@ -36,18 +36,19 @@
 }
 
 impl Viewpoint<'_> {
-    /// Position of an engine in the router's preference order, from 0 to 1. Rendezvous hashing spreads the engines evenly
-    /// over the routers, and changes few positions when a router or an engine joins or leaves. Engines in the router's
-    /// zone are scaled towards 0.
+    /// Position of an engine in the router's preference order, from 0 to 1. Rendezvous hashing spreads the engines
+    /// evenly over the routers, and changes few positions when a router or an engine joins or leaves. Engines in the
+    /// router's zone are scaled towards 0.
     fn distance(&self, engine: &str, same_zone: bool) -> f64 {
         let hash = fleet_core::node::stable_hash(&[self.router.as_bytes(), engine.as_bytes()]);
         let uniform = hash as f64 / u64::MAX as f64;
-        if same_zone { uniform * constants::NEAR_DISTANCE } else { uniform }
+        if same_zone { uniform * constants::SAME_ZONE_DISTANCE_SCALE } else { uniform }
     }
 }
 
 impl Endpoint {
-    /// Rendezvous hash of a prompt part and this engine; the part is preferably routed to the engine with the highest rank.
+    /// Rendezvous hash of a prompt part and this engine; the part is preferably routed to the engine with the highest
+    /// rank.
     pub fn rank(&self, part: u64) -> u64 {
         let mixed = (self.rank ^ part).wrapping_mul(0xff51_afd7_ed55_8ccd);
         let mixed = (mixed ^ (mixed >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -56,12 +57,12 @@
 }
 
 /// Number of engines for prefill-heavy requests: [`constants::PREFILL_HEAVY_SHARE`] of them, or fewer if interactive
-/// requests need more than the rest, but at least [`constants::PREFILL_HEAVY_MIN_SHARE`]. `interactive` is the number of
-/// interactive requests in flight at all routers.
+/// requests need more than the rest, but at least [`constants::PREFILL_HEAVY_MIN_SHARE`]. `interactive` is the number
+/// of interactive requests in flight at all routers.
 pub fn prefill_heavy_count(engines: usize, slots: u32, interactive: f64) -> usize {
     let all = engines as f64;
     let interactive_engines =
-        (interactive / (f64::from(slots.max(1)) * constants::LIGHT_FILL)).ceil();
+        (interactive / (f64::from(slots.max(1)) * constants::INTERACTIVE_SLOT_UTILIZATION)).ceil();
     (all * constants::PREFILL_HEAVY_SHARE)
         .min(all - interactive_engines)
         .max(all * constants::PREFILL_HEAVY_MIN_SHARE)
@@ -76,8 +77,8 @@
 struct CacheKey {
     /// Number of updates of engines.
     engine_updates: u64,
-    /// Number of reassignments of positions in the prompt index.
-    index_moves: u64,
+    /// Number of reassignments of locations in the prompt index.
+    location_changes: u64,
 }
 
 /// The engines of one service.
@@ -101,7 +102,7 @@
         let mut endpoints: Vec<Endpoint> = engines
             .into_iter()
             .map(|(engine, state)| Endpoint {
-                index_position: index.admit(&engine.id),
+                index_location: index.admit(&engine.id),
                 same_zone: state.zone == viewpoint.zone,
                 prefill_heavy: false,
                 distance: viewpoint.distance(&engine.id, state.zone == viewpoint.zone),
@@ -112,14 +113,14 @@
             .collect();
         Self::assign_prefill_heavy(&mut endpoints, interactive);
         let cells =
-            endpoints.iter().map(|endpoint| endpoint.index_position.cell + 1).max().unwrap_or(0);
+            endpoints.iter().map(|endpoint| endpoint.index_location.cell + 1).max().unwrap_or(0);
         let mut endpoint_by_holder = vec![[NO_ENDPOINT; 256]; cells];
         for (i, endpoint) in endpoints.iter().enumerate() {
-            endpoint_by_holder[endpoint.index_position.cell]
-                [usize::from(endpoint.index_position.no.index)] = i as u16;
+            endpoint_by_holder[endpoint.index_location.cell]
+                [usize::from(endpoint.index_location.slot.index)] = i as u16;
         }
         EndpointSet {
-            key: CacheKey { engine_updates, index_moves: index.moves() },
+            key: CacheKey { engine_updates, location_changes: index.location_changes() },
             endpoints,
             endpoint_by_holder,
         }
@@ -171,16 +172,17 @@
         self.engine_updates.fetch_add(1, Ordering::Release);
     }
 
-    /// Records the number of interactive requests in flight at `engines` ready engines with `slots` slots each. The division
-    /// of the engines changes only once it is off by [`constants::DIVISION_STEP`] of them, and by at least one.
+    /// Records the number of interactive requests in flight at `engines` ready engines with `slots` slots each. The
+    /// division of the engines changes only once it is off by [`constants::PREFILL_HEAVY_HYSTERESIS`] of them, and by
+    /// at least one.
     pub fn record_interactive(&self, in_flight: u32, engines: usize, slots: u32) {
         let mut interactive = self.interactive.lock();
         interactive.smoothed +=
-            (f64::from(in_flight) - interactive.smoothed) * constants::DIVISION_WEIGHT;
+            (f64::from(in_flight) - interactive.smoothed) * constants::INTERACTIVE_SMOOTHING;
         let target_count = prefill_heavy_count(engines, slots, interactive.smoothed);
         let difference =
             target_count.abs_diff(prefill_heavy_count(engines, slots, interactive.applied));
-        if difference as f64 >= (engines as f64 * constants::DIVISION_STEP).max(1.0) {
+        if difference as f64 >= (engines as f64 * constants::PREFILL_HEAVY_HYSTERESIS).max(1.0) {
             interactive.applied = interactive.smoothed;
             drop(interactive);
             self.invalidate();
@@ -197,7 +199,7 @@
     ) -> Arc<EndpointSet> {
         let key = CacheKey {
             engine_updates: self.engine_updates.load(Ordering::Acquire),
-            index_moves: index.moves(),
+            location_changes: index.location_changes(),
         };
         if let Some(endpoint_set) =
             self.cached.lock().get(service).filter(|endpoint_set| endpoint_set.key == key)
--- a/crates/data-plane/src/fleet_view/invalidations.rs
+++ b/crates/data-plane/src/fleet_view/invalidations.rs
@@ -1,5 +1,5 @@
-//! Keeps the prompt index valid: fetches entries of the invalidation ring in the background, and applies them before the
-//! index is next used.
+//! Keeps the prompt index valid: fetches entries of the invalidation ring in the background, and applies them before
+//! the index is next used.
 
 use super::FleetView;
 use crate::Router;
@@ -8,7 +8,7 @@
 use fleet_core::log::Event;
 use fleet_core::wire::{Body, CachedParts, CachedPrefixes};
 use invalidation::cache::Cache;
-pub use invalidation::reader::{RingPosition, ViewUpdate, step};
+pub use invalidation::reader::{RingPosition, ViewUpdate, apply_response};
 use prompt_index::Index;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,24 +18,24 @@
 struct IndexCache<'a>(&'a Index);
 
 impl Cache for IndexCache<'_> {
-    fn meet(&mut self, holder: &str) {
+    fn add_holder(&mut self, holder: &str) {
         self.0.admit(holder);
     }
 
-    fn found(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>) {
-        self.0.registered(holder, salt, part, cached_tokens);
+    fn register_part(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: Option<u64>) {
+        self.0.register_part(holder, salt, part, cached_tokens);
     }
 
-    fn evict(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64) {
-        self.0.evicted(holder, salt, part, cached_tokens);
+    fn evict_part(&mut self, holder: &str, salt: &str, part: u64, cached_tokens: u64) {
+        self.0.evict_part(holder, salt, part, cached_tokens);
     }
 
-    fn drop_holder(&mut self, holder: &str) {
+    fn remove_holder(&mut self, holder: &str) {
         self.0.remove(holder);
     }
 
-    fn drop_salts(&mut self, void: &dyn Fn(&str) -> bool) {
-        self.0.void(void);
+    fn remove_salts(&mut self, is_invalid: &dyn Fn(&str) -> bool) {
+        self.0.invalidate_salts(is_invalid);
     }
 
     fn reset(&mut self) {
@@ -69,7 +69,7 @@
     }
 
     /// Queues an update, which is applied before the index is next used.
-    pub fn put(&self, update: ViewUpdate) {
+    pub fn queue_update(&self, update: ViewUpdate) {
         self.pending_updates.lock().push(update);
         self.has_pending.store(true, Ordering::Release);
     }
@@ -86,19 +86,19 @@
         &self.index
     }
 
-    /// Records that a dispatch of this router has left a prompt in the cache of a holder. Shared parts that the index didn't
-    /// list there are queued to be reported.
-    pub fn sent(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
+    /// Records that a dispatch of this router has left a prompt in the cache of a holder. Shared parts that the index
+    /// didn't list there are queued to be reported.
+    pub fn record_dispatch(&self, holder: &str, salt: &str, parts: &[(u64, u64)]) {
         let index = self.current_index();
-        let position = index.admit(holder);
-        let Some(cell) = index.cell(position.cell) else { return };
+        let location = index.admit(holder);
+        let Some(cell) = index.cell(location.cell) else { return };
         let shared = &parts[..parts.len().saturating_sub(1)];
         let chain = index.chain(salt, parts.iter().copied());
-        index.learn(salt, &chain);
-        let holder_only = prompt_index::HolderBitmap::one(position.no.index);
-        let depth = cell.query(&chain, &holder_only).of(position.no.index);
+        index.insert_chain(salt, &chain);
+        let holder_only = prompt_index::HolderBitmap::single(location.slot.index);
+        let depth = cell.query(&chain, &holder_only).depth_of(location.slot.index);
         for (part, _) in &parts[depth.min(parts.len())..] {
-            index.registered(holder, salt, *part, None);
+            index.register_part(holder, salt, *part, None);
         }
         if depth < shared.len() {
             self.queue_finding(holder, salt, &shared[depth..]);
@@ -120,12 +120,12 @@
         unreported.push(finding.clone());
         let mut recent_findings = self.recent_findings.lock();
         recent_findings.push_back(finding);
-        if recent_findings.len() > constants::REPEATED_FINDINGS_CAPACITY {
+        if recent_findings.len() > constants::RECENT_FINDINGS_CAPACITY {
             recent_findings.pop_front();
         }
     }
 
-    /// The most recent findings of this router, at most [`constants::REPEATED_FINDINGS_CAPACITY`], oldest first.
+    /// The most recent findings of this router, at most [`constants::RECENT_FINDINGS_CAPACITY`], oldest first.
     pub fn recent_findings(&self) -> Vec<CachedParts> {
         self.recent_findings.lock().iter().cloned().collect()
     }
@@ -159,10 +159,10 @@
     }
 }
 
-/// Removes the entries of removed holders from the index, [`constants::SCRUB_ENTRIES`] at a time.
+/// Removes the entries of removed holders from the index, [`constants::SCRUB_BATCH`] at a time.
 pub async fn run_index_scrubber(router: Arc<Router>) {
     loop {
-        let done = router.fleet_view.prefix_view.index.scrub(constants::SCRUB_ENTRIES);
+        let done = router.fleet_view.prefix_view.index.scrub(constants::SCRUB_BATCH);
         tokio::time::sleep(if done {
             constants::ROUTER_HEARTBEAT_INTERVAL
         } else {
@@ -227,18 +227,22 @@
 /// Fetches once, and queues the entries to be applied.
 async fn fetch(router: &Router, link: &Link, position: &mut RingPosition) -> Fetch {
     let request = position.request(router.node.incarnation);
-    let timeout = if request.refill { constants::REFILL_TIMEOUT } else { constants::PHASE_TIMEOUT };
+    let timeout = if request.request_snapshot {
+        constants::SNAPSHOT_TIMEOUT
+    } else {
+        constants::PHASE_TIMEOUT
+    };
     let Ok(Body::RingResponse(response)) = link.call(Body::RingRequest(request), timeout).await
     else {
         return Fetch::NoAnswer;
     };
     let head = response.head.as_ref().map_or(0, |head| head.head);
-    let Some((next, update)) = step(*position, response) else { return Fetch::Done };
+    let Some((next, update)) = apply_response(*position, response) else { return Fetch::Done };
     *position = next;
     let Some(update) = update else { return Fetch::Done };
     if update.reset {
         fleet_core::log_event!(router.log, Event::ReaderReset, "cursor" => position.cursor());
     }
-    router.fleet_view.prefix_view.put(update);
+    router.fleet_view.prefix_view.queue_update(update);
     if position.cursor() < head { Fetch::More } else { Fetch::Done }
 }
--- a/crates/data-plane/src/fleet_view/links.rs
+++ b/crates/data-plane/src/fleet_view/links.rs
@@ -42,8 +42,8 @@
     settings.seeds.iter().filter_map(ipv4).collect()
 }
 
-/// The controller of this machine, if there is one. It is linked even if it is not a member, because at shutdown it waits
-/// for this router only if the two are linked.
+/// The controller of this machine, if there is one. It is linked even if it is not a member, because at shutdown it
+/// waits for this router only if the two are linked.
 fn local_controller(settings: &Settings) -> Option<Ipv4Addr> {
     settings.counted.then_some(settings.ip)
 }
@@ -68,18 +68,18 @@
     }
 }
 
-/// Opens a link to the controller at an address. A task applies the updates that arrive on it, and ends when the link is
-/// dropped.
+/// Opens a link to the controller at an address. A task applies the updates that arrive on it, and ends when the link
+/// is dropped.
 fn open_link(router: &Arc<Router>, ip: Ipv4Addr) -> Arc<Link> {
-    let (update_sender, updates) = mpsc::channel(constants::LINK_BACKLOG);
+    let (update_sender, updates) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
     let address = router.settings().peer_addr(ip.into());
-    let link = Link::keep(&router.node, address, Some(update_sender));
+    let link = Link::maintain(&router.node, address, Some(update_sender));
     tokio::spawn(receive_updates(router.clone(), ip, Arc::downgrade(&link), updates));
     link
 }
 
-/// Sends a heartbeat to all controllers. Each is sent by a separate task with a timeout, so that a controller that doesn't
-/// respond delays no other.
+/// Sends a heartbeat to all controllers. Each is sent by a separate task with a timeout, so that a controller that
+/// doesn't respond delays no other.
 fn send_heartbeats(router: &Router) {
     let heartbeat = RouterHeartbeat {
         version: router.fleet_view.routing_table().map_or(0, |table| table.version),
@@ -175,7 +175,7 @@
     match body {
         Body::FleetUpdate(update) => {
             log_new_targets(&router.log, &router.fleet_view, &update);
-            router.fleet_view.apply(&update);
+            router.fleet_view.apply_update(&update);
         }
         Body::LoadReport(loads) => router.fleet_view.update_loads(&loads),
         _ => {}
--- a/crates/data-plane/src/fleet_view/mod.rs
+++ b/crates/data-plane/src/fleet_view/mod.rs
@@ -1,8 +1,8 @@
 //! The router's view of the fleet, from updates of controllers and from its own requests.
 //!
-//! Within an incarnation of the process no state is replaced by an older one: versions, epochs and tokens only increase,
-//! and updates of an engine are ordered by their call number. Updates may therefore come from several controllers, late
-//! and repeatedly.
+//! Within an incarnation of the process no state is replaced by an older one: versions, epochs and tokens only
+//! increase, and updates of an engine are ordered by their call number. Updates may therefore come from several
+//! controllers, late and repeatedly.
 //!
 //! | module | purpose |
 //! |---|---|
@@ -41,9 +41,10 @@
 /// The target versions of each model's weights, by model. Requests hold references to them.
 type Targets = hashbrown::HashMap<String, Arc<TargetVersions>, ahash::RandomState>;
 
-/// State of the fleet, as controllers report it and as this router observes it. No part of it reverts to an older state.
+/// State of the fleet, as controllers report it and as this router observes it. No part of it reverts to an older
+/// state.
 pub struct FleetView {
-    routing_table: parking_lot::RwLock<Option<Arc<routing_table::Table>>>,
+    routing_table: parking_lot::RwLock<Option<Arc<routing_table::RoutingTable>>>,
     /// The highest configuration version that a controller announced.
     announced_config: tokio::sync::watch::Sender<u64>,
     /// All known engines.
@@ -83,12 +84,13 @@
     }
 
     /// The compiled configuration in force; none before the first one was fetched.
-    pub fn routing_table(&self) -> Option<Arc<routing_table::Table>> {
+    pub fn routing_table(&self) -> Option<Arc<routing_table::RoutingTable>> {
         self.routing_table.read().clone()
     }
 
-    /// Puts a configuration in force. Returns false, and changes nothing, if the same version or a newer one already is.
-    pub fn set_table(&self, newer: routing_table::Table) -> bool {
+    /// Puts a configuration in force. Returns false, and changes nothing, if the same version or a newer one already
+    /// is.
+    pub fn set_routing_table(&self, newer: routing_table::RoutingTable) -> bool {
         let mut current = self.routing_table.write();
         if current.as_ref().is_some_and(|routing_table| routing_table.version >= newer.version) {
             return false;
@@ -121,8 +123,8 @@
         targets.iter().map(|(model, targets)| (model.clone(), targets.clone())).collect()
     }
 
-    /// Records the loss of a controller. It may delay the rollout, so all version bounds are counted from this time at the
-    /// earliest.
+    /// Records the loss of a controller. It may delay the rollout, so all version bounds are counted from this time at
+    /// the earliest.
     pub fn record_controller_loss(&self, at: Instant) {
         let mut controller_lost_at = self.controller_lost_at.lock();
         *controller_lost_at = controller_lost_at.map_or(Some(at), |before| Some(before.max(at)));
@@ -149,7 +151,7 @@
 
     /// Number of frames and responses of controllers that were rejected, summed over the current links.
     pub fn links_rejected(&self) -> u64 {
-        self.links.lock().values().map(|link| link.rejected()).sum()
+        self.links.lock().values().map(|link| link.rejected_count()).sum()
     }
 
     fn update_engine(&self, update: &Engine) {
@@ -183,8 +185,8 @@
     }
 
     /// Records the version of a model's weights that a response of an engine reported.
-    pub fn saw_weights(&self, engine: &EngineHandle, model: &str, version: u64) {
-        if engine.saw_weights(model, version) {
+    pub fn record_weights(&self, engine: &EngineHandle, model: &str, version: u64) {
+        if engine.record_weights(model, version) {
             self.endpoints.invalidate();
         }
     }
@@ -195,7 +197,7 @@
             .unwrap_or_else(Instant::now);
         let mut targets_by_model = self.targets.write();
         let targets = targets_by_model.entry_ref(update.model.as_str()).or_default();
-        Arc::make_mut(targets).learn(update.version, since);
+        Arc::make_mut(targets).record(update.version, since);
     }
 
     /// Watches the highest configuration version that a controller announced; 0 before the first.
@@ -204,14 +206,14 @@
     }
 
     /// The links to controllers that are up, ordered by address. Links without a response within
-    /// [`constants::CONTROLLER_FRESH`] are left out unless there are no others.
+    /// [`constants::CONTROLLER_RESPONSE_TIMEOUT`] are left out unless there are no others.
     pub fn links_up(&self) -> Vec<Arc<fleet_core::link::Link>> {
         let links = self.links.lock();
         let mut up: Vec<_> = links.iter().filter(|(_, link)| link.is_up()).collect();
         up.sort_unstable_by_key(|(ip, _)| **ip);
         let is_responsive = |link: &fleet_core::link::Link| {
             link.time_since_received()
-                .is_some_and(|idle_time| idle_time < constants::CONTROLLER_FRESH)
+                .is_some_and(|idle_time| idle_time < constants::CONTROLLER_RESPONSE_TIMEOUT)
         };
         if up.iter().any(|(_, link)| is_responsive(link)) {
             up.retain(|(_, link)| is_responsive(link));
@@ -220,7 +222,7 @@
     }
 
     /// Applies an update from a controller.
-    pub fn apply(&self, update: &FleetUpdate) {
+    pub fn apply_update(&self, update: &FleetUpdate) {
         for engine in &update.engines {
             self.update_engine(engine);
         }
@@ -239,7 +241,7 @@
         if update.routers > 0 {
             self.routers.store(update.routers as usize, Ordering::Relaxed);
         }
-        if update.ring.is_some() || update.ring_relay.is_some() || update.nudge {
+        if update.ring.is_some() || update.ring_relay.is_some() || update.catch_up {
             self.ring_changed.notify_one();
         }
         self.announced_config.send_if_modified(|announced| {
--- a/crates/data-plane/src/fleet_view/routing_table.rs
+++ b/crates/data-plane/src/fleet_view/routing_table.rs
@@ -1,6 +1,6 @@
 //! Compiles a configuration into a form that is fast to look up for each request.
 
-use fleet_core::configuration::{ConfigError, Configuration, Kind, Limits, Route, Service};
+use fleet_core::configuration::{ConfigError, Configuration, Limits, Route, RouteKind, Service};
 use std::sync::Arc;
 
 /// A tenant of the configuration.
@@ -14,7 +14,7 @@
 }
 
 /// One configuration, compiled for lookups by host, API key and service name.
-pub struct Table {
+pub struct RoutingTable {
     /// Version of the configuration.
     pub version: u64,
     /// Generation of the isolation key that non-isolated tenants share.
@@ -34,23 +34,23 @@
 
 /// How often a request may be executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryMode {
     /// Up to the maximum number of attempts of the route.
-    Freely,
+    Unrestricted,
     /// More than once only by resuming after the last event that the client has received.
-    ByResuming,
+    ResumeOnly,
     /// At most once.
     Never,
 }
 
-impl Table {
+impl RoutingTable {
     /// Parses, validates and compiles a configuration.
     ///
     /// # Errors
     ///
     /// The body can't be parsed, or the configuration is invalid.
-    pub fn compile(body: &[u8], isolation: u64) -> Result<Table, ConfigError> {
-        let configuration = Configuration::read(body)?;
+    pub fn compile(body: &[u8], isolation: u64) -> Result<RoutingTable, ConfigError> {
+        let configuration = Configuration::parse(body)?;
         let mut routes: hashbrown::HashMap<String, Vec<Arc<Route>>, ahash::RandomState> =
             hashbrown::HashMap::default();
         for route in configuration.routes {
@@ -59,7 +59,7 @@
         let mut least_urgent: hashbrown::HashMap<String, (i64, u64), ahash::RandomState> =
             hashbrown::HashMap::default();
         for route in routes.values().flatten() {
-            for (service, _) in route.shares() {
+            for (service, _) in route.weighted_services() {
                 let urgency =
                     least_urgent.entry_ref(service).or_insert((route.priority, route.target_ms));
                 *urgency = (*urgency).max((route.priority, route.target_ms));
@@ -89,7 +89,7 @@
             .into_iter()
             .map(|service| (service.name.clone(), service))
             .collect();
-        Ok(Table {
+        Ok(RoutingTable {
             version: configuration.revision,
             isolation,
             limits: configuration.limits,
@@ -123,11 +123,11 @@
         self.tenants.get(*self.tenant_by_key.get(key)?)
     }
 
-    /// Whether a user waits for the response: the route is more urgent, by priority and target latency, than the least urgent
-    /// route of its services.
+    /// Whether a user waits for the response: the route is more urgent, by priority and target latency, than the least
+    /// urgent route of its services.
     pub fn is_interactive(&self, route: &Route) -> bool {
         let least_urgent = route
-            .shares()
+            .weighted_services()
             .into_iter()
             .filter_map(|(service, _)| self.least_urgent.get(service))
             .max();
@@ -144,13 +144,13 @@
         &self.stores
     }
 
-    /// Selects a service of a route by weight, with `random` drawn uniformly from all values of `u64`; none if all weights
-    /// are 0.
-    pub fn pick<'a>(&self, route: &'a Route, random: u64) -> Option<&'a str> {
-        let shares = route.shares();
-        let total: u64 = shares.iter().map(|(_, weight)| u64::from(*weight)).sum();
+    /// Selects a service of a route by weight, with `random` drawn uniformly from all values of `u64`; none if all
+    /// weights are 0.
+    pub fn pick_service<'a>(&self, route: &'a Route, random: u64) -> Option<&'a str> {
+        let weighted_services = route.weighted_services();
+        let total: u64 = weighted_services.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut remaining = random.checked_rem(total)?;
-        for (service, weight) in shares {
+        for (service, weight) in weighted_services {
             if remaining < u64::from(weight) {
                 return Some(service);
             }
@@ -161,11 +161,11 @@
 }
 
 /// How often a request of this route may be executed.
-pub fn repeat(route: &Route) -> Repeat {
+pub fn retry_mode(route: &Route) -> RetryMode {
     match route.kind {
-        Kind::Safe => Repeat::Freely,
-        Kind::Streaming if route.resumable => Repeat::ByResuming,
-        Kind::Streaming | Kind::Unsafe => Repeat::Never,
+        RouteKind::Safe => RetryMode::Unrestricted,
+        RouteKind::Streaming if route.resumable => RetryMode::ResumeOnly,
+        RouteKind::Streaming | RouteKind::Unsafe => RetryMode::Never,
     }
 }
 
--- a/crates/data-plane/src/load_balancer/kv_transfer.rs
+++ b/crates/data-plane/src/load_balancer/kv_transfer.rs
@@ -62,7 +62,7 @@
 }
 
 impl Sources {
-    /// Adds the holders found in one cell of the index, at most [`constants::SOURCES_WEIGHED`] engines per depth.
+    /// Adds the holders found in one cell of the index, at most [`constants::MAX_SOURCES_PER_DEPTH`] engines per depth.
     pub fn add_cell(
         &mut self,
         context: &SelectionContext,
@@ -89,9 +89,9 @@
 
     fn add_stores(&mut self, request: &RequestProfile, cell: usize, hits: &Depths, chain: &Chain) {
         for (rank, store) in
-            request.stores.iter().enumerate().filter(|(_, store)| store.index_position.cell == cell)
+            request.stores.iter().enumerate().filter(|(_, store)| store.index_location.cell == cell)
         {
-            let tokens = chain.tokens(hits.of(store.index_position.no.index));
+            let tokens = chain.tokens(hits.depth_of(store.index_location.slot.index));
             if rank == 0 {
                 self.stored_tokens = tokens;
             }
@@ -109,29 +109,30 @@
         }
     }
 
-    /// Adds the holders of one depth that have the fewest transfers in progress; among equals, those in this router's zone
-    /// come first.
+    /// Adds the holders of one depth that have the fewest transfers in progress; among equals, those in this router's
+    /// zone come first.
     fn add_engines(
         &mut self,
         request: &RequestProfile,
         mut endpoints: SmallVec<[&Endpoint; 16]>,
         tokens: u64,
     ) {
-        endpoints.sort_by_key(|endpoint| (endpoint.engine.work().transfers, !endpoint.same_zone));
-        for endpoint in endpoints.into_iter().take(constants::SOURCES_WEIGHED) {
+        endpoints
+            .sort_by_key(|endpoint| (endpoint.engine.activity().transfers, !endpoint.same_zone));
+        for endpoint in endpoints.into_iter().take(constants::MAX_SOURCES_PER_DEPTH) {
             self.sources.push(Source {
                 address: endpoint.engine.address.to_string(),
                 engine: Some(endpoint.engine.clone()),
                 zone: endpoint.state.zone.clone(),
                 mbps: request.link_mbps,
                 tokens,
-                transfers: endpoint.engine.work().transfers,
+                transfers: endpoint.engine.activity().transfers,
             });
         }
     }
 
-    /// The holder of the longest prefix other than the engine itself, in case the engine has evicted blocks that the index
-    /// still lists.
+    /// The holder of the longest prefix other than the engine itself, in case the engine has evicted blocks that the
+    /// index still lists.
     pub fn alternative(&self, endpoint: &Endpoint) -> Option<&Source> {
         self.sources
             .iter()
@@ -192,7 +193,7 @@
     let shared = request.prompt.shared();
     let unshared = request.prompt.tokens().saturating_sub(shared) as f64;
     let store = request.stores.first()?;
-    let is_worthwhile =
-        shared >= constants::SINK_TOKENS && unshared <= shared as f64 * constants::SINK_OWN_SHARE;
+    let is_worthwhile = shared >= constants::STORE_MIN_SHARED_TOKENS
+        && unshared <= shared as f64 * constants::STORE_MAX_UNSHARED_RATIO;
     (is_worthwhile && sources.stored_tokens < shared).then(|| store.address.to_owned())
 }
--- a/crates/data-plane/src/runtime.rs
+++ b/crates/data-plane/src/runtime.rs
@@ -1,10 +1,10 @@
-//! Start-up, main loop and shutdown of a router.
+//! Startup, main loop and shutdown of a router.
 
 use crate::shutdown::Phase;
 use crate::{Router, fleet_view, pool, proxy};
 use fleet_core::constants;
 use fleet_core::log::Event;
-use fleet_core::program::Start;
+use fleet_core::program::ProgramContext;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use tokio::time::Instant;
@@ -23,10 +23,11 @@
 /// # Errors
 ///
 /// A required setting is missing, or a listening address cannot be bound. No task has been started then.
-pub async fn run(start: Start) -> Result<(), RouterError> {
-    let Start { settings, log, mut stop, mut reread, metrics } = start;
-    let front = settings.front.ok_or(RouterError::SettingMissing("bindAddrs.frontHttp"))?;
-    let probe = settings.readiness.ok_or(RouterError::SettingMissing("bindAddrs.readiness"))?;
+pub async fn run(start: ProgramContext) -> Result<(), RouterError> {
+    let ProgramContext { settings, log, mut stop, mut reloaded_settings, metrics } = start;
+    let front = settings.front_addr.ok_or(RouterError::SettingMissing("bindAddrs.frontHttp"))?;
+    let probe =
+        settings.readiness_addr.ok_or(RouterError::SettingMissing("bindAddrs.readiness"))?;
     let listen = |address| {
         fleet_core::link::listen(address)
             .map_err(|e: std::io::Error| RouterError::Listen(address, e.kind()))
@@ -53,7 +54,7 @@
     loop {
         tokio::select! {
             _ = stop.wait_for(|stopped| *stopped) => break,
-            Some(new_settings) = reread.recv() => *router.settings.write() = Arc::new(new_settings),
+            Some(new_settings) = reloaded_settings.recv() => *router.settings.write() = Arc::new(new_settings),
             _ = counters_timer.tick() => router.log_counters(),
         }
     }
@@ -76,9 +77,9 @@
     let started_at = Instant::now();
     let grace = router.settings().bounds.grace;
     let exit_deadline = started_at + grace.saturating_sub(constants::GRACE_MARGIN);
-    let terminating_at = started_at + grace.saturating_sub(constants::ANSWERS_DUE_MARGIN);
+    let terminating_at = started_at + grace.saturating_sub(constants::SHUTDOWN_RESPONSE_MARGIN);
     router.shutdown.begin(exit_deadline);
-    tokio::time::sleep_until(terminating_at.min(started_at + constants::PROBES_MISSED)).await;
+    tokio::time::sleep_until(terminating_at.min(started_at + constants::PROBE_FAILURE_DELAY)).await;
     client_listener.abort();
     router.shutdown.advance(Phase::Closing);
     wait_for_connections(router, terminating_at).await;
--- a/crates/data-plane/tests/config_fetch.rs
+++ b/crates/data-plane/tests/config_fetch.rs
@@ -2,11 +2,11 @@
 
 use data_plane::Router;
 use data_plane::fleet_view::{config_fetch, links};
+use fleet_core::compression;
 use fleet_core::digest::BodyDigest;
 use fleet_core::link::{LinkError, Peer};
-use fleet_core::packing;
 use fleet_core::wire::{
-    Body, ConfigForm, ConfigRequest, ConfigResponse, Empty, FleetUpdate, Member, Membership,
+    Body, ConfigPayload, ConfigRequest, ConfigResponse, Empty, FleetUpdate, Member, Membership,
 };
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -74,7 +74,7 @@
         let router = Router::assemble(settings, slog::Logger::root(slog::Discard, slog::o!()));
         let members = ips.map(|ip| Member { ip: ip.to_string(), ..Default::default() }).into();
         let membership = Some(Membership { epoch: 1, members });
-        router.fleet_view.apply(&FleetUpdate { membership, ..Default::default() });
+        router.fleet_view.apply_update(&FleetUpdate { membership, ..Default::default() });
         tokio::spawn(links::run_link_maintenance(router.clone()));
         tokio::spawn(config_fetch::run_config_fetch(router.clone()));
         let mut peers = Vec::new();
@@ -120,8 +120,8 @@
 }
 
 fn full(version: u64) -> ConfigResponse {
-    let form = Some(ConfigForm::Full(packing::pack(body(version).as_bytes())));
-    ConfigResponse { version, isolation: 1, digest: digest(version), form }
+    let payload = Some(ConfigPayload::Full(compression::compress(body(version).as_bytes())));
+    ConfigResponse { version, isolation: 1, digest: digest(version), payload }
 }
 
 fn respond(pending: PendingRequest, response: ConfigResponse) {
--- a/crates/fleet-core/src/fleet.rs
+++ b/crates/fleet-core/src/fleet.rs
@@ -4,28 +4,28 @@
 
 /// Merges an update into the known state; returns false if nothing but the call number changed. An update from a
 /// later call replaces the known state. From an earlier call, only monotonic fields are merged: versions, states of
-/// the roll-out, and deregistration.
+/// the rollout, and deregistration.
 pub fn merge(known: &mut Engine, update: &Engine) -> bool {
     let before = known.clone();
-    if update.call > known.call {
+    if update.call_seq > known.call_seq {
         *known = update.clone();
         merge_monotonic_fields(known, &before);
     } else {
-        if update.call == known.call {
+        if update.call_seq == known.call_seq {
             known.heartbeat_missed = update.heartbeat_missed;
         }
         merge_monotonic_fields(known, update);
     }
-    let call = std::mem::replace(&mut known.call, before.call);
+    let call_seq = std::mem::replace(&mut known.call_seq, before.call_seq);
     let changed = *known != before;
-    known.call = call;
+    known.call_seq = call_seq;
     changed
 }
 
 /// Merges the monotonic fields of `other`, whichever of the two is newer.
 fn merge_monotonic_fields(engine: &mut Engine, other: &Engine) {
     for weights in &other.weights {
-        raise(engine, &weights.model, weights.version);
+        raise_version(engine, &weights.model, weights.version);
     }
     engine.update_seq = engine.update_seq.max(other.update_seq);
     engine.drain_seq = engine.drain_seq.max(other.drain_seq);
@@ -36,7 +36,7 @@
 
 /// Raises the version of a model on an engine instance; returns false if it has that version or a later one. Versions
 /// of one instance never decrease.
-pub fn raise(engine: &mut Engine, model: &str, version: u64) -> bool {
+pub fn raise_version(engine: &mut Engine, model: &str, version: u64) -> bool {
     match engine.weights.iter_mut().find(|weights| weights.model == model) {
         Some(weights) if weights.version >= version => false,
         Some(weights) => {
@@ -44,7 +44,7 @@
             true
         }
         None => {
-            engine.weights.push(crate::wire::Weights { model: model.to_owned(), version });
+            engine.weights.push(crate::wire::WeightsVersion { model: model.to_owned(), version });
             true
         }
     }
--- a/crates/fleet-core/src/link/client.rs
+++ b/crates/fleet-core/src/link/client.rs
@@ -67,16 +67,16 @@
 
 impl Link {
     /// Maintains a link over TCP until it is dropped; messages pushed by the remote side are sent to `pushed`.
-    pub fn keep(
+    pub fn maintain(
         node: &Node,
         remote_addr: SocketAddr,
         pushed: Option<mpsc::Sender<Body>>,
     ) -> Arc<Link> {
-        Self::keep_over(Tcp::shared(), node, remote_addr, pushed)
+        Self::maintain_over(Tcp::shared(), node, remote_addr, pushed)
     }
 
-    /// Like [`Link::keep`], over any transport.
-    pub fn keep_over(
+    /// Like [`Link::maintain`], over any transport.
+    pub fn maintain_over(
         transport: Arc<dyn Transport>,
         node: &Node,
         remote_addr: SocketAddr,
@@ -125,7 +125,7 @@
         pushed: Option<&mpsc::Sender<Body>>,
     ) {
         let (reader, writer) = stream.into_halves();
-        let (frames, outgoing) = mpsc::channel(constants::LINK_BACKLOG);
+        let (frames, outgoing) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
         let pending = PendingCalls::default();
         let writer = Writer::start(writer, outgoing);
         let first = Frame { call: NO_CALL, answer: false, body: Some(Body::Handshake(handshake)) };
@@ -195,7 +195,7 @@
     }
 
     /// Number of frames and answers of the remote side that were rejected.
-    pub fn rejected(&self) -> u64 {
+    pub fn rejected_count(&self) -> u64 {
         self.rejected.load(Ordering::Relaxed)
     }
 
@@ -216,7 +216,7 @@
         connected.frames.try_send(frame).map_err(|_| LinkError::NotConnected)
     }
 
-    /// Sends a call and waits for its answer, at most until the time-out `limit`.
+    /// Sends a call and waits for its answer, at most until the timeout `limit`.
     ///
     /// # Errors
     ///
--- a/crates/fleet-core/src/link/peer.rs
+++ b/crates/fleet-core/src/link/peer.rs
@@ -78,7 +78,7 @@
     let mut reader = frame::buffered(reader);
     let first = tokio::time::timeout(constants::TCP_USER_TIMEOUT, read_frame(&mut reader)).await;
     let Ok(Ok(Frame { body: Some(Body::Handshake(handshake)), .. })) = first else { return };
-    let (frames, outgoing) = mpsc::channel(constants::LINK_BACKLOG);
+    let (frames, outgoing) = mpsc::channel(constants::LINK_QUEUE_FRAMES);
     let writer = Writer::start(writer, outgoing);
     let peer = Peer { handshake: Arc::new(handshake), frames };
     handler.connected(&peer);
@@ -124,7 +124,7 @@
         return;
     }
     match frame::response(call, body) {
-        // An answer that cannot be queued is lost with its connection; the caller's time-out covers this.
+        // An answer that cannot be queued is lost with its connection; the caller's timeout covers this.
         Ok(frame) => drop(peer.frames.try_send(frame)),
         Err(error) => handler.message_rejected(&error),
     }
--- a/crates/fleet-core/src/link/tests.rs
+++ b/crates/fleet-core/src/link/tests.rs
@@ -60,7 +60,7 @@
 /// A link and the remote ends of its connections.
 fn link() -> (Arc<Link>, mpsc::UnboundedReceiver<DuplexStream>) {
     let (remote_sender, remote_ends) = mpsc::unbounded_channel();
-    let link = Link::keep_over(
+    let link = Link::maintain_over(
         Arc::new(InMemoryTransport(remote_sender)),
         &node(),
         "10.0.0.2:1".parse().unwrap(),
@@ -127,7 +127,7 @@
     assert_eq!(next.await.unwrap(), Ok(register_response(true)));
 }
 
-/// A caller is notified immediately when its connection breaks, before its time-out.
+/// A caller is notified immediately when its connection breaks, before its timeout.
 #[tokio::test(start_paused = true)]
 async fn pending_calls_fail_when_the_connection_closes() {
     let (link, mut remote_ends) = link();
@@ -153,15 +153,17 @@
 
 #[tokio::test(start_paused = true)]
 async fn answer_of_an_unexpected_kind_is_an_error() {
-    for body in
-        [Some(Body::LeaseResponse(LeaseResponse { ok: true })), Some(Body::Empty(Empty {})), None]
-    {
+    for body in [
+        Some(Body::LeaseResponse(LeaseResponse { granted: true })),
+        Some(Body::Empty(Empty {})),
+        None,
+    ] {
         let (link, mut remote_ends) = link();
         let mut remote = accept_remote(&mut remote_ends).await;
         let (call, number) = call(&link, &mut remote).await;
         remote.write_all(&frame(number, true, body)).await.unwrap();
         assert_eq!(call.await.unwrap(), Err(LinkError::UnexpectedAnswer));
-        assert_eq!(link.rejected(), 1);
+        assert_eq!(link.rejected_count(), 1);
         assert!(link.is_up());
     }
 }
@@ -169,7 +171,7 @@
 /// An invalid frame closes the connection; the next connection works normally.
 #[tokio::test(start_paused = true)]
 async fn malformed_frames_end_the_connection_and_its_calls() {
-    let oversized = ((constants::FRAME_MAX + 1) as u32).to_be_bytes().to_vec();
+    let oversized = ((constants::FRAME_MAX_BYTES + 1) as u32).to_be_bytes().to_vec();
     let undecodable = [&4u32.to_be_bytes()[..], &[0xff; 4]].concat();
     let complete = frame(1, true, Some(register_response(true)));
     let truncated = complete[..complete.len() - 1].to_vec();
@@ -180,7 +182,7 @@
         remote.write_all(&bytes).await.unwrap();
         remote.shutdown().await.unwrap();
         assert_eq!(lost.await.unwrap(), Err(LinkError::NotConnected));
-        assert_eq!(link.rejected(), rejected);
+        assert_eq!(link.rejected_count(), rejected);
         let mut remote = accept_remote(&mut remote_ends).await;
         let (next, number) = call(&link, &mut remote).await;
         remote.write_all(&frame(number, true, Some(register_response(true)))).await.unwrap();
@@ -194,7 +196,7 @@
     let (link, mut remote_ends) = link();
     let mut remote = accept_remote(&mut remote_ends).await;
     let (waiting, number) = call(&link, &mut remote).await;
-    let large = RegisterRequest { key: "k".repeat(constants::FRAME_MAX) };
+    let large = RegisterRequest { key: "k".repeat(constants::FRAME_MAX_BYTES) };
     let result = link.call(Body::RegisterRequest(large.clone()), LIMIT).await;
     assert!(matches!(result, Err(LinkError::TooLarge(_))), "{result:?}");
     assert!(matches!(link.notify(Body::RegisterRequest(large)), Err(LinkError::TooLarge(_))));
@@ -216,7 +218,7 @@
         let large = matches!(body, Body::RegisterRequest(_));
         self.bodies.lock().push(body);
         if large {
-            let key = "k".repeat(constants::FRAME_MAX);
+            let key = "k".repeat(constants::FRAME_MAX_BYTES);
             return Some(Body::RegisterRequest(RegisterRequest { key }));
         }
         Some(Body::Acknowledged(Empty {}))
--- a/crates/fleet-core/src/wire/engines.rs
+++ b/crates/fleet-core/src/wire/engines.rs
@@ -4,7 +4,7 @@
 
 /// A version of a model's weights.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Weights {
+pub struct WeightsVersion {
     /// Name of the model.
     #[prost(string, tag = "1")]
     pub model: String,
@@ -22,7 +22,7 @@
     pub id: String,
     /// Number of the engine's call that reported this state (`callSeq`); increases within an instance.
     #[prost(uint64, tag = "2")]
-    pub call: u64,
+    pub call_seq: u64,
     /// Name of the service that the engine belongs to.
     #[prost(string, tag = "3")]
     pub service: String,
@@ -40,11 +40,11 @@
     pub state: i32,
     /// Loaded weights, one entry per model.
     #[prost(message, repeated, tag = "8")]
-    pub weights: Vec<Weights>,
-    /// No heartbeat for `MISSED_HEARTBEATS` periods, as observed by the sending controller.
+    pub weights: Vec<WeightsVersion>,
+    /// No heartbeat for `MISSED_HEARTBEAT_PERIODS` periods, as observed by the sending controller.
     #[prost(bool, tag = "9")]
     pub heartbeat_missed: bool,
-    /// Sequence number of the roll-out's update orders: increases with each start and end, odd while an update is in
+    /// Sequence number of the rollout's update orders: increases with each start and end, odd while an update is in
     /// progress. Routers then send no requests.
     #[prost(uint64, tag = "10")]
     pub update_seq: u64,
@@ -82,15 +82,15 @@
 /// message replaces the previous one of the same sender, and expires after `LOAD_REPORT_TIMEOUT`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct LoadReport {
-    /// Hashes of the engine ids (`load::key_of`); engines whose hashes collide only appear busier than they are.
+    /// Hashes of the engine ids (`load::engine_key`); engines whose hashes collide only appear busier than they are.
     #[prost(fixed32, repeated, tag = "1")]
     pub keys: Vec<u32>,
     /// Prompt tokens of requests whose response has not begun, in units of `LOAD_TOKEN_UNIT`, rounded up.
     #[prost(uint32, repeated, tag = "2")]
-    pub unread: Vec<u32>,
+    pub pending_prefill_units: Vec<u32>,
     /// Requests in flight.
     #[prost(uint32, repeated, tag = "3")]
-    pub runs: Vec<u32>,
+    pub in_flight: Vec<u32>,
     /// Number of these that are interactive: a client waits for the response.
     #[prost(uint32, repeated, tag = "4")]
     pub interactive: Vec<u32>,
--- a/crates/fleet-core/tests/sizes.rs
+++ b/crates/fleet-core/tests/sizes.rs
@@ -1,9 +1,9 @@
 //! Size on the wire of each item, at three fleet sizes, on which docs/CAPACITY.md is based.
 //! `cargo test -p fleet-core --test sizes -- --nocapture` prints them.
 
-use fleet_core::load::{ByEngine, Load, pack};
+use fleet_core::load::{Load, LoadByEngine, encode_report};
 use fleet_core::wire::{
-    CachedParts, Engine, FleetUpdate, Invalidation, PartLocation, RingEntry, Weights,
+    CachedParts, Engine, FleetUpdate, Invalidation, PartLocation, RingEntry, WeightsVersion,
 };
 use prost::Message;
 
@@ -26,10 +26,12 @@
 #[test]
 fn load_report_takes_a_few_bytes_per_engine() {
     let bytes = |n: usize| {
-        let all: ByEngine = (0..n as u32)
-            .map(|i| (i * 7919, Load { unread: 6000, runs: 6, interactive: 4 }))
+        let all: LoadByEngine = (0..n as u32)
+            .map(|i| {
+                (i * 7919, Load { pending_prefill_tokens: 6000, in_flight: 6, interactive: 4 })
+            })
             .collect();
-        pack(&all).encoded_len()
+        encode_report(&all).encoded_len()
     };
     assert!(slope("loads, an engine", bytes) <= 8.0);
 }
@@ -40,12 +42,12 @@
         engines: (0..n)
             .map(|i| Engine {
                 id: format!("i-{i:010x}"),
-                call: 100,
+                call_seq: 100,
                 service: "huvo11a".into(),
                 address: "10.128.100.100:8080".into(),
                 zone: "zone-a".into(),
                 slots: 12,
-                weights: vec![Weights { model: "daka510000".into(), version: 2 }],
+                weights: vec![WeightsVersion { model: "daka510000".into(), version: 2 }],
                 ..Default::default()
             })
             .collect(),
@@ -54,7 +56,7 @@
     assert!(slope("view, an engine", |n| engine(n).encoded_len()) <= 96.0);
     let entry = |i: usize| RingEntry {
         scope: 0,
-        what: Some(Invalidation::Part(PartLocation {
+        invalidation: Some(Invalidation::Part(PartLocation {
             holder: format!("i-{i:010x}"),
             salt: "daka510000|2|#1".into(),
             part: u64::MAX >> 16,
--- a/crates/simulation/src/fault/mod.rs
+++ b/crates/simulation/src/fault/mod.rs
@@ -1,118 +1,119 @@
-//! What goes wrong in a run: drawn from a seed, printed, replayed, and dropped one by one.
+//! The faults of a run: drawn from a seed, saved, replayed, and removed one by one to shrink a failing run.
 //!
-//! A [`Plan`] is a run's [`Fault`]s with their times, of the mix of a [`Point`]; `shape` draws them.
+//! A [`Plan`] lists the scheduled [`Fault`]s of a run; a [`FaultMix`] selects the kinds that `shape` draws.
 
+mod mix;
 mod plan;
-mod point;
 mod shape;
 
 use crate::constants;
 use serde::{Deserialize, Serialize};
 
+pub use mix::{FaultMix, UnknownFaultMix};
 pub use plan::Plan;
-pub use point::{Point, UnknownPoint};
 
-/// One kind of fault; machines are numbers from 0.
+/// One kind of fault; machines are numbered from 0.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum FaultKind {
-    /// The machine hears no other machine and none hears it; callers may still reach it.
+    /// The machine is partitioned from all other machines; clients may still reach it.
     #[serde(rename = "cut-off")]
     Isolation {
-        /// which machine
+        /// The machine that is partitioned.
         machine: usize,
-        /// whether callers are cut off from it as well
+        /// Whether it is partitioned from clients as well.
         callers_too: bool,
     },
-    /// Nothing passes from one machine to another; the way back stands.
+    /// Traffic from one machine to another is blocked; the reverse direction stays open.
     OneWay {
-        /// who is not heard
+        /// The machine whose outgoing traffic is blocked.
         from: usize,
-        /// who doesn't hear
+        /// The machine that the traffic is addressed to.
         to: usize,
     },
     /// The connections between two machines are reset, once.
     Reset {
-        /// one end
+        /// One end of the connections.
         one: usize,
-        /// the other end
+        /// The other end of the connections.
         other: usize,
     },
-    /// The callers outside don't reach a machine, or its answers don't reach them.
+    /// The clients cannot reach a machine, or only its responses are lost.
     #[serde(rename = "callers-cut")]
     ClientPartition {
-        /// which machine
+        /// The machine that is partitioned from clients.
         machine: usize,
-        /// whether calls still come through
+        /// Whether only responses are blocked, so that calls still arrive.
         answers_only: bool,
     },
-    /// The process is killed, and started again at the end.
+    /// The process is killed, and restarted when the fault ends.
     Kill {
-        /// which machine
+        /// The machine whose process is killed.
         machine: usize,
     },
-    /// The process is told to leave, and started again at the end.
+    /// The process is shut down gracefully, and restarted when the fault ends.
     Leave {
-        /// which machine
+        /// The machine whose process is shut down.
         machine: usize,
     },
-    /// The power goes: unsynced writes are lost and nobody is told.
+    /// The machine loses power: unsynced writes are lost, and its connections hang.
     PowerLoss {
-        /// which machine
+        /// The machine that loses power.
         machine: usize,
     },
-    /// As the loss of power, and the disk comes back empty.
+    /// The machine loses power, and its disk comes back empty.
     LoseDisk {
-        /// which machine
+        /// The machine that loses power and the content of its disk.
         machine: usize,
     },
-    /// Nothing of the machine is sent or synced; its timers go on.
+    /// The machine neither sends, receives nor syncs; its timers continue.
     Freeze {
-        /// which machine
+        /// The machine that stops communicating and syncing.
         machine: usize,
     },
-    /// Whatever the machine sends or is sent comes late, at times after its caller gave up.
+    /// Traffic to and from the machine is delayed, at times beyond the caller's timeout.
     SlowLinks {
-        /// which machine
+        /// The machine whose traffic is delayed.
         machine: usize,
     },
-    /// Each sync takes long.
+    /// Each sync is delayed.
     SlowDisk {
-        /// which machine
+        /// The machine with the slow disk.
         machine: usize,
     },
-    /// Syncs don't end.
+    /// Syncs do not complete.
     HungDisk {
-        /// which machine
+        /// The machine whose disk hangs.
         machine: usize,
     },
-    /// Writes are refused.
+    /// Writes fail because the disk is full.
     FullDisk {
-        /// which machine
+        /// The machine whose disk is full.
         machine: usize,
     },
-    /// The machine is gone for good; another one comes at a new address with an empty disk.
+    /// The machine is removed permanently; when the fault ends, a new one with a new address and an empty disk replaces
+    /// it.
     Replace {
-        /// which machine
+        /// The machine that is removed.
         machine: usize,
     },
-    /// All machines go down at once, and come back together.
+    /// All machines go down at once, and are restarted together.
     AllDown {
-        /// whether their power goes, and not only their processes
+        /// Whether they lose power, instead of only having their processes killed.
         power: bool,
-        /// those whose disks come back empty
+        /// The machines whose disks come back empty.
         wiped: Vec<usize>,
     },
-    /// The seeds in the settings of a machine are changed to its own and those of later machines.
+    /// The seeds in a machine's settings are replaced by the addresses of the last machines.
     Reseed {
-        /// which machine
+        /// The machine whose settings change.
         machine: usize,
     },
 }
 
 impl FaultKind {
-    /// The machine that can't be counted on meanwhile, if any.
-    pub fn machine_lost(&self) -> Option<usize> {
+    /// The machine that may be unavailable during the fault, if any; `None` also for [`FaultKind::AllDown`].
+    pub fn unavailable_machine(&self) -> Option<usize> {
         match self {
             FaultKind::Reset { .. }
             | FaultKind::ClientPartition { .. }
@@ -135,32 +136,32 @@
 }
 
 impl FaultKind {
-    pub(crate) fn downs_all(&self) -> bool {
+    pub(crate) fn is_full_outage(&self) -> bool {
         matches!(self, FaultKind::AllDown { .. })
     }
 }
 
-/// One fault with its time.
+/// A scheduled fault.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// ms since the run began.
+    /// Start, in milliseconds since the run began.
     pub from_ms: u64,
-    /// ms until it ends.
+    /// Duration in milliseconds.
     pub for_ms: u64,
-    /// What goes wrong.
+    /// Kind of fault.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// Whether two faults, each with the time of catching up after it, come upon each other.
-    fn meets(&self, other: &Fault) -> bool {
-        let until = |fault: &Fault| fault.until_ms() + constants::CATCH_UP_MS;
-        other.from_ms < until(self) && self.from_ms < until(other)
+    /// Whether two faults overlap, each extended by the time for catching up after it.
+    fn overlaps(&self, other: &Fault) -> bool {
+        let blocked_until = |fault: &Fault| fault.end_ms() + constants::CATCH_UP_MS;
+        other.from_ms < blocked_until(self) && self.from_ms < blocked_until(other)
     }
 
-    /// ms since the run began at which it is over.
-    pub fn until_ms(&self) -> u64 {
+    /// End, in milliseconds since the run began.
+    pub fn end_ms(&self) -> u64 {
         self.from_ms + self.for_ms
     }
 }
